--- a/src/mulberrywharf/policy/home_hits.py
+++ b/src/mulberrywharf/policy/home_hits.py
@@ -1,33 +1,36 @@
-"""Whether the home of a part is likely to hold it, where that isn't known.
-
-The load it answers: a fleet too large for every gateway to hear of every
-placement. A gateway knows what the engines of its own availability zone hold;
-parts that live in other zones are used as often, so the share of prompts that
-engines nearby held the part of tells of the others. It is 0 after a start of
-the fleet, when every part is read for the first time, and most of 1 a few
-seconds later. Believed held from the first moment on, parts are read whole at
-decode engines, at half the speed of a prefill engine: 0.5 to 0.9 s instead of
-0.3. Only placements at homes count: those that an overload sends elsewhere are
-misses wherever parts live, and with them the share stayed so low that parts
-were copied on, 2.1 million tokens read anew in 34 s instead of 1.2.
+"""Estimates how likely the home engine of a part is to hold it.
+
+In a large fleet a gateway is not told of every placement, only of those in its
+own availability zone. Parts whose homes are in other zones are used as often,
+so the hit rate of the homes nearby is an estimate for the others. It is 0 after
+a start of the fleet, when every part is prefilled for the first time, and close
+to 1 a few seconds later.
+
+If homes were believed to hold their parts from the start, whole parts would be
+prefilled at decode engines, at half the speed of a prefill engine: in 0.5 to
+0.9 s instead of 0.3 s. Only placements at homes count. Prompts that an overload
+sends elsewhere miss wherever parts are cached; with them the hit rate stayed so
+low that parts were still copied, and 2.1 million tokens were prefilled again in
+34 s instead of 1.2 million.
 """
 
-WEIGHT = 0.05
-"""Of one prompt in the share: the last twenty or so decide. A zone of 27
-gateways places as many in a second or two, and each hears of all of them."""
+EWMA_WEIGHT = 0.05
+"""Weight of one prompt in the moving average, which mostly covers the last
+twenty. A zone of 27 gateways places as many within a second or two, and each
+gateway is told of all of them."""
 
 
 class HomeHits:
-    """The share of prompts whose home nearby held their part."""
+    """Moving average of the hit rate of home engines nearby."""
 
     def __init__(self) -> None:
         self._share = 0.0
 
     @property
     def share(self) -> float:
-        """Part of the homes that held what they were sent, 0 to 1."""
+        """Share of prompts whose home held their part, 0 to 1."""
         return self._share
 
     def note(self, *, is_held: bool) -> None:
-        """Takes in whether a home nearby held the part that it was sent."""
-        self._share += WEIGHT * (float(is_held) - self._share)
+        """Records whether a home nearby held the part of a prompt."""
+        self._share += EWMA_WEIGHT * (float(is_held) - self._share)
--- a/src/mulberrywharf/policy/part_caches.py
+++ b/src/mulberrywharf/policy/part_caches.py
@@ -1,13 +1,15 @@
-"""Which engine is believed to hold which parts of prompts.
-
-A prompt is a chain of parts. A part is known by itself and all parts before
-it, since what an engine keeps of it depends on them; so the parts that one
-engine holds form a tree. An engine keeps what it read and drops the least
-recently used parts when its memory is full, those at the end of a chain first.
-A node knows the prompts that it sent, hears of those that others sent, and
-replays the same rule on them. A notice that was lost makes the belief too
-small or, by the parts that the engine dropped for it, too large; either costs
-time, never a wrong answer.
+"""Tracks which parts of prompts each engine is believed to have cached.
+
+A prompt is a chain of parts. The KV cache of a part depends on all parts before
+it, so a part is identified by itself and its predecessors, and the parts that
+an engine holds form a tree. An engine caches what it prefilled and evicts the
+least recently used parts when its memory is full, those at the end of a chain
+first.
+
+A node applies the same eviction rule to the prompts that it sent and to those
+that other nodes reported. If a report is lost, the node misses a part, or still
+believes in parts that the engine evicted for it. Either costs time but never
+gives a wrong answer.
 """
 
 import collections
@@ -18,18 +20,18 @@
 
 from mulberrywharf import fleet
 
-USABLE_SHARE = 0.9
-"""Part of an engine's memory that cached parts can count on. The rest is taken
-by running requests, which never yield to cached parts."""
+CACHE_MEMORY_SHARE = 0.9
+"""Share of an engine's memory that is available to cached parts. Running
+requests use the rest, and are never evicted for cached parts."""
 
-_OWN_KEY_BITS = 64
+_PART_KEY_BITS = 64
 
 
 class HeldPart(NamedTuple):
-    """A part with all that comes before it.
+    """A part, identified together with all parts before it.
 
     Attributes:
-        key: 64 bits that stand for the part and all parts before it.
+        key: 64-bit hash of the part and all parts before it.
         tokens: Length of the part alone.
     """
 
@@ -41,8 +43,8 @@
     """A part of one prompt.
 
     Attributes:
-        held: What an engine that holds it is known to hold.
-        end_tokens: Length of the prompt up to the part's end.
+        held: The part as it is tracked in caches.
+        end_tokens: Length of the prompt up to the end of the part.
     """
 
     held: HeldPart
@@ -50,7 +52,7 @@
 
 
 def chain(parts: Iterable[tuple[str, int]]) -> tuple[ChainPart, ...]:
-    """Returns the parts of a prompt by what they share with other prompts.
+    """Returns the parts of a prompt with keys that equal prefixes share.
 
     Args:
         parts: Id and length of each part, in order.
@@ -65,12 +67,12 @@
     return tuple(found)
 
 
-class _Cache:
-    """Parts of one engine, the least recently used first.
+class _LruCache:
+    """The cached parts of one engine, the least recently used first.
 
-    Whoever uses a part uses all parts before it. Noted from the end of the
-    chain to its beginning, a part is always older than those before it, so
-    the oldest one is the end of a chain.
+    A prompt that uses a part uses all parts before it. Parts are recorded from
+    the end of the chain to its beginning, so a part is always older than those
+    before it, and the oldest part is the end of a chain.
     """
 
     def __init__(self) -> None:
@@ -79,25 +81,25 @@
         )
         self.tokens = 0
 
-    def use(self, part: HeldPart) -> None:
+    def touch(self, part: HeldPart) -> None:
         self.tokens += part.tokens - self.parts.pop(part.key, 0)
         self.parts[part.key] = part.tokens
 
-    def shrink(self, limit_tokens: float) -> None:
+    def evict_beyond(self, limit_tokens: float) -> None:
         while self.tokens > limit_tokens and len(self.parts) > 1:
             _, tokens = self.parts.popitem(last=False)
             self.tokens -= tokens
 
 
 class PartCaches:
-    """Beliefs about all engines."""
+    """Believed cache contents of all engines."""
 
     def __init__(self) -> None:
-        self._by_engine: dict[fleet.ServerStart, _Cache] = {}
-        self._own_count = 0
+        self._by_engine: dict[fleet.ServerStart, _LruCache] = {}
+        self._unshared_count = 0
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
-        """Forgets engines that left."""
+        """Forgets all other engines; they have left."""
         self._by_engine = {
             engine: cache
             for engine, cache in self._by_engine.items()
@@ -110,38 +112,38 @@
         parts: Sequence[HeldPart],
         memory_tokens: int,
     ) -> None:
-        """Records that an engine holds the beginning of a prompt now.
+        """Records that an engine now holds the beginning of a prompt.
 
         Args:
             engine: The engine.
-            parts: Its parts in order; some may be left out.
-            memory_tokens: What the engine's memory holds.
+            parts: The prompt's parts in order; some may be left out.
+            memory_tokens: Capacity of the engine's memory.
         """
-        cache = self._by_engine.setdefault(engine, _Cache())
+        cache = self._by_engine.setdefault(engine, _LruCache())
         for part in reversed(parts):
-            cache.use(part)
-        cache.shrink(memory_tokens * USABLE_SHARE)
+            cache.touch(part)
+        cache.evict_beyond(memory_tokens * CACHE_MEMORY_SHARE)
 
     def note_own(
         self, engine: fleet.ServerStart, tokens: int, memory_tokens: int
     ) -> None:
         """Records tokens that no other prompt will share.
 
-        An engine keeps them like any others, so they push shared parts out:
-        left out of the account, parts are believed held that were dropped
-        seconds ago, and prompts are sent where they must be read anew.
+        An engine caches them like any others, so they evict shared parts. If
+        they weren't counted, parts would be believed held that were evicted
+        seconds ago, and prompts sent to engines that must prefill them again.
 
         Args:
             engine: The engine.
-            tokens: How many.
-            memory_tokens: What the engine's memory holds.
+            tokens: Number of tokens.
+            memory_tokens: Capacity of the engine's memory.
         """
-        self._own_count += 1
-        key = (1 << _OWN_KEY_BITS) + self._own_count
+        self._unshared_count += 1
+        key = (1 << _PART_KEY_BITS) + self._unshared_count
         self.note_read(engine, (HeldPart(key, tokens),), memory_tokens)
 
     def holds(self, engine: fleet.ServerStart, key: int) -> bool:
-        """Tells whether an engine is believed to hold a part."""
+        """Returns whether an engine is believed to hold a part."""
         cache = self._by_engine.get(engine)
         return cache is not None and key in cache.parts
 
@@ -150,8 +152,8 @@
     ) -> int:
         """Returns the leading tokens of a prompt that an engine holds.
 
-        An engine that holds a part holds all parts before it, also those
-        that nobody told of.
+        An engine that holds a part holds all parts before it, including those
+        that were not reported.
         """
         cache = self._by_engine.get(engine)
         if cache is None:
--- a/src/mulberrywharf/policy/part_homes.py
+++ b/src/mulberrywharf/policy/part_homes.py
@@ -1,4 +1,4 @@
-"""Where the shared parts of prompts live, and which engines are looked at."""
+"""Chooses the home engines of shared parts, and the engines considered."""
 
 import heapq
 import random
@@ -8,27 +8,29 @@
 
 from mulberrywharf import fleet
 
-SHORTLIST_COUNT = 3
-"""Homes of a part that are always looked at, of each role."""
+HOMES_COUNT = 3
+"""Home engines of a part, per role, that are always considered."""
 
 SAMPLE_COUNT = 8
-"""Engines of each role that are looked at. All ways between them are compared,
-so a decision costs the square of it; the best of eight is seldom much worse
-than the best of all, and gateways that look at all herd to the same one."""
+"""Engines of each role that are considered for a prompt. All plans between them
+are compared, so the cost of a decision grows with the square of this. The best
+of eight is seldom much worse than the best of all, and gateways that consider
+all engines would all choose the same one."""
 
 
 def homes(
-    part_key: int, among: Iterable[fleet.Server], count: int = SHORTLIST_COUNT
+    part_key: int, among: Iterable[fleet.Server], count: int = HOMES_COUNT
 ) -> list[fleet.Server]:
-    """Returns the engines where a part lives, the first home first.
+    """Returns the home engines of a part, the first home first.
 
-    Rendezvous hashing: every node finds the same ones without a message, and
-    an engine that comes or goes moves only the parts that it has or gets.
+    Rendezvous hashing: every node gets the same result without communication,
+    and an engine that joins or leaves moves only the parts that it gains or
+    loses.
 
     Args:
-        part_key: Of the part, see ``part_caches.HeldPart``.
+        part_key: Key of the part, see ``part_caches.HeldPart``.
         among: Engines that may be its home.
-        count: How many to return.
+        count: Number of engines to return.
     """
     return heapq.nlargest(
         count,
@@ -40,23 +42,23 @@
 
 
 def sample(
-    homes_first: Sequence[fleet.Server],
+    home_engines: Sequence[fleet.Server],
     among: Sequence[fleet.Server],
     rng: random.Random,
     *,
     is_preferred: Callable[[fleet.Server], bool] = lambda _: False,
 ) -> list[fleet.Server]:
-    """Returns the engines of one role that are looked at for a prompt.
+    """Returns the engines of one role that are considered for a prompt.
 
     Args:
-        homes_first: Homes of its shared part; always among them.
+        home_engines: Home engines of its shared part; always included.
         among: All engines of the role.
-        rng: Draws the others.
-        is_preferred: Tells which of these are drawn first.
+        rng: Draws the other engines.
+        is_preferred: Returns whether an engine is drawn before others.
     """
     if len(among) <= SAMPLE_COUNT:
         return list(among)
-    others = [one for one in among if one not in homes_first]
+    others = [one for one in among if one not in home_engines]
     rng.shuffle(others)
     others.sort(key=lambda one: not is_preferred(one))
-    return [*homes_first, *others[: SAMPLE_COUNT - len(homes_first)]]
+    return [*home_engines, *others[: SAMPLE_COUNT - len(home_engines)]]
--- a/src/mulberrywharf/policy/prompt_admission.py
+++ b/src/mulberrywharf/policy/prompt_admission.py
@@ -1,53 +1,54 @@
-"""Refuses at once what the engines can't answer in time.
+"""Rejects requests that the engines can't answer in time.
 
-The load it answers: bursts of long prompts at several times what the engines
-read, each over within some seconds. A prompt that joins a queue longer than
-its caller's patience is read for nobody and delays all behind it; told to
-come back after the queue has drained, its caller is served then.
+The workload has bursts of long prompts, each over within seconds, at several
+times the rate that the engines can prefill. A prompt that waits longer than its
+caller does is prefilled for nobody and delays all prompts behind it. If its
+caller is told to retry once the queue has drained, it is served then.
 """
 
 import random
 from typing import NamedTuple
 
-ADMITTED_TARGET_SHARE = 0.6
-"""Part of the target for the first token up to which every request is sent.
-Estimates are right on the mean and off by a third either way, so of those that
-are sent at the end of the span about one in four comes late."""
+ADMIT_ALL_TARGET_SHARE = 0.6
+"""Share of the first-token target up to which every request is admitted.
+Estimates are right on average and off by a third either way, so about one in
+four of the requests admitted at the end of the range comes late."""
 
-REFUSED_TARGET_SHARE = 0.8
-"""Part of the target from which every request is refused. Between the two a
-part is, the more the later: gateways that all refuse everything at the same
-estimate leave the engines idle a moment later, and then all send again.
+REFUSE_ALL_TARGET_SHARE = 0.8
+"""Share of the first-token target from which every request is refused. Between
+the two bounds the probability of refusal rises linearly: gateways that all
+refuse everything at the same estimate leave the engines idle a moment later,
+and then all send again.
 
-Waiting longer serves fewer callers, not more: what is late holds up all behind
-it, streams go on longer, and when an engine or a zone is lost more are lost.
-Refused from 1.0 to 1.5 of the target, 0.72 of the worth of a day with trouble
-was earned; from 0.6 to 0.8, 0.77 was: 0.9 in 100 callers more were refused to
-the end, and 1.6 fewer failed. From 0.4 on, prompts that are large for their
-route are hardly ever served."""
+Admitting requests with longer waits serves fewer callers: late requests delay
+all behind them, streams last longer, and the loss of an engine or a zone ends
+more of them. With a range from 1.0 to 1.5 of the target, 0.72 of the value of a
+day with failures was earned; from 0.6 to 0.8, 0.77 was: of 100 callers 0.9 more
+were refused for good, and 1.6 fewer failed. With a lower bound of 0.4, prompts
+that are large for their route are hardly ever served."""
 
-OWN_TARGET_SHARE = 0.5
-"""Part of the target that a request's own reading counts with at the most. A
-large prompt is late by its size; judged by that it would never be served,
-however often its caller came back, so beyond this its queue decides."""
+MAX_OWN_PREFILL_TARGET_SHARE = 0.5
+"""Maximum share of the first-token target that a request's own prefill counts
+with. A large prompt is late because of its size and would be refused at every
+retry, so beyond this only its queueing delay decides."""
 
-RETRY_AFTER_LEAST_S = 0.1
-"""Shorter waits would bring a caller back before its refusal has any effect on
-the queue."""
+MIN_RETRY_AFTER_S = 0.1
+"""A caller that retries sooner would come back before its refusal has any
+effect on the queue."""
 
-RETRY_AFTER_LEFT_SHARE = 0.3
-"""Part of a caller's time that it may be sent away for; callers ignore longer
-waits, and must have time for their answer afterwards."""
+MAX_RETRY_AFTER_LEFT_SHARE = 0.3
+"""Maximum retry delay, as a share of the caller's remaining time. Callers
+ignore longer delays, and need time for their answer afterwards."""
 
 
 class Prospect(NamedTuple):
-    """What a request would meet.
+    """Estimated delays of a request, for the admission decision.
 
     Attributes:
         first_token_s: Estimated time to its first token.
-        queue_s: The part of it that is spent in a queue.
+        queue_s: The part of that time spent in a queue.
         target_s: When its caller expects the first token, None if unknown.
-        left_s: Until its caller is gone.
+        left_s: Time until its caller gives up.
     """
 
     first_token_s: float
@@ -57,35 +58,42 @@
 
 
 class Refusal(NamedTuple):
-    """The request isn't sent.
+    """The request is refused.
 
     Attributes:
-        retry_after_s: When its caller may come back.
+        retry_after_s: Delay after which the caller may retry.
     """
 
     retry_after_s: float
 
 
 def decide(prospect: Prospect, rng: random.Random) -> Refusal | None:
-    """Decides whether a request is refused; None if it may be sent.
+    """Decides whether a request is refused.
 
     Args:
-        prospect: What it would meet.
-        rng: Spreads the callers that come back.
+        prospect: Its estimated delays.
+        rng: Spreads refusals and retries.
+
+    Returns:
+        The refusal, or None if the request may be sent.
     """
     if prospect.first_token_s < prospect.left_s and not _is_late(prospect, rng):
         return None
-    longest_s = max(
-        RETRY_AFTER_LEAST_S, prospect.left_s * RETRY_AFTER_LEFT_SHARE
+    max_retry_after_s = max(
+        MIN_RETRY_AFTER_S, prospect.left_s * MAX_RETRY_AFTER_LEFT_SHARE
+    )
+    min_retry_after_s = min(
+        max_retry_after_s, max(MIN_RETRY_AFTER_S, prospect.queue_s)
     )
-    soonest_s = min(longest_s, max(RETRY_AFTER_LEAST_S, prospect.queue_s))
-    return Refusal(rng.uniform(soonest_s, longest_s))
+    return Refusal(rng.uniform(min_retry_after_s, max_retry_after_s))
 
 
 def _is_late(prospect: Prospect, rng: random.Random) -> bool:
     if prospect.target_s is None:
         return False
-    own_s = prospect.first_token_s - prospect.queue_s
-    counted_s = min(own_s, OWN_TARGET_SHARE * prospect.target_s)
-    share = (counted_s + prospect.queue_s) / prospect.target_s
-    return share > rng.uniform(ADMITTED_TARGET_SHARE, REFUSED_TARGET_SHARE)
+    own_prefill_s = prospect.first_token_s - prospect.queue_s
+    counted_prefill_s = min(
+        own_prefill_s, MAX_OWN_PREFILL_TARGET_SHARE * prospect.target_s
+    )
+    share = (counted_prefill_s + prospect.queue_s) / prospect.target_s
+    return share > rng.uniform(ADMIT_ALL_TARGET_SHARE, REFUSE_ALL_TARGET_SHARE)
--- a/src/mulberrywharf/policy/prompt_placement.py
+++ b/src/mulberrywharf/policy/prompt_placement.py
@@ -1,14 +1,14 @@
-"""Where a prompt is prefilled and where its answer is generated.
+"""Chooses the engines that prefill a prompt and generate its answer.
 
-The load it answers: long prompts, most of whose tokens are shared with other
-prompts, beside many short ones. A long prompt costs an engine five times as
-much when nothing of it is cached as when the shared part is, and all shared
-parts together don't fit into any one engine. So where a part lives decides
-most: it has a home, the same on every node, and leaves it only when the home
-is so far behind that reading it anew elsewhere is faster.
+The workload mixes many short prompts with long ones that share most of their
+tokens. Prefilling a long prompt takes an engine five times as long if nothing
+of it is cached as if its shared part is, and no engine can cache all shared
+parts. So where a part is cached matters most: each part has a home engine, the
+same on every node, and is prefilled elsewhere only if the home's queue is so
+long that this is faster.
 
-Every way is scored by its time to the first token and by the engine time that
-it takes from others.
+Each plan is scored by its time to the first token and by the engine time that
+it takes from other requests.
 """
 
 from collections.abc import Sequence
@@ -17,49 +17,53 @@
 from mulberrywharf import fleet
 from mulberrywharf.policy import engine_speeds
 
-OTHER_ZONE_MOVE_FACTOR = 2.0
-"""A move between availability zones takes twice as long."""
+OTHER_ZONE_TRANSFER_FACTOR = 2.0
+"""KV transfers between availability zones take twice as long."""
 
 WORK_WEIGHT = 1.0
-"""Seconds of engine time against seconds of this request's own wait. Work on
-an engine delays each request that comes behind it, at a load where about one
-is waiting."""
+"""Cost of a second of engine time, relative to a second of this request's own
+wait. Work on an engine delays every request behind it; at the expected load
+about one is waiting."""
 
 COPY_WEIGHT = 0.8
-"""Part of a shared part's reading time that one more copy of it costs. A copy
-pushes as many tokens of other parts out of the engine's memory, and most of
-these are needed again: all parts fit into all engines' memory about once.
-Weighed against 0, 0.3, 0.6 and 1.0 on prompts of two operators: from 0 to 0.6
-and 1.0, shared tokens read anew fell from 433,000 to 118,000 in 34 s."""
+"""Cost of caching a shared part on one more engine, as a share of the part's
+prefill time. A new copy evicts as many tokens of other parts, and most of those
+are needed again, as the memory of all engines together holds each part about
+once. With a weight of 0, engines prefilled 433,000 shared tokens again within
+34 s; with 0.6 and with 1.0, 118,000."""
 
 STREAM_WEIGHT = 0.25
-"""Part of its own length that a reading costs for each stream that a decode
-engine runs. Pieces of the prompt come between the tokens of all of them: while
-it lasts an event of eleven tokens takes 0.26 s instead of 0.06, and a stream
-that pauses so long is late. By the share of slots that is taken, as it was
-weighed before, an engine with many slots counted as idle: 217 of 972 chat
-streams of a day paused longer than their callers accept. Weighed against 0.12
-and 0.6 on one operator's days, and against the share on those of two others."""
+"""Cost of prefilling at a decode engine for each stream that it runs, as a
+share of the prefill's duration. Chunks of the prompt are processed between the
+tokens of these streams: meanwhile an event of eleven tokens takes 0.26 s
+instead of 0.06 s, and a stream that pauses for so long misses its target. The
+cost grows with the number of streams, not with the share of slots in use, by
+which an engine with many slots looked idle: 217 of 972 chat streams of a day
+then paused for longer than their callers accept."""
 
 FULL_BATCH_COST_S = 0.2
-"""What speaks against an engine whose slots are all taken, and in proportion
-below that: its steps are longer, and whatever ends it ends them all."""
+"""Cost of an engine whose slots are all in use, in proportion below that. Its
+steps take longer, and a failure of the engine ends all its requests."""
 
 SUSPECT_COST_S = 5.0
-"""More than any queue: an engine that did not answer is a last resort."""
+"""Exceeds any queueing delay, so that an engine that did not answer is used
+only if there is no other."""
 
 OTHER_ZONE_COST_S = 0.002
-"""Between equals the own zone goes first; a hop takes about 1 ms each way."""
+"""Prefers the node's own zone among equal engines; a network hop between zones
+takes about 1 ms each way."""
 
 OTHER_ZONE_STREAM_COST_S = 0.03
-"""Against answering from another availability zone: a stream lasts for seconds,
-and a cut between the zones ends it. As much as a sixth of an engine's slots, so
-that zones still take over what others can't. Where a zone was cut, 0.035 of the
-worth of a day came from it; 0.1 s left engines idle beside full ones."""
+"""Cost of generating in another availability zone: a stream lasts for seconds,
+and a network cut between the zones ends it. It equals the cost of a sixth of an
+engine's slots, so that other zones still take over what the own zone can't
+serve. On a day with a zone cut it contributed 0.035 of the day's value; with
+0.1 s, engines stayed idle beside full ones."""
 
 HOME_BONUS_S = 0.01
-"""What speaks for the home of a part that is held nowhere. It only breaks
-ties, so that parts spread evenly and nodes that choose at once choose alike."""
+"""Bonus for the home engine of a part that no engine holds. It only breaks
+ties, so that parts spread evenly and nodes that decide at the same time choose
+the same engine."""
 
 
 class EngineView(NamedTuple):
@@ -67,16 +71,18 @@
 
     Attributes:
         server: The engine.
-        wait_s: Until its steps reach a new prompt.
-        slot_wait_s: Until one of its slots is free; part of ``wait_s``.
-        running_share: Part of its slots that is taken.
+        wait_s: Time until it starts on a new prompt.
+        slot_wait_s: Time until one of its slots is free; part of ``wait_s``.
+        running_share: Share of its slots in use.
         cached_tokens: Leading tokens of the prompt that it holds.
-        pace: Its speed against its peers', 1 for equal, 2 for half as fast.
-        is_suspected: Whether it did not answer a moment ago.
-        is_near: Whether it stands in the node's availability zone.
-        is_home: Whether it is the first home of the prompt's shared part.
-        told_wait_s: The part of ``wait_s`` that was told by who counts all of
-            its prompts, None if nobody did.
+        pace: Its slowdown relative to other engines of its role: 1 for equal
+            speed, 2 for half the speed.
+        is_suspected: Whether it recently failed to answer.
+        is_near: Whether it is in the node's availability zone.
+        is_home: Whether it is the first home engine of the prompt's shared
+            part.
+        told_wait_s: The part of ``wait_s`` reported by the node that counts all
+            of the engine's prompts, None if there was no report.
     """
 
     server: fleet.Server
@@ -92,13 +98,13 @@
 
 
 class PromptShape(NamedTuple):
-    """What of a prompt decides where it goes.
+    """The properties of a prompt that its placement depends on.
 
     Attributes:
         tokens: Its length.
-        shared_tokens: How many of them other prompts share.
-        kv_token_bytes: Bytes of the KV cache of one token.
-        link_bytes_per_s: Speed at which KV caches move.
+        shared_tokens: How many of its tokens other prompts share.
+        kv_token_bytes: Size of one token's KV cache in bytes.
+        link_bytes_per_s: Bandwidth of KV transfers.
     """
 
     tokens: int
@@ -115,11 +121,11 @@
         prefill: The engine that prefills, None if ``decode`` does it.
         fetch_from: The engine that cached parts are copied from, if any.
         first_token_s: Estimated time to the first token.
-        reading: What reading the prompt takes, at the engine that does it.
-        copy_s: Time to copy cached parts before that, or, of a prompt that
-            was prefilled, to move its KV cache.
-        cached_tokens: Prompt tokens that need not be read.
-        cost: What the ways are compared by; lower is better.
+        reading: Prefill time of the prompt at the engine that prefills it.
+        copy_s: Time to copy cached parts before the prefill; for a prompt that
+            is already prefilled, time to transfer its KV cache.
+        cached_tokens: Prompt tokens that need no prefill.
+        cost: Score by which plans are compared, in seconds; lower is better.
     """
 
     decode: EngineView
@@ -138,18 +144,18 @@
 
     @property
     def queue_s(self) -> float:
-        """The part of the time to the first token that is spent waiting."""
+        """The part of the time to the first token spent waiting."""
         if self.prefill is None:
             return self.decode.wait_s
         return self.prefill.wait_s + self.decode.slot_wait_s
 
     @property
     def reader(self) -> EngineView:
-        """The engine that reads the prompt."""
+        """The engine that prefills the prompt."""
         return self.prefill or self.decode
 
     def with_wait(self, wait_s: float, told_wait_s: float) -> "Plan":
-        """Returns the plan with another wait of its reader.
+        """Returns the plan with another wait at the prefilling engine.
 
         Args:
             wait_s: See ``EngineView``.
@@ -165,8 +171,8 @@
         )
 
 
-class _Reading(NamedTuple):
-    """How an engine gets at a prompt."""
+class _PrefillEstimate(NamedTuple):
+    """How an engine prefills a prompt, with or without a KV copy."""
 
     time: engine_speeds.ReadingTime
     copy_s: float
@@ -188,25 +194,25 @@
     prefills: Sequence[EngineView],
     decodes: Sequence[EngineView],
 ) -> list[Plan]:
-    """Returns every way to serve a prompt, the best first.
+    """Returns all plans to serve a prompt, the best first.
 
     Args:
         shape: The prompt.
-        speeds: How fast the engines are.
-        prefills: Prefill engines that may read it.
-        decodes: Decode engines that may read it or go on from a prefill.
+        speeds: Speeds of the engines.
+        prefills: Prefill engines that may prefill it.
+        decodes: Decode engines that may prefill it or continue after a prefill.
     """
     holders = [*prefills, *decodes]
-    read_at = {
-        engine.server: _reading(shape, speeds, engine, holders)
+    estimates = {
+        engine.server: _prefill_estimate(shape, speeds, engine, holders)
         for engine in holders
     }
     found = [
-        _direct(shape, speeds, decode, read_at[decode.server])
+        _direct_plan(shape, speeds, decode, estimates[decode.server])
         for decode in decodes
     ]
     found += [
-        _split(shape, speeds, prefill, decode, read_at[prefill.server])
+        _split_plan(shape, speeds, prefill, decode, estimates[prefill.server])
         for prefill in prefills
         for decode in decodes
     ]
@@ -219,28 +225,32 @@
     source: EngineView,
     decodes: Sequence[EngineView],
 ) -> list[Plan]:
-    """Returns every way to go on from a prefilled prompt, the best first.
+    """Returns all plans to continue a prefilled prompt, the best first.
 
     Args:
         shape: The prompt.
-        speeds: How fast the engines are.
+        speeds: Speeds of the engines.
         source: The engine that prefilled it.
-        decodes: Engines that may answer it.
+        decodes: Engines that may generate its answer.
     """
-    found = [_takeover(shape, speeds, source, decode) for decode in decodes]
+    found = [
+        _takeover_plan(shape, speeds, source, decode) for decode in decodes
+    ]
     return sorted(found, key=lambda plan: plan.cost)
 
 
-def _takeover(
+def _takeover_plan(
     shape: PromptShape,
     speeds: engine_speeds.Speeds,
     source: EngineView,
     decode: EngineView,
 ) -> Plan:
-    moved_tokens = shape.tokens - decode.cached_tokens
-    move_s = _move_s(shape, moved_tokens, source.server, decode.server)
+    transferred_tokens = shape.tokens - decode.cached_tokens
+    transfer_s = _transfer_s(
+        shape, transferred_tokens, source.server, decode.server
+    )
     first_token_s = (
-        move_s + decode.slot_wait_s + speeds.takeover_s * decode.pace
+        transfer_s + decode.slot_wait_s + speeds.takeover_s * decode.pace
     )
     return Plan(
         decode,
@@ -248,7 +258,7 @@
         None,
         first_token_s,
         engine_speeds.ReadingTime(0.0, 0.0, 0.0),
-        move_s,
+        transfer_s,
         shape.tokens,
         first_token_s
         + _stream_cost_s(decode)
@@ -256,24 +266,24 @@
     )
 
 
-def _direct(
+def _direct_plan(
     shape: PromptShape,
     speeds: engine_speeds.Speeds,
     decode: EngineView,
-    reading: _Reading,
+    estimate: _PrefillEstimate,
 ) -> Plan:
-    first_token_s = decode.wait_s + reading.total_s
+    first_token_s = decode.wait_s + estimate.total_s
     return Plan(
         decode,
         None,
-        reading.fetch_from,
+        estimate.fetch_from,
         first_token_s,
-        reading.time,
-        reading.copy_s,
-        reading.cached_tokens,
+        estimate.time,
+        estimate.copy_s,
+        estimate.cached_tokens,
         first_token_s
         + (WORK_WEIGHT + STREAM_WEIGHT * _streams_count(decode))
-        * reading.work_s
+        * estimate.work_s
         + _stream_cost_s(decode)
         + _copy_cost_s(shape, speeds, decode),
     )
@@ -283,27 +293,27 @@
     return decode.running_share * decode.server.slots_count
 
 
-def _split(
+def _split_plan(
     shape: PromptShape,
     speeds: engine_speeds.Speeds,
     prefill: EngineView,
     decode: EngineView,
-    reading: _Reading,
+    estimate: _PrefillEstimate,
 ) -> Plan:
-    moved_tokens = shape.tokens - min(
-        decode.cached_tokens, reading.cached_tokens
+    transferred_tokens = shape.tokens - min(
+        decode.cached_tokens, estimate.cached_tokens
     )
     first_token_s = (
         prefill.wait_s
-        + reading.total_s
-        + _move_s(shape, moved_tokens, prefill.server, decode.server)
+        + estimate.total_s
+        + _transfer_s(shape, transferred_tokens, prefill.server, decode.server)
         + decode.slot_wait_s
         + speeds.takeover_s * decode.pace
     )
     cost = (
         first_token_s
-        + WORK_WEIGHT * reading.work_s
-        + _place_cost_s(prefill)
+        + WORK_WEIGHT * estimate.work_s
+        + _engine_cost_s(prefill)
         + _stream_cost_s(decode)
         + _copy_cost_s(shape, speeds, prefill)
         + _copy_cost_s(shape, speeds, decode)
@@ -311,48 +321,51 @@
     return Plan(
         decode,
         prefill,
-        reading.fetch_from,
+        estimate.fetch_from,
         first_token_s,
-        reading.time,
-        reading.copy_s,
-        reading.cached_tokens,
+        estimate.time,
+        estimate.copy_s,
+        estimate.cached_tokens,
         cost,
     )
 
 
-def _reading(
+def _prefill_estimate(
     shape: PromptShape,
     speeds: engine_speeds.Speeds,
-    reader: EngineView,
+    engine: EngineView,
     holders: Sequence[EngineView],
-) -> _Reading:
-    """Returns how an engine gets at the prompt in the shortest time.
-
-    Another holder is named even if the reader is believed to hold as much.
-    The reader copies only what it lacks, so that costs nothing if the belief
-    is true; if the reader has dropped the part since, the copy takes a tenth
-    of the time of reading the part anew, which holds up whatever comes next.
+) -> _PrefillEstimate:
+    """Returns the fastest way for an engine to prefill the prompt.
+
+    Another holder is named as the source even if the engine is believed to hold
+    as many tokens itself. The engine copies only what it lacks, so naming a
+    source costs nothing if the belief is right. If the engine has evicted the
+    part since, the copy takes a tenth of the time of another prefill, which
+    would delay all later prompts.
     """
-    speed = _speed(speeds, reader)
-    held_tokens = reader.cached_tokens
-    alone = speed.reading(shape.tokens, held_tokens).paced(reader.pace)
-    holder = _other_holder(reader, holders)
+    speed = _speed(speeds, engine)
+    held_tokens = engine.cached_tokens
+    without_copy = speed.reading(shape.tokens, held_tokens).paced(engine.pace)
+    holder = _other_holder(engine, holders)
     if holder is None:
-        return _Reading(alone, 0.0, None, held_tokens)
+        return _PrefillEstimate(without_copy, 0.0, None, held_tokens)
     gained_tokens = holder.cached_tokens - held_tokens
-    # The setup of a copy is about that of a takeover, which is one too.
-    copy_s = speeds.takeover_s + _move_s(
-        shape, max(0, gained_tokens), holder.server, reader.server
+    # A takeover copies a KV cache too, so its setup time is used here.
+    copy_s = speeds.takeover_s + _transfer_s(
+        shape, max(0, gained_tokens), holder.server, engine.server
     )
     if gained_tokens <= 0:
         part_s = speed.reading(holder.cached_tokens, 0).work_s
         source = holder.server if part_s > copy_s else None
-        return _Reading(alone, 0.0, source, held_tokens)
-    rest = speed.reading(shape.tokens, holder.cached_tokens)
-    rest = rest.paced(reader.pace)
-    if copy_s + rest.work_s >= alone.work_s:
-        return _Reading(alone, 0.0, None, held_tokens)
-    return _Reading(rest, copy_s, holder.server, holder.cached_tokens)
+        return _PrefillEstimate(without_copy, 0.0, source, held_tokens)
+    with_copy = speed.reading(shape.tokens, holder.cached_tokens)
+    with_copy = with_copy.paced(engine.pace)
+    if copy_s + with_copy.work_s >= without_copy.work_s:
+        return _PrefillEstimate(without_copy, 0.0, None, held_tokens)
+    return _PrefillEstimate(
+        with_copy, copy_s, holder.server, holder.cached_tokens
+    )
 
 
 def _speed(
@@ -364,17 +377,20 @@
 
 
 def _other_holder(
-    reader: EngineView, holders: Sequence[EngineView]
+    engine: EngineView, holders: Sequence[EngineView]
 ) -> EngineView | None:
-    """Returns the engine to copy cached parts from, the nearest of equals."""
+    """Returns the engine to copy cached parts from.
+
+    Among engines that hold as many tokens, one in the same zone is preferred.
+    """
     others = [
         one
         for one in holders
-        if one.server != reader.server
+        if one.server != engine.server
         and one.cached_tokens > 0
         and not one.is_suspected
     ]
-    zone = reader.server.availability_zone
+    zone = engine.server.availability_zone
     return max(
         others,
         key=lambda one: (
@@ -385,36 +401,36 @@
     )
 
 
-def _move_s(
+def _transfer_s(
     shape: PromptShape,
     tokens: int,
     source: fleet.Server,
     target: fleet.Server,
 ) -> float:
-    move_s = tokens * shape.kv_token_bytes / shape.link_bytes_per_s
+    transfer_s = tokens * shape.kv_token_bytes / shape.link_bytes_per_s
     if source.availability_zone != target.availability_zone:
-        move_s *= OTHER_ZONE_MOVE_FACTOR
-    return move_s
+        transfer_s *= OTHER_ZONE_TRANSFER_FACTOR
+    return transfer_s
 
 
 def _copy_cost_s(
     shape: PromptShape, speeds: engine_speeds.Speeds, engine: EngineView
 ) -> float:
-    """Returns what it costs that an engine gets a copy of shared parts."""
+    """Returns the cost of caching the prompt's shared part on an engine."""
     copied_tokens = max(0, shape.shared_tokens - engine.cached_tokens)
     return COPY_WEIGHT * copied_tokens * speeds.prefill.token_s
 
 
 def _stream_cost_s(decode: EngineView) -> float:
-    """Returns what speaks against an engine that is to answer."""
+    """Returns the cost of generating at an engine, besides its queue."""
     zone_cost_s = 0.0 if decode.is_near else OTHER_ZONE_STREAM_COST_S
-    return _place_cost_s(decode) + zone_cost_s
+    return _engine_cost_s(decode) + zone_cost_s
 
 
-def _place_cost_s(engine: EngineView) -> float:
-    """Returns what speaks against an engine besides its queue.
+def _engine_cost_s(engine: EngineView) -> float:
+    """Returns the cost of using an engine, besides its queue.
 
-    A full batch makes each token of all its requests slower.
+    A full batch slows each token of all its requests.
     """
     return (
         engine.running_share * FULL_BATCH_COST_S
--- a/tests/test_prompt_placement.py
+++ b/tests/test_prompt_placement.py
@@ -1,4 +1,4 @@
-"""Where prompts go: homes, direct, split, fetched, and the load they answer."""
+"""Tests prompt placement: home engines, plans, and the cost of copies."""
 
 import random
 import unittest
@@ -42,44 +42,46 @@
         self.prefill = view("p1", "prefill")
         self.decode = view("d1", "decode")
 
-    def test_a_long_prompt_is_read_at_a_prefill_engine(self) -> None:
+    def test_long_prompt_is_prefilled_at_a_prefill_engine(self) -> None:
         plan = best(SHAPE, [self.prefill], [self.decode])
         self.assertEqual(plan.reader.server.server_id, "p1")
         self.assertEqual(plan.decode.server.server_id, "d1")
 
-    def test_a_short_prompt_is_read_where_it_is_answered(self) -> None:
+    def test_short_prompt_is_prefilled_at_its_decode_engine(self) -> None:
         plan = best(SHORT, [self.prefill], [self.decode])
         self.assertIsNone(plan.prefill)
 
-    def test_a_long_queue_sends_a_prompt_to_the_decode_engine(self) -> None:
+    def test_long_prefill_queue_moves_the_prefill_to_a_decode_engine(
+        self,
+    ) -> None:
         full = self.prefill._replace(wait_s=2.0)
         holder = self.decode._replace(cached_tokens=13_000)
         plan = best(SHAPE, [full], [holder])
         self.assertIsNone(plan.prefill)
 
-    def test_a_part_goes_where_it_is_held(self) -> None:
+    def test_prompt_goes_to_the_engine_that_holds_its_part(self) -> None:
         holder = view("p2", "prefill", cached_tokens=13_000, wait_s=0.03)
         plan = best(SHAPE, [self.prefill, holder], [self.decode])
         self.assertEqual(plan.reader.server.server_id, "p2")
 
-    def test_a_part_leaves_its_holder_when_that_is_far_behind(self) -> None:
+    def test_prompt_avoids_a_holder_with_a_long_queue(self) -> None:
         holder = view("p2", "prefill", cached_tokens=13_000, wait_s=0.8)
         plan = best(SHAPE, [self.prefill, holder], [self.decode])
         self.assertNotEqual(plan.reader.server.server_id, "p2")
 
-    def test_a_missing_part_is_fetched_from_its_holder(self) -> None:
+    def test_missing_part_is_fetched_from_its_holder(self) -> None:
         holder = self.decode._replace(cached_tokens=13_000, wait_s=0.5)
         plan = best(SHAPE, [self.prefill], [holder])
         assert plan.fetch_from is not None
         self.assertEqual(plan.fetch_from.server_id, "d1")
         self.assertLess(plan.first_token_s, 0.12)
 
-    def test_another_holder_is_named_even_for_a_holder(self) -> None:
+    def test_engine_that_holds_the_part_still_gets_a_copy_source(self) -> None:
         """A prompt takes 0.5 s longer than planned.
 
-        Sequence: an engine drops a part a moment before a prompt comes that
-        was sent there for it. Cause: it read the part anew although another
-        engine held it.
+        An engine evicts a part just before a prompt arrives that was sent there
+        for it. Without a source to copy from, the engine prefilled the part
+        again although another engine held it.
         """
         first = self.prefill._replace(cached_tokens=13_000)
         second = self.decode._replace(cached_tokens=13_000)
@@ -92,7 +94,7 @@
         plan = best(SHAPE, [self.prefill], [holder])
         self.assertIsNone(plan.fetch_from)
 
-    def test_a_suspected_engine_is_a_last_resort(self) -> None:
+    def test_suspected_engine_is_used_only_without_an_alternative(self) -> None:
         suspected = self.decode._replace(is_suspected=True)
         other = view("d2", "decode", running_share=0.9)
         plan = best(SHORT, [], [suspected, other])
@@ -100,12 +102,12 @@
         plan = best(SHORT, [], [suspected])
         self.assertEqual(plan.decode.server.server_id, "d1")
 
-    def test_another_zone_takes_what_this_one_can_not(self) -> None:
-        """Callers are refused in a large fleet though engines are idle.
+    def test_shorter_queue_in_another_zone_is_preferred(self) -> None:
+        """Callers are refused in a large fleet although engines are idle.
 
-        Sequence: the prefill engines of one zone are busy, those of another
-        are told to be idle. Cause: a queue that was not followed counted as
-        0.1 s longer than it was told to be.
+        The prefill engines of one zone are busy, and those of another are
+        reported idle. A queue whose prompts the node did not follow was assumed
+        to be 0.1 s longer than reported.
         """
         far = view("p2", "prefill", wait_s=0.05, is_near=False)
         busy = self.prefill._replace(wait_s=0.05)
@@ -115,17 +117,17 @@
         plan = best(SHAPE, [busier, far], [self.decode])
         self.assertEqual(plan.reader.server.server_id, "p2")
 
-    def test_no_decode_engine_is_no_plan(self) -> None:
+    def test_there_is_no_plan_without_a_decode_engine(self) -> None:
         self.assertEqual(
             prompt_placement.plans(SHAPE, SPEEDS, [self.prefill], []), []
         )
 
-    def test_a_slow_engine_is_charged_for_its_pace(self) -> None:
+    def test_slow_engine_is_avoided(self) -> None:
         slow = self.prefill._replace(pace=4.0)
         plan = best(SHAPE, [slow, view("p2", "prefill")], [self.decode])
         self.assertEqual(plan.reader.server.server_id, "p2")
 
-    def test_a_far_engine_moves_at_half_the_speed(self) -> None:
+    def test_transfer_between_zones_takes_twice_as_long(self) -> None:
         far = self.prefill._replace(
             server=self.prefill.server._replace(availability_zone="zone-b")
         )
@@ -138,13 +140,13 @@
     def setUp(self) -> None:
         self.engines = [build.server(f"e{number}") for number in range(6)]
 
-    def test_homes_do_not_depend_on_the_order(self) -> None:
+    def test_homes_do_not_depend_on_the_order_of_engines(self) -> None:
         one = part_homes.homes(7, self.engines)
         two = part_homes.homes(7, reversed(self.engines))
         self.assertEqual(one, two)
-        self.assertEqual(len(one), part_homes.SHORTLIST_COUNT)
+        self.assertEqual(len(one), part_homes.HOMES_COUNT)
 
-    def test_an_engine_that_leaves_moves_only_its_own_parts(self) -> None:
+    def test_leaving_engine_moves_only_its_own_parts(self) -> None:
         moved = 0
         for number in range(300):
             before = part_homes.homes(number, self.engines)[0]
@@ -156,12 +158,12 @@
 
 
 class SampleTest(unittest.TestCase):
-    def test_a_small_fleet_is_looked_at_whole(self) -> None:
+    def test_small_fleet_is_not_sampled(self) -> None:
         engines = [build.server(f"e{number}") for number in range(5)]
         found = part_homes.sample([], engines, random.Random(1))
         self.assertEqual(found, engines)
 
-    def test_a_large_fleet_is_sampled_with_the_homes(self) -> None:
+    def test_sample_of_a_large_fleet_includes_the_homes(self) -> None:
         engines = [build.server(f"e{number}") for number in range(100)]
         homes = part_homes.homes(7, engines)
         found = part_homes.sample(homes, engines, random.Random(1))
@@ -170,31 +172,32 @@
 
 
 class BurstTest(unittest.TestCase):
-    """Plays a burst of long prompts on two prefill and three decode engines.
+    """Simulates a burst of long prompts.
 
-    The load: 30 prompts a second for four seconds, whose 30 shared parts fit
-    into the engines together but into none alone.
+    Two prefill and three decode engines serve 30 prompts a second for four
+    seconds. Their 30 shared parts fit into the memory of all engines together,
+    but not of one alone.
     """
 
     RATE_PER_S = 30
     LENGTH_S = 4.0
     PARTS_COUNT = 30
 
-    def play(self, copy_weight: float) -> tuple[float, int]:
-        """Returns the worst wait and the shared tokens that were read anew."""
+    def simulate(self, copy_weight: float) -> tuple[float, int]:
+        """Returns the longest first-token time and the number of copies."""
         before = prompt_placement.COPY_WEIGHT
         prompt_placement.COPY_WEIGHT = copy_weight
         try:
-            return self._play()
+            return self._simulate()
         finally:
             prompt_placement.COPY_WEIGHT = before
 
-    def _play(self) -> tuple[float, int]:
+    def _simulate(self) -> tuple[float, int]:
         queues = engine_queues.EngineQueues()
         held: dict[str, dict[int, int]] = {
             name: {} for name in ("p1", "p2", "d1", "d2", "d3")
         }
-        worst_s, copies = 0.0, 0
+        longest_s, copies = 0.0, 0
         for number in range(int(self.RATE_PER_S * self.LENGTH_S)):
             now_s = number / self.RATE_PER_S
             part = number * 7 % self.PARTS_COUNT
@@ -214,20 +217,20 @@
             )
             reader = plan.reader.server.server_id
             queues.add(reader, plan.prefill_work_s, now_s)
-            worst_s = max(worst_s, plan.first_token_s)
+            longest_s = max(longest_s, plan.first_token_s)
             for name in {reader, plan.decode.server.server_id}:
                 copies += part not in held[name]
                 held[name][part] = SHAPE.shared_tokens
-        return worst_s, copies
+        return longest_s, copies
 
-    def test_affinity_makes_fewer_copies_and_stays_in_time(self) -> None:
-        """Shared parts are read again and again in a burst.
+    def test_copy_cost_reduces_copies_without_longer_waits(self) -> None:
+        """Shared parts are prefilled again and again in a burst.
 
-        Sequence: each prompt goes to the emptiest engines, so that all get a
-        copy of all parts and push out one another's. Cause: a copy cost
-        nothing in the comparison.
+        Each prompt goes to the least loaded engines, so that every engine gets
+        a copy of every part and evicts others for it. The
+        comparison of plans did not count the cost of a copy.
         """
-        worst_without_s, copies_without = self.play(0.0)
-        worst_s, copies = self.play(prompt_placement.COPY_WEIGHT)
+        longest_without_s, copies_without = self.simulate(0.0)
+        longest_s, copies = self.simulate(prompt_placement.COPY_WEIGHT)
         self.assertLess(copies, 0.8 * copies_without)
-        self.assertLessEqual(worst_s, worst_without_s)
+        self.assertLessEqual(longest_s, longest_without_s)
