--- a/src/mulberrywharf/policy/engine_queues.py
+++ b/src/mulberrywharf/policy/engine_queues.py
@@ -1,9 +1,9 @@
-"""How long each engine's prefill queue is believed to be.
+"""Estimates the length of each engine's prefill queue.
 
-Reports of load come late or cost a call, and a burst is over in the time that
-they take. So a queue is followed like a fluid: each prompt adds the time that
-reading it takes, and the queue drains as time passes. Prompts that other nodes
-send there are added when they tell of them.
+Load reports arrive late or cost a call, and a burst is over within that time.
+So each queue is modelled as a fluid: each prompt adds its prefill time, and the
+queue drains as time passes. Prompts that other nodes send to an engine are
+added when those nodes report them.
 """
 
 from typing import NamedTuple
@@ -12,58 +12,62 @@
 
 
 class Ticket(NamedTuple):
-    """A prompt's place in an engine's queue.
+    """A prompt's position in an engine's queue.
 
     Attributes:
         engine: The engine.
-        added_s: All work ever added there, up to and with this prompt.
+        cumulative_work_s: All work ever added to the queue, up to and including
+            this prompt.
     """
 
     engine: fleet.ServerStart
-    added_s: float
+    cumulative_work_s: float
 
 
 class EngineQueues:
-    """The queue of each engine, by when it will have drained."""
+    """The queue of each engine, stored as the time when it is drained."""
 
     def __init__(self) -> None:
-        self._drained_s: dict[fleet.ServerStart, float] = {}
-        self._added_s: dict[fleet.ServerStart, float] = {}
+        self._drained_at_s: dict[fleet.ServerStart, float] = {}
+        self._cumulative_work_s: dict[fleet.ServerStart, float] = {}
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
-        """Forgets engines that left."""
-        for by_engine in (self._drained_s, self._added_s):
+        """Forgets engines that are not in ``engines``."""
+        for by_engine in (self._drained_at_s, self._cumulative_work_s):
             for engine in by_engine.keys() - engines:
                 del by_engine[engine]
 
     def wait_s(self, engine: fleet.ServerStart, now_s: float) -> float:
         """Returns how long a new prompt would wait at an engine."""
-        return max(0.0, self._drained_s.get(engine, 0.0) - now_s)
+        return max(0.0, self._drained_at_s.get(engine, 0.0) - now_s)
 
     def add(
         self, engine: fleet.ServerStart, work_s: float, now_s: float
     ) -> Ticket:
-        """Adds a prompt that takes an engine ``work_s`` to read."""
+        """Adds a prompt whose prefill takes an engine ``work_s``."""
         waited_s = self.wait_s(engine, now_s)
-        self._drained_s[engine] = now_s + waited_s + work_s
-        self._added_s[engine] = self._added_s.get(engine, 0.0) + work_s
-        return Ticket(engine, self._added_s[engine])
+        self._drained_at_s[engine] = now_s + waited_s + work_s
+        self._cumulative_work_s[engine] = (
+            self._cumulative_work_s.get(engine, 0.0) + work_s
+        )
+        return Ticket(engine, self._cumulative_work_s[engine])
 
     def told(
         self, engine: fleet.ServerStart, wait_s: float, now_s: float
     ) -> None:
-        """Takes in how long a prompt would wait, by whoever counts them all."""
-        self._drained_s[engine] = now_s + wait_s
+        """Sets a queue to the wait reported by the node that counts it."""
+        self._drained_at_s[engine] = now_s + wait_s
 
     def finished(self, ticket: Ticket, now_s: float) -> None:
-        """Corrects a queue by a prompt that was just read.
+        """Corrects a queue after the prefill of a prompt.
 
-        Whatever was added before that prompt is read too, and nothing that
-        was added after it: an engine reads prompts of equal priority in the
-        order in which they come. Only such a prompt may be told of here; one
-        that overtakes the others says nothing of them, and taken for one in
-        the order it would make a queue of a second look empty.
+        Engines prefill prompts of equal priority in the order of arrival. So
+        the work that was added up to this prompt is done, and the work that was
+        added after it is not. Call this only for prompts in that order: for one
+        that overtook others, a queue of a second would look empty.
         """
         engine = ticket.engine
-        behind_s = self._added_s.get(engine, 0.0) - ticket.added_s
-        self._drained_s[engine] = now_s + max(0.0, behind_s)
+        work_behind_s = (
+            self._cumulative_work_s.get(engine, 0.0) - ticket.cumulative_work_s
+        )
+        self._drained_at_s[engine] = now_s + max(0.0, work_behind_s)
--- a/src/mulberrywharf/policy/engine_speeds.py
+++ b/src/mulberrywharf/policy/engine_speeds.py
@@ -1,16 +1,17 @@
-"""How fast engines read prompts, learned from their answers.
-
-Engines of different makers and models differ by factors, and no setting tells
-how fast they are. An estimate that is half of the truth sends prompts into
-queues that it takes for short, and refuses callers who would have been served
-if it is twice the truth.
-
-The time to the answer of a prompt is the sum of a few terms: the wait, a fixed
-beginning, the tokens that are read, and the pairs of a token with each one
-that it attends to. Each answer corrects each term by the logarithm of what the
-answer took against its estimate, in proportion to the term's share in the
-estimate. So short prompts teach the beginning and long ones the speed, and a
-wait that was worked out from the speed corrects the speed too.
+"""Learns how fast engines prefill prompts from the duration of their answers.
+
+Engines of different vendors and models differ in speed by factors, and no
+setting states it. An estimate of half the true duration sends prompts into long
+queues that look short; an estimate of twice the true duration refuses callers
+that could be served.
+
+The time to the answer of a prompt is a sum of terms: the wait, a fixed
+overhead, a time per prefilled token, and a time per attention pair, that is a
+token and one that it attends to. Each answer corrects each term by the
+logarithm of the ratio of actual to estimated duration, in proportion to the
+term's share of the estimate. So short prompts correct the overhead and long
+ones the speed, and a wait that was computed from the speed corrects the speed
+too.
 """
 
 import math
@@ -18,60 +19,66 @@
 
 from mulberrywharf import fleet
 
-START_TOKEN_S = 15e-6
-"""Reading time of a token at a prefill engine before any answer was seen. The
-engines of today's deployments need 9 to 18 microseconds; twice too much or too
-little is corrected within some five answers."""
+INITIAL_TOKEN_S = 15e-6
+"""Initial prefill time per token at a prefill engine. Engines in use today need
+9 to 18 microseconds; an error of a factor of two is corrected within about five
+answers."""
 
-START_PAIR_S = 0.2e-9
-"""Of a pair of tokens, before any answer was seen; today's engines need some
-0.2 nanoseconds."""
+INITIAL_PAIR_S = 0.2e-9
+"""Initial time per attention pair; engines in use today need about 0.2
+nanoseconds."""
 
-START_BEGIN_S = 0.02
-"""From the end of reading to an answer, before any answer was seen."""
+INITIAL_OVERHEAD_S = 0.02
+"""Initial estimate of the time from the end of the prefill to the answer."""
 
-START_TAKEOVER_S = 0.015
-"""Until an engine answers a prompt that was prefilled elsewhere, besides the
-move of its KV cache, before any answer was seen."""
+INITIAL_TAKEOVER_S = 0.015
+"""Initial estimate of the time that an engine takes to answer a prompt
+prefilled elsewhere, besides the transfer of its KV cache."""
 
-DECODE_START_FACTOR = 2.0
-"""A decode engine reads at half the speed, as the platform's pages say."""
+INITIAL_DECODE_SLOWDOWN = 2.0
+"""Initial slowdown of prefills at decode engines: the platform's documentation
+states half the speed."""
 
-LEAST_GAIN = 0.05
-"""Of one answer in what is known; some twenty decide. The first ones count
-more: the gain starts at a half and falls with their number."""
+MIN_GAIN = 0.05
+"""Weight of one answer in the learned speeds, which mostly cover the last
+twenty. Earlier answers weigh more: the gain starts at one half and falls with
+their number."""
 
 PACE_GAIN = 0.1
-"""Of one answer in the pace of its own engine; some ten decide."""
+"""Weight of one answer in the slowdown of its own engine, which mostly covers
+the last ten."""
 
-PACE_CONSTANT_S = 10.0
-"""An engine's own pace fades by 1/e in this time, so that one that got no work
-because it was slow is tried again."""
+PACE_TIME_CONSTANT_S = 10.0
+"""An engine's own slowdown decays by 1/e in this time, so that an engine that
+got no work because it was slow is tried again."""
 
-MOST_ERROR = 0.7
-"""Bound of one answer's logarithmic error, a factor of two: an answer that was
-lost in a queue, or a hit that nobody expected, must not decide alone."""
+MAX_LOG_RATIO = 0.7
+"""Bound of the logarithm of actual over estimated duration for one answer, a
+factor of two: a single answer that was stuck in a queue, or an unexpected cache
+hit, must not dominate."""
 
 SLOWER_WEIGHT = 0.5
-"""Of an error by which an answer came late, against one by which it came early.
-What nobody expected, such as a prompt before it in the queue, only ever adds;
-counted in full, an overload looks like slow engines for as long as it lasts."""
+"""Weight of an answer that came later than estimated, relative to one that came
+earlier. Unexpected events, such as a prompt ahead in the queue, only ever add
+time; at full weight, engines would look slow for as long as an overload
+lasts."""
 
-FIRST_ANSWERS_COUNT = 30
-"""Answers that count in full either way: at the start the speed itself may be
-off by a factor of four, and so many come within some seconds."""
+WARMUP_ANSWERS_COUNT = 30
+"""Number of first answers that count in full even if they are late: initially
+the speed itself may be off by a factor of four, and this many answers come
+within some seconds."""
 
-LARGEST_PACE = 8.0
-_LEAST_TOOK_S = 1e-4
+MAX_PACE = 8.0
+_MIN_DURATION_S = 1e-4
 
 
 class ReadingTime(NamedTuple):
-    """What reading a prompt takes at an idle engine, term by term.
+    """Time to prefill a prompt at an idle engine, term by term.
 
     Attributes:
-        begin_s: Whatever its length; other prompts are read meanwhile.
-        tokens_s: For its tokens.
-        pairs_s: For the pairs of each token with those before it.
+        begin_s: Fixed overhead; the engine prefills other prompts meanwhile.
+        tokens_s: Time for its tokens.
+        pairs_s: Time for attention between each token and those before it.
     """
 
     begin_s: float
@@ -80,40 +87,40 @@
 
     @property
     def work_s(self) -> float:
-        """The part in which the engine reads nothing else."""
+        """The part during which the engine prefills nothing else."""
         return self.tokens_s + self.pairs_s
 
     @property
     def total_s(self) -> float:
-        """All of it."""
+        """The sum of all terms."""
         return self.begin_s + self.work_s
 
     def paced(self, pace: float) -> "ReadingTime":
-        """Returns the same at an engine that is ``pace`` times slower."""
+        """Returns the time at an engine that is ``pace`` times slower."""
         return ReadingTime(
             self.begin_s * pace, self.tokens_s * pace, self.pairs_s * pace
         )
 
 
 class RoleSpeed(NamedTuple):
-    """How fast the engines of one role read.
+    """Prefill speed of the engines of one role.
 
     Attributes:
-        begin_s: From the end of reading to an answer.
-        token_s: For one token.
-        pair_s: For one pair of tokens.
+        begin_s: Time from the end of the prefill to the answer.
+        token_s: Time per token.
+        pair_s: Time per attention pair.
     """
 
-    begin_s: float = START_BEGIN_S
-    token_s: float = START_TOKEN_S
-    pair_s: float = START_PAIR_S
+    begin_s: float = INITIAL_OVERHEAD_S
+    token_s: float = INITIAL_TOKEN_S
+    pair_s: float = INITIAL_PAIR_S
 
     def reading(self, tokens: int, cached_tokens: int) -> ReadingTime:
-        """Returns what reading a prompt takes.
+        """Returns the time to prefill a prompt.
 
         Args:
             tokens: Length of the prompt.
-            cached_tokens: Leading tokens that need not be read.
+            cached_tokens: Leading tokens that need no prefill.
         """
         missing_tokens = tokens - cached_tokens
         pairs = missing_tokens * (tokens + cached_tokens) / 2
@@ -123,26 +130,26 @@
 
 
 class Speeds(NamedTuple):
-    """What is known of the engines of one service.
+    """Learned speeds of the engines of one service.
 
     Attributes:
-        prefill: Of its prefill engines.
-        decode: Of its other engines.
-        takeover_s: Until one answers a prompt that was prefilled elsewhere,
-            besides the move of its KV cache.
+        prefill: Prefill speed of its prefill engines.
+        decode: Prefill speed of its other engines.
+        takeover_s: Time that an engine takes to answer a prompt prefilled
+            elsewhere, besides the transfer of its KV cache.
     """
 
     prefill: RoleSpeed = RoleSpeed()
     decode: RoleSpeed = RoleSpeed(
-        START_BEGIN_S,
-        START_TOKEN_S * DECODE_START_FACTOR,
-        START_PAIR_S * DECODE_START_FACTOR,
+        INITIAL_OVERHEAD_S,
+        INITIAL_TOKEN_S * INITIAL_DECODE_SLOWDOWN,
+        INITIAL_PAIR_S * INITIAL_DECODE_SLOWDOWN,
     )
-    takeover_s: float = START_TAKEOVER_S
+    takeover_s: float = INITIAL_TAKEOVER_S
 
 
 class _Pace:
-    """How much slower than its role an engine is, as a logarithm."""
+    """Slowdown of an engine relative to its role, as a logarithm."""
 
     __slots__ = ("at_s", "log_pace")
 
@@ -151,7 +158,9 @@
         self.at_s = 0.0
 
     def at(self, now_s: float) -> float:
-        return self.log_pace * math.exp(-(now_s - self.at_s) / PACE_CONSTANT_S)
+        return self.log_pace * math.exp(
+            -(now_s - self.at_s) / PACE_TIME_CONSTANT_S
+        )
 
 
 class EngineSpeeds:
@@ -159,102 +168,108 @@
 
     def __init__(self) -> None:
         self._speeds = Speeds()
-        self._reads_count: dict[bool, int] = {True: 0, False: 0}
+        self._prefills_count: dict[bool, int] = {True: 0, False: 0}
         self._takeovers_count = 0
         self._paces: dict[str, _Pace] = {}
 
     @property
     def speeds(self) -> Speeds:
-        """What is known now."""
+        """The current estimates."""
         return self._speeds
 
     def keep_only(self, engine_ids: frozenset[str]) -> None:
-        """Forgets the pace of engines that left."""
+        """Forgets the slowdown of engines not in ``engine_ids``."""
         for engine_id in self._paces.keys() - engine_ids:
             del self._paces[engine_id]
 
     def pace(self, engine_id: str, now_s: float) -> float:
-        """Returns how much slower than its role an engine is, 1 for equal."""
+        """Returns an engine's slowdown relative to its role, 1 for equal."""
         known = self._paces.get(engine_id)
         if known is None:
             return 1.0
-        return min(LARGEST_PACE, math.exp(known.at(now_s)))
+        return min(MAX_PACE, math.exp(known.at(now_s)))
 
     def learn_reading(
         self,
         server: fleet.Server,
         reading: ReadingTime,
         wait_s: float,
-        took_s: float,
+        duration_s: float,
         now_s: float,
     ) -> None:
-        """Takes in how long a prompt's answer took.
+        """Learns from the time to a prompt's answer.
 
         Args:
-            server: The engine that read it.
-            reading: What reading it was to take.
-            wait_s: What it was to wait before.
-            took_s: What it took, wait and reading together.
-            now_s: The present.
+            server: The engine that prefilled the prompt.
+            reading: Estimated prefill time.
+            wait_s: Estimated wait before the prefill.
+            duration_s: Actual duration of wait and prefill together.
+            now_s: The current time.
         """
         is_prefill = server.role == "prefill"
         estimate_s = wait_s + reading.total_s
         if estimate_s <= 0 or reading.work_s <= 0:
             return
-        answers_count = self._reads_count[is_prefill]
-        self._reads_count[is_prefill] += 1
-        error = _counted_error(took_s, estimate_s, answers_count)
+        answers_count = self._prefills_count[is_prefill]
+        self._prefills_count[is_prefill] += 1
+        log_ratio = _weighted_log_ratio(duration_s, estimate_s, answers_count)
         gain = _gain(answers_count)
-        begin_share = reading.begin_s / estimate_s
-        tokens_share = (1.0 - begin_share) * reading.tokens_s / reading.work_s
-        pairs_share = 1.0 - begin_share - tokens_share
+        overhead_share = reading.begin_s / estimate_s
+        tokens_share = (
+            (1.0 - overhead_share) * reading.tokens_s / reading.work_s
+        )
+        attention_share = 1.0 - overhead_share - tokens_share
         speed = self._speeds.prefill if is_prefill else self._speeds.decode
         learned = RoleSpeed(
-            speed.begin_s * math.exp(gain * error * begin_share),
-            speed.token_s * math.exp(gain * error * tokens_share),
-            speed.pair_s * math.exp(gain * error * pairs_share),
+            speed.begin_s * math.exp(gain * log_ratio * overhead_share),
+            speed.token_s * math.exp(gain * log_ratio * tokens_share),
+            speed.pair_s * math.exp(gain * log_ratio * attention_share),
         )
         if is_prefill:
             self._speeds = self._speeds._replace(prefill=learned)
         else:
             self._speeds = self._speeds._replace(decode=learned)
-        self._learn_pace(server.server_id, error, now_s)
+        self._learn_pace(server.server_id, log_ratio, now_s)
 
     def learn_takeover(
-        self, move_s: float, wait_s: float, took_s: float
+        self, transfer_s: float, wait_s: float, duration_s: float
     ) -> None:
-        """Takes in how long a prompt took that was prefilled elsewhere.
+        """Learns from the time to the answer of a prompt prefilled elsewhere.
 
         Args:
-            move_s: What the move of its KV cache was to take.
-            wait_s: What it was to wait for a slot.
-            took_s: What it took altogether.
+            transfer_s: Estimated transfer time of its KV cache.
+            wait_s: Estimated wait for a slot.
+            duration_s: Actual duration of the whole.
         """
         takeover_s = self._speeds.takeover_s
-        estimate_s = move_s + wait_s + takeover_s
-        error = _counted_error(took_s, estimate_s, self._takeovers_count)
+        estimate_s = transfer_s + wait_s + takeover_s
+        log_ratio = _weighted_log_ratio(
+            duration_s, estimate_s, self._takeovers_count
+        )
         gain = _gain(self._takeovers_count)
         self._takeovers_count += 1
-        step = gain * error * takeover_s / estimate_s
+        step = gain * log_ratio * takeover_s / estimate_s
         self._speeds = self._speeds._replace(
             takeover_s=takeover_s * math.exp(step)
         )
 
-    def _learn_pace(self, engine_id: str, error: float, now_s: float) -> None:
+    def _learn_pace(
+        self, engine_id: str, log_ratio: float, now_s: float
+    ) -> None:
         known = self._paces.setdefault(engine_id, _Pace())
-        known.log_pace = known.at(now_s) + PACE_GAIN * error
+        known.log_pace = known.at(now_s) + PACE_GAIN * log_ratio
         known.at_s = now_s
 
 
 def _gain(answers_count: int) -> float:
-    return max(LEAST_GAIN, 1.0 / (answers_count + 2))
+    return max(MIN_GAIN, 1.0 / (answers_count + 2))
 
 
-def _counted_error(
-    took_s: float, estimate_s: float, answers_count: int
+def _weighted_log_ratio(
+    duration_s: float, estimate_s: float, answers_count: int
 ) -> float:
-    error = math.log(max(took_s, _LEAST_TOOK_S) / estimate_s)
-    error = max(-MOST_ERROR, min(MOST_ERROR, error))
-    if error > 0 and answers_count >= FIRST_ANSWERS_COUNT:
-        return error * SLOWER_WEIGHT
-    return error
+    log_ratio = math.log(max(duration_s, _MIN_DURATION_S) / estimate_s)
+    log_ratio = max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, log_ratio))
+    if log_ratio > 0 and answers_count >= WARMUP_ANSWERS_COUNT:
+        return log_ratio * SLOWER_WEIGHT
+    return log_ratio
--- a/src/mulberrywharf/policy/fading_rate.py
+++ b/src/mulberrywharf/policy/fading_rate.py
@@ -1,41 +1,43 @@
-"""How much comes each second, counting the newest most."""
+"""Measures a rate as an exponentially weighted moving average."""
 
 import math
 
 
 class FadingRate:
-    """The rate of what is added, fading exponentially.
+    """An exponentially decaying rate.
 
-    It is not biased towards zero at its beginning: what was seen is divided by
-    the time for which it was looked at, faded alike.
+    It isn't biased towards zero at the start, since the amount is divided by
+    the observed time, which decays in the same way.
     """
 
-    def __init__(self, constant_s: float):
+    def __init__(self, time_constant_s: float):
         """Makes an empty rate.
 
         Args:
-            constant_s: What was added counts by 1/e after this time.
+            time_constant_s: Amounts decay by 1/e in this time.
         """
-        self._constant_s = constant_s
+        self._time_constant_s = time_constant_s
         self._amount = 0.0
-        self._seen_s = 0.0
-        self._at_s: float | None = None
+        self._observed_s = 0.0
+        self._updated_s: float | None = None
 
     def add(self, amount: float, now_s: float) -> None:
-        """Counts an amount in."""
-        self._fade(now_s)
+        """Adds an amount."""
+        self._decay(now_s)
         self._amount += amount
 
     def per_s(self, now_s: float) -> float:
-        """Returns the amount for each second, 0 before the first one."""
-        self._fade(now_s)
-        return self._amount / self._seen_s if self._seen_s > 0 else 0.0
-
-    def _fade(self, now_s: float) -> None:
-        if self._at_s is None:
-            self._at_s = now_s
-        passed_s = max(0.0, now_s - self._at_s)
-        kept = math.exp(-passed_s / self._constant_s)
-        self._amount *= kept
-        self._seen_s = self._seen_s * kept + self._constant_s * (1.0 - kept)
-        self._at_s = now_s
+        """Returns the amount per second, 0 before anything was added."""
+        self._decay(now_s)
+        return self._amount / self._observed_s if self._observed_s > 0 else 0.0
+
+    def _decay(self, now_s: float) -> None:
+        if self._updated_s is None:
+            self._updated_s = now_s
+        elapsed_s = max(0.0, now_s - self._updated_s)
+        decay = math.exp(-elapsed_s / self._time_constant_s)
+        self._amount *= decay
+        self._observed_s = self._observed_s * decay + self._time_constant_s * (
+            1.0 - decay
+        )
+        self._updated_s = now_s
--- a/src/mulberrywharf/policy/observed_waits.py
+++ b/src/mulberrywharf/policy/observed_waits.py
@@ -1,11 +1,12 @@
-"""How long engines let prompts wait, by the answers that came and that don't.
-
-A queue that is followed by what was placed there is wrong when engines fail or
-turn slow, when prompts come again, or when what a gateway counts for all is not
-what the others send. What an answer took beyond its own reading is the wait
-that the engine had, and holds for a moment. A prompt that is still unanswered
-shows a wait even sooner: at the onset of an overload no answers come at all for
-a second, and a gateway that goes by answers alone sends on all the while.
+"""Estimates how long prompts wait at engines, from answers and their absence.
+
+A queue length derived from placements is wrong if engines fail or slow down, if
+prompts are retried, or if what a gateway assumes of the other gateways' prompts
+is not what they send. The time that an answer took beyond its own prefill is
+the wait at the engine, and stays valid for a moment. A prompt that is still
+unanswered shows a wait even earlier: at the onset of an overload no answers
+arrive for a second, and a gateway that relied on answers alone would keep
+sending.
 """
 
 import math
@@ -13,29 +14,30 @@
 
 from mulberrywharf import fleet
 
-AGE_CONSTANT_S = 0.4
-"""A wait fades by 1/e in this time: a gateway has an answer of each engine
-some four times a second, and a burst is over within seconds."""
+WAIT_TIME_CONSTANT_S = 0.4
+"""An observed wait decays by 1/e in this time: a gateway gets an answer from
+each engine about four times a second, and a burst is over within seconds."""
 
-WEIGHT = 0.4
-"""Of a new answer against what is left of earlier ones."""
+EWMA_WEIGHT = 0.4
+"""Weight of a new answer against the decayed earlier ones."""
 
-NOISE_S = 0.03
-"""Taken off each wait: a step of a full batch and the ways there and back."""
+STEP_AND_NETWORK_S = 0.03
+"""Subtracted from each wait: a step of a full batch and the network round
+trip."""
 
 
 Matter = Literal["read", "start"]
-"""A prompt that an engine reads, or one that it goes on from a prefill."""
+"""Whether an engine prefills a prompt or continues a prefilled one."""
 
 
 class Awaited(NamedTuple):
     """A prompt whose answer has not begun.
 
     Attributes:
-        engine: Where it is.
+        engine: The engine that it was sent to.
         matter: What the engine does first.
         sent_s: When it was sent.
-        unqueued_s: What it would take at an idle engine.
+        unqueued_s: Time to its answer at an idle engine.
     """
 
     engine: fleet.ServerStart
@@ -45,25 +47,25 @@
 
 
 class _Wait:
-    """The wait of one matter at one engine, and when it was last observed."""
+    """Observed wait and unanswered prompts of one kind at one engine."""
 
     __slots__ = ("at_s", "awaited", "wait_s")
 
     def __init__(self) -> None:
         self.wait_s = 0.0
         self.at_s = 0.0
-        # In the order of sending: the first one has waited longest.
+        # In the order of sending, so the first has waited longest.
         self.awaited: dict[int, Awaited] = {}
 
 
 class ObservedWaits:
-    """The waits of all engines, as this gateway's own requests meet them."""
+    """Waits at all engines, as seen by this gateway's own requests."""
 
     def __init__(self) -> None:
         self._waits: dict[tuple[fleet.ServerStart, Matter], _Wait] = {}
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
-        """Forgets engines that left."""
+        """Forgets engines that are not in ``engines``."""
         self._waits = {
             key: wait
             for key, wait in self._waits.items()
@@ -71,43 +73,43 @@
         }
 
     def sent(self, awaited: Awaited) -> None:
-        """Notes that a prompt was sent; ``answered`` or ``failed`` follows."""
+        """Records a sent prompt; ``answered`` or ``failed`` must follow."""
         wait = self._wait(awaited.engine, awaited.matter)
         wait.awaited[id(awaited)] = awaited
 
     def failed(self, awaited: Awaited) -> None:
-        """Notes that a prompt's answer will not come."""
+        """Records that a prompt will not be answered."""
         wait = self._wait(awaited.engine, awaited.matter)
         wait.awaited.pop(id(awaited), None)
 
     def answered(self, awaited: Awaited, now_s: float) -> None:
-        """Notes that a prompt's answer has begun."""
+        """Records that a prompt's answer has begun."""
         self.failed(awaited)
-        seen_s = _over_s(awaited, now_s)
+        observed_s = _excess_s(awaited, now_s)
         wait = self._wait(awaited.engine, awaited.matter)
-        held_s = _faded_s(wait, now_s)
-        wait.wait_s = held_s + WEIGHT * (seen_s - held_s)
+        previous_s = _decayed_s(wait, now_s)
+        wait.wait_s = previous_s + EWMA_WEIGHT * (observed_s - previous_s)
         wait.at_s = now_s
 
     def wait_s(
         self, engine: fleet.ServerStart, matter: Matter, now_s: float
     ) -> float:
-        """Returns how long a prompt would wait at an engine, by all that."""
+        """Returns the estimated wait of a prompt at an engine."""
         wait = self._waits.get((engine, matter))
         if wait is None:
             return 0.0
         oldest = next(iter(wait.awaited.values()), None)
-        shown_s = _over_s(oldest, now_s) if oldest is not None else 0.0
-        return max(shown_s, _faded_s(wait, now_s))
+        oldest_wait_s = _excess_s(oldest, now_s) if oldest is not None else 0.0
+        return max(oldest_wait_s, _decayed_s(wait, now_s))
 
     def _wait(self, engine: fleet.ServerStart, matter: Matter) -> _Wait:
         return self._waits.setdefault((engine, matter), _Wait())
 
 
-def _over_s(awaited: Awaited, now_s: float) -> float:
+def _excess_s(awaited: Awaited, now_s: float) -> float:
     took_s = now_s - awaited.sent_s
-    return max(0.0, took_s - awaited.unqueued_s - NOISE_S)
+    return max(0.0, took_s - awaited.unqueued_s - STEP_AND_NETWORK_S)
 
 
-def _faded_s(wait: _Wait, now_s: float) -> float:
-    return wait.wait_s * math.exp(-(now_s - wait.at_s) / AGE_CONSTANT_S)
+def _decayed_s(wait: _Wait, now_s: float) -> float:
+    return wait.wait_s * math.exp(-(now_s - wait.at_s) / WAIT_TIME_CONSTANT_S)
--- a/src/mulberrywharf/policy/part_caches.py
+++ b/src/mulberrywharf/policy/part_caches.py
@@ -99,7 +99,7 @@
         self._unshared_count = 0
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
-        """Forgets all other engines; they have left."""
+        """Forgets engines that are not in ``engines``."""
         self._by_engine = {
             engine: cache
             for engine, cache in self._by_engine.items()
--- a/src/mulberrywharf/policy/read_demand.py
+++ b/src/mulberrywharf/policy/read_demand.py
@@ -1,76 +1,81 @@
-"""How much engine time the prompts of all gateways' callers want for reading.
+"""Estimates how much prefill time the callers of all gateways ask for.
 
-Queues show too little work only once it is too late, and they show nothing of
-what was refused or read at decode engines for want of room. So each gateway
-counts what its own callers ask for, and tells the others.
+Queues show a lack of prefill engines only when it is too late, and don't show
+prompts that were refused, or prefilled at decode engines for lack of capacity.
+So each gateway counts what its own callers ask for and reports it to the
+others.
 """
 
 from collections.abc import Iterable
 
 from mulberrywharf.policy import fading_rate
 
-MEAN_CONSTANT_S = 5.0
-"""The mean of a swing or two: the mix swings within 3 to 15 s, and an engine
-that changes its role is away for some of them."""
+RATE_TIME_CONSTANT_S = 5.0
+"""Time constant of the average, which covers a swing or two: the mix of work
+swings within 3 to 15 s, and an engine that changes its role is away for some of
+them."""
 
-HEARD_AGE_S = 4.0
-"""What a gateway told longer ago is left out; one with callers tells something
-a few times a second."""
+MAX_REPORT_AGE_S = 4.0
+"""Older reports of other gateways are ignored; a gateway with callers reports a
+few times a second."""
 
-LEAST_TIME_S = 2.5
-"""Nothing is said before prompts have come for so long: the first second's
-few prompts say little."""
+MIN_OBSERVATION_S = 2.5
+"""No demand is reported until prompts have arrived for this long, because the
+few prompts of the first second say little."""
 
 
 class ReadDemand:
-    """The demand for reading at the engines of one service."""
+    """The prefill demand on the engines of one service."""
 
     def __init__(self) -> None:
-        self._own = fading_rate.FadingRate(MEAN_CONSTANT_S)
-        self._first_s: float | None = None
-        self._heard: dict[int, tuple[float, float]] = {}
+        self._own = fading_rate.FadingRate(RATE_TIME_CONSTANT_S)
+        self._first_prompt_s: float | None = None
+        self._reports: dict[int, tuple[float, float]] = {}
 
     def note(self, work_s: float, now_s: float) -> None:
-        """Counts a prompt that takes a prefill engine ``work_s`` to read."""
-        if self._first_s is None:
-            self._first_s = now_s
+        """Counts a prompt whose prefill takes a prefill engine ``work_s``."""
+        if self._first_prompt_s is None:
+            self._first_prompt_s = now_s
         self._own.add(work_s, now_s)
 
     def own(self, now_s: float) -> float:
-        """Returns the engines that this gateway's prompts would keep busy."""
+        """Returns how many engines this gateway's prompts keep busy."""
         return self._own.per_s(now_s)
 
     def hear(self, sender: int, engines: float, now_s: float) -> None:
-        """Takes in what another gateway told.
+        """Records the report of another gateway.
 
         Args:
-            sender: Names the start of the other gateway.
-            engines: Engines that its prompts would keep busy.
-            now_s: The present.
+            sender: Id of the other gateway's process since its last start.
+            engines: Number of engines that its prompts keep busy.
+            now_s: The current time.
         """
-        self._heard[sender] = engines, now_s
+        self._reports[sender] = engines, now_s
 
     def total(self, gateways_count: int, now_s: float) -> float | None:
-        """Returns the engines that the prompts of all gateways keep busy.
+        """Returns how many engines the prompts of all gateways keep busy.
 
         Args:
-            gateways_count: All gateways, this one included. Those that were
-                not heard count like the mean of the others.
-            now_s: The present.
+            gateways_count: Number of gateways, including this one. Those
+                without a recent report count like the mean of the others.
+            now_s: The current time.
 
         Returns:
-            None while too little was seen.
+            The number of engines, or None while there is too little data.
         """
-        if self._first_s is None or now_s - self._first_s < LEAST_TIME_S:
+        if (
+            self._first_prompt_s is None
+            or now_s - self._first_prompt_s < MIN_OBSERVATION_S
+        ):
             return None
-        fresh = list(self._fresh(now_s))
-        known = self.own(now_s) + sum(fresh)
-        return known * max(1.0, gateways_count / (1 + len(fresh)))
+        recent = list(self._recent_reports(now_s))
+        known = self.own(now_s) + sum(recent)
+        return known * max(1.0, gateways_count / (1 + len(recent)))
 
-    def _fresh(self, now_s: float) -> Iterable[float]:
-        self._heard = {
+    def _recent_reports(self, now_s: float) -> Iterable[float]:
+        self._reports = {
             sender: (engines, at_s)
-            for sender, (engines, at_s) in self._heard.items()
-            if now_s - at_s <= HEARD_AGE_S
+            for sender, (engines, at_s) in self._reports.items()
+            if now_s - at_s <= MAX_REPORT_AGE_S
         }
-        return (engines for engines, _ in self._heard.values())
+        return (engines for engines, _ in self._reports.values())
--- a/src/mulberrywharf/policy/role_split.py
+++ b/src/mulberrywharf/policy/role_split.py
@@ -1,13 +1,14 @@
-"""How many engines prefill and how many decode, by what callers ask for.
+"""Decides how many engines of a service prefill and how many decode.
 
-The load it answers: a fixed fleet whose mix of prompt and output work swings
-within seconds. With too few prefill engines prompts wait, and what they can't
-take is read at decode engines between the tokens of others, whose streams then
-pause too long. With too few decode engines batches fill, and each engine that
-is lost takes more streams with it.
+In a fixed fleet the mix of prompt and output work swings within seconds. With
+too few prefill engines prompts wait, and the excess is prefilled at decode
+engines between the tokens of running streams, which then pause for too long.
+With too few decode engines batches fill up, and the loss of one engine ends
+more streams.
 
-A change takes an engine away for seconds, so what counts is the mean over some
-seconds and not a swing. Only some engines change at a time.
+A role change takes an engine out of service for seconds, so decisions use
+averages over some seconds rather than short swings, and only some engines
+change at a time.
 """
 
 import functools
@@ -17,49 +18,50 @@
 
 from mulberrywharf import fleet
 
-MEAN_CONSTANT_S = 5.0
-"""Loads are averaged over about so long. A change takes an engine away for
-about 3 s and pays in what follows; swings are as short as 3 s."""
+LOAD_TIME_CONSTANT_S = 5.0
+"""Time constant of the load average. A change takes an engine out of service
+for about 3 s and pays off only afterwards; swings can be as short as 3 s."""
 
-SETTLED_AFTER_S = 3.0
-"""Means are acted on so long after the fleet has changed by itself: an engine
-that was lost is often back, or another one is, within that time."""
+SETTLE_TIME_S = 3.0
+"""No engine changes its role for this long after the set of engines has
+changed: a lost engine is often back, or replaced, within this time."""
 
-FULL_PREFILL_SHARE = 0.75
-"""Part of the time of prefill engines that reading takes, from which they need
-one more. Beyond two thirds to three quarters a queue's wait exceeds the reading
-itself, by the usual formula for random arrivals, and bursts come on top."""
+ADD_PREFILL_ABOVE_SHARE = 0.75
+"""Utilization of the prefill engines above which one more is needed. By the
+usual queueing formula for random arrivals, the wait exceeds the prefill time
+itself above two thirds to three quarters, and bursts add to that."""
 
-SPARE_PREFILL_SHARE = 0.55
-"""Part of the time of the remaining prefill engines up to which one of them can
-be spared; well below the other bound, so that no engine goes to and fro."""
+RELEASE_PREFILL_UP_TO_SHARE = 0.55
+"""Utilization of the remaining prefill engines up to which one can be given up;
+well below the other bound, so that engines don't switch back and forth."""
 
-MOST_DECODE_SHARE = 0.3
-"""Part of the slots of the remaining decode engines that may be taken after one
-has left them. Prompts can be read anywhere, streams can not; and the mix
-swings: on one load the share went from 0.28 to 1.0 within 20 s, and engines
-that had left at 0.28 cost every tenth caller an answer in time."""
+RELEASE_DECODE_UP_TO_SHARE = 0.3
+"""Share of the remaining decode engines' slots that may be in use after one has
+left them. Prompts can be prefilled anywhere, but streams need decode engines,
+and the mix swings: under one load the share rose from 0.28 to 1.0 within 20 s,
+and because engines had left at 0.28 every tenth caller got no timely answer."""
 
-FULL_DECODE_SHARE = 0.75
-"""Part of the slots of decode engines that are taken, from which they need one
-more: a burst of a third would fill them."""
+ADD_DECODE_ABOVE_SHARE = 0.75
+"""Share of the decode engines' slots in use above which one more is needed: a
+burst of a third more would fill them."""
 
-LEAST_DECODE_COUNT = 2
-"""Decode engines that a fleet keeps; with one, each loss of it ends all."""
+MIN_DECODE_COUNT = 2
+"""Minimum number of decode engines; with only one, its loss ends all
+streams."""
 
-CHANGING_SHARE = 0.25
-"""Part of a service's engines that may be away for a change at once; at least
-one."""
+MAX_CHANGING_SHARE = 0.25
+"""Maximum share of a service's engines that change their role at the same time;
+one is always allowed."""
 
 
 class EngineLoad(NamedTuple):
-    """What an engine said of itself a moment ago.
+    """Recent report of an engine.
 
     Attributes:
-        server: The engine, with the role that it says it plays.
-        running_count: Requests that it works on.
+        server: The engine, with the role that it reports.
+        running_count: Requests that it is working on.
         waiting_count: Requests in its queue.
-        is_changing: Whether an order is being carried out.
+        is_changing: Whether it is carrying out a role order.
     """
 
     server: fleet.Server
@@ -69,16 +71,16 @@
 
     @property
     def requests_count(self) -> int:
-        """Requests that it has."""
+        """Running and waiting requests."""
         return self.running_count + self.waiting_count
 
 
 class Pressure(NamedTuple):
-    """How much the engines of a service have to do on the mean.
+    """Average load of the engines of a service.
 
     Attributes:
-        wanted_prefill: Prefill engines that reading would keep busy.
-        decode_share: Part of the slots of the decode engines that is taken.
+        wanted_prefill: Number of prefill engines that prefill work keeps busy.
+        decode_share: Share of the decode engines' slots in use.
     """
 
     wanted_prefill: float
@@ -86,12 +88,12 @@
 
 
 class Change(NamedTuple):
-    """One engine is to change its role.
+    """One engine changes its role.
 
     Attributes:
         server: The engine.
         role: Its next role.
-        pressure: What decided it.
+        pressure: The load that the decision is based on.
     """
 
     server: fleet.Server
@@ -103,8 +105,8 @@
     """No engine changes its role now.
 
     Attributes:
-        reason: Why, for operators.
-        pressure: What decided it, None if nothing is known.
+        reason: Explanation for operators.
+        pressure: The load that the decision is based on, None if it is unknown.
     """
 
     reason: str
@@ -112,12 +114,12 @@
 
 
 Decision = Change | Stay
-"""What ``RoleSplit.decide`` returns."""
+"""Result of ``RoleSplit.decide``."""
 
 
 @functools.singledispatch
 def describe(decision: object) -> str:
-    """Says in a line what was decided and why."""
+    """Describes a decision and its reason in one line."""
     raise TypeError(f"not a decision: {decision!r}")
 
 
@@ -132,12 +134,12 @@
 
 
 class RoleSplit:
-    """Watches the loads of the engines of one service."""
+    """Decides on role changes of one service from the loads of its engines."""
 
     def __init__(self) -> None:
         self._engines: frozenset[fleet.ServerStart] = frozenset()
-        self._since_s = 0.0
-        self._decode_share = _Mean()
+        self._changed_at_s = 0.0
+        self._decode_share = _MovingAverage()
 
     def decide(
         self,
@@ -145,51 +147,51 @@
         wanted_prefill: float | None,
         now_s: float,
     ) -> Decision:
-        """Decides on the next change.
+        """Decides on the next role change.
 
         Args:
-            loads: All engines of the service, as they are now; one that is
-                changing counts in the role that it is to have.
-            wanted_prefill: Prefill engines that reading would keep busy, None
-                while that isn't known.
-            now_s: The present.
+            loads: Current loads of all engines of the service; an engine that
+                is changing its role counts in its next one.
+            wanted_prefill: Number of prefill engines that prefill work keeps
+                busy, None if unknown.
+            now_s: The current time.
         """
         engines = frozenset(load.server.start for load in loads)
         if engines != self._engines:
             self._engines = engines
-            self._since_s = now_s
+            self._changed_at_s = now_s
         share = _decode_share(loads)
         if share is None or wanted_prefill is None:
             return Stay("too little is known of the load")
         pressure = Pressure(
             wanted_prefill, self._decode_share.note(share, now_s)
         )
-        if now_s - self._since_s < SETTLED_AFTER_S:
+        if now_s - self._changed_at_s < SETTLE_TIME_S:
             return Stay("the fleet has just changed", pressure)
         changing_count = sum(load.is_changing for load in loads)
-        if changing_count >= max(1, int(CHANGING_SHARE * len(loads))):
+        if changing_count >= max(1, int(MAX_CHANGING_SHARE * len(loads))):
             return Stay("enough engines are changing", pressure)
         return _decide(loads, pressure)
 
 
-class _Mean:
-    """The mean of what is noted, the newest counting most."""
+class _MovingAverage:
+    """Exponentially weighted moving average."""
 
     def __init__(self) -> None:
         self._weight = 0.0
         self._sum = 0.0
-        self._noted_s = 0.0
+        self._updated_s = 0.0
 
-    def note(self, seen: float, now_s: float) -> float:
-        kept = math.exp(-(now_s - self._noted_s) / MEAN_CONSTANT_S)
-        self._noted_s = now_s
-        self._weight = self._weight * kept + 1.0
-        self._sum = self._sum * kept + seen
+    def note(self, value: float, now_s: float) -> float:
+        decay = math.exp(-(now_s - self._updated_s) / LOAD_TIME_CONSTANT_S)
+        self._updated_s = now_s
+        self._weight = self._weight * decay + 1.0
+        self._sum = self._sum * decay + value
         return self._sum / self._weight
 
 
 def _decode_share(loads: Sequence[EngineLoad]) -> float | None:
-    decodes = _staying(loads, "decode")
+    decodes = _not_changing(loads, "decode")
     slots_count = sum(load.server.slots_count for load in decodes)
     if not slots_count:
         return None
@@ -198,44 +200,49 @@
 
 def _decide(loads: Sequence[EngineLoad], pressure: Pressure) -> Decision:
     prefill_count = sum(load.server.role == "prefill" for load in loads)
-    if pressure.wanted_prefill > FULL_PREFILL_SHARE * prefill_count:
-        return _to_prefill(loads, pressure)
-    if pressure.decode_share > FULL_DECODE_SHARE:
-        return _to_decode(loads, pressure)
+    if pressure.wanted_prefill > ADD_PREFILL_ABOVE_SHARE * prefill_count:
+        return _change_to_prefill(loads, pressure)
+    if pressure.decode_share > ADD_DECODE_ABOVE_SHARE:
+        return _change_to_decode(loads, pressure)
     return Stay("the split fits the load", pressure)
 
 
-def _to_prefill(loads: Sequence[EngineLoad], pressure: Pressure) -> Decision:
-    decodes = _staying(loads, "decode")
+def _change_to_prefill(
+    loads: Sequence[EngineLoad], pressure: Pressure
+) -> Decision:
+    decodes = _not_changing(loads, "decode")
     left_count = len(decodes) - 1
     movable = _movable_decodes(loads)
-    if left_count < LEAST_DECODE_COUNT or not movable:
+    if left_count < MIN_DECODE_COUNT or not movable:
         return Stay("no decode engine can be spared", pressure)
     after_share = pressure.decode_share * len(decodes) / left_count
-    if after_share > MOST_DECODE_SHARE:
+    if after_share > RELEASE_DECODE_UP_TO_SHARE:
         return Stay("both roles have much to do", pressure)
     return Change(movable[0].server, "prefill", pressure)
 
 
-def _to_decode(loads: Sequence[EngineLoad], pressure: Pressure) -> Decision:
-    prefills = _staying(loads, "prefill")
+def _change_to_decode(
+    loads: Sequence[EngineLoad], pressure: Pressure
+) -> Decision:
+    prefills = _not_changing(loads, "prefill")
     left_count = len(prefills) - 1
     if left_count < 1:
         return Stay("no prefill engine can be spared", pressure)
-    if pressure.wanted_prefill > SPARE_PREFILL_SHARE * left_count:
+    if pressure.wanted_prefill > RELEASE_PREFILL_UP_TO_SHARE * left_count:
         return Stay("both roles have much to do", pressure)
-    least = min(prefills, key=lambda load: load.requests_count)
-    return Change(least.server, "decode", pressure)
+    least_loaded = min(prefills, key=lambda load: load.requests_count)
+    return Change(least_loaded.server, "decode", pressure)
 
 
 def _movable_decodes(loads: Sequence[EngineLoad]) -> list[EngineLoad]:
     """Returns decode engines that may become prefill engines, best first.
 
-    An availability zone that has a decode engine keeps one: cut off from the
-    others it can then still answer. Zones with few prefill engines come
-    first, and engines with few streams, which have to end before the change.
+    An availability zone keeps at least one decode engine, so that it can still
+    answer when it is cut off from the others. Engines in zones with few prefill
+    engines come first, and among them those with few streams, which have to end
+    before the change.
     """
-    decodes = _staying(loads, "decode")
+    decodes = _not_changing(loads, "decode")
     zones = [load.server.availability_zone for load in decodes]
     prefill_zones = [
         load.server.availability_zone
@@ -257,7 +264,9 @@
     )
 
 
-def _staying(loads: Sequence[EngineLoad], role: fleet.Role) -> list[EngineLoad]:
+def _not_changing(
+    loads: Sequence[EngineLoad], role: fleet.Role
+) -> list[EngineLoad]:
     return [
         load
         for load in loads
--- a/src/mulberrywharf/policy/served_share.py
+++ b/src/mulberrywharf/policy/served_share.py
@@ -1,4 +1,4 @@
-"""Predicts how much of a zone's demand a split of roles can serve."""
+"""Predicts the share of a zone's demand that its engines' roles can serve."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 )
 
 _BISECTION_STEPS_COUNT = 24
-_MAX_COVER = 4.0
+_DEMAND_FACTOR_LIMIT = 4.0
 _NO_WORK_TOKENS_PER_S = 1e-9
 
 
@@ -20,35 +20,37 @@
     """Predicts the share of the demand that is served in time, 0 to 1.
 
     Args:
-        engines: Those that serve, each in the role that it would have.
+        engines: The serving engines, each in its intended role.
         demand: What callers ask of the zone.
-        options: For the headroom and the efficiency of mixed engines.
+        options: Provides the headroom and the efficiency of mixed engines.
     """
-    cover = _cover(engines, demand, options.mixed_efficiency)
-    return min(1.0, cover / options.headroom)
+    demand_factor = _max_demand_factor(
+        engines, demand, options.mixed_efficiency
+    )
+    return min(1.0, demand_factor / options.headroom)
 
 
-def _cover(
+def _max_demand_factor(
     engines: Sequence[PlannerEngine], demand: Demand, mixed_efficiency: float
 ) -> float:
-    """Returns how many times over the engines could carry the demand.
+    """Returns by which factor the demand could grow before engines are full.
 
-    Mixed engines share their time between both kinds of work, so the cover
-    is the largest factor whose remaining work fits into their time.
+    Mixed engines share their time between prefill and decode, so this is the
+    largest factor at which the work left to them fits into their time.
     """
-    low, high = 0.0, _MAX_COVER
+    low, high = 0.0, _DEMAND_FACTOR_LIMIT
     capacity = _capacity(engines, mixed_efficiency)
     for _ in range(_BISECTION_STEPS_COUNT):
-        middle = (low + high) / 2
-        if _mixed_time_needed(capacity, demand, middle) <= 1.0:
-            low = middle
+        factor = (low + high) / 2
+        if _mixed_busy_share(capacity, demand, factor) <= 1.0:
+            low = factor
         else:
-            high = middle
+            high = factor
     return low
 
 
 class _Capacity(NamedTuple):
-    """Tokens a second, by kind of engine."""
+    """Capacity in tokens per second, by role and kind of work."""
 
     prefill: float
     decode: float
@@ -68,19 +70,19 @@
     )
 
 
-def _mixed_time_needed(
+def _mixed_busy_share(
     capacity: _Capacity, demand: Demand, factor: float
 ) -> float:
     prompt = demand.prompt_tokens_per_s * factor - capacity.prefill
     output = demand.output_tokens_per_s * factor - capacity.decode
-    return _time(prompt, capacity.mixed_prefill) + _time(
+    return _busy_share(prompt, capacity.mixed_prefill) + _busy_share(
         output, capacity.mixed_decode
     )
 
 
-def _time(tokens_per_s: float, speed_tokens_per_s: float) -> float:
+def _busy_share(tokens_per_s: float, capacity_tokens_per_s: float) -> float:
     if tokens_per_s <= _NO_WORK_TOKENS_PER_S:
         return 0.0
-    if speed_tokens_per_s <= 0:
+    if capacity_tokens_per_s <= 0:
         return float("inf")
-    return tokens_per_s / speed_tokens_per_s
+    return tokens_per_s / capacity_tokens_per_s
--- a/src/mulberrywharf/policy/stream_gaps.py
+++ b/src/mulberrywharf/policy/stream_gaps.py
@@ -1,12 +1,12 @@
-"""How evenly the events of a stream came."""
+"""Measures the gaps between the events of a stream."""
 
 
 class StreamGaps:
-    """The pauses between the events of one stream.
+    """The gaps between the events of one stream.
 
     Attributes:
-        worst_s: The longest pause so far.
-        run_s: From the head to the last event.
+        worst_s: The longest gap so far.
+        run_s: Time from the response head to the last event.
         has_begun: Whether there was any event.
     """
 
@@ -18,7 +18,7 @@
         self._last_s = began_s
 
     def note(self, now_s: float) -> None:
-        """Takes in that events came."""
+        """Records that events arrived."""
         self.has_begun = True
         self.worst_s = max(self.worst_s, now_s - self._last_s)
         self._last_s = now_s
--- a/src/mulberrywharf/policy/usual_load.py
+++ b/src/mulberrywharf/policy/usual_load.py
@@ -1,35 +1,37 @@
-"""How busy engines are whose work a node does not hear of.
-
-In fleets too large to tell everybody of everything a node knows the engines of
-its own availability zone, and of the others only its own few prompts. Taken for
-all the work there is, that makes each engine elsewhere look idle beside those
-nearby, to every node alike: in 16 s of 61 gateways and 45 engines nine of ten
-prompts crossed zones, two of three were read at engines that were answering,
-and 0.29 of the streams paused too long. With the loads of this module 0.19 did.
-
-So zones tell each other how busy their engines are on the mean. Without its
-word another zone's engines are taken to be as busy as those that are heard of.
-A node that knows an engine to be busier goes by that.
+"""Estimates the load of engines whose work a node is not told of.
+
+In a large fleet a node knows the work of the engines in its own availability
+zone, and of the others only its own few prompts. If it took those for all their
+work, every node would see engines in other zones as idle beside those nearby.
+In 16 s with 61 gateways and 45 engines, nine of ten prompts then crossed zones,
+two of three were prefilled at engines that were generating, and 0.29 of the
+streams paused for too long; with the estimates of this module 0.19 did.
+
+So zones report the mean load of their engines to each other. Without a report,
+engines of another zone are assumed to be as busy as those that the node is told
+of. If the node knows an engine to be busier, it uses that load.
 """
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 KEPT_S = 0.05
-"""A mean is used for so long: it moves by one placement in a dozen, and a node
-of half a core would spend 0.1 ms more on each decision."""
+"""A mean is cached for this long. It changes by about one placement in a dozen
+meanwhile, and computing it for each decision would cost a node with half a core
+0.1 ms more."""
 
 
 TOLD_AGE_S = 3.0
-"""What another zone told is believed so long; the mix swings within it."""
+"""Reports of other zones are used for this long; the mix of work swings within
+this time."""
 
 
 class Load(NamedTuple):
-    """How busy an engine is.
+    """The load of an engine.
 
     Attributes:
-        running_share: Part of its slots that is taken; above 1 with a queue.
-        queue_s: Until its steps reach a new prompt.
+        running_share: Share of its slots in use; above 1 if requests wait.
+        queue_s: Time until it starts on a new prompt.
     """
 
     running_share: float
@@ -40,7 +42,7 @@
 
 
 def mean(loads: Collection[Load]) -> Load:
-    """Returns the mean of loads, idle if there are none."""
+    """Returns the mean of loads, or an idle load if there are none."""
     if not loads:
         return IDLE
     return Load(
@@ -50,7 +52,7 @@
 
 
 def at_least(load: Load, usual: Load) -> Load:
-    """Returns a load that is known in part, filled up to the usual one."""
+    """Returns a partly known load, raised to the usual load where lower."""
     return Load(
         max(load.running_share, usual.running_share),
         max(load.queue_s, usual.queue_s),
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -1,4 +1,4 @@
-"""Speeds of engines, learned from answers: whatever they are, and robustly."""
+"""Tests that engine speeds are learned from answers."""
 
 import random
 import unittest
@@ -15,65 +15,65 @@
 
 
 class EngineSpeedsTest(unittest.TestCase):
-    """Plays answers of engines whose speed the learner is not told."""
+    """Feeds answers of engines whose speed the learner must find."""
 
     def setUp(self) -> None:
         self.rng = random.Random(7)
         self.learned = engine_speeds.EngineSpeeds()
 
     def answer(
-        self, real: engine_speeds.RoleSpeed, *, late_s: float = 0.0
+        self, actual: engine_speeds.RoleSpeed, *, late_s: float = 0.0
     ) -> float:
-        """Plays one answer; returns what it took over what was estimated."""
+        """Simulates an answer; returns actual over estimated duration."""
         tokens = self.rng.choice((300, 1_000, 4_000, 12_000, 30_000))
         expected = self.learned.speeds.prefill.reading(tokens, 0)
-        took_s = real.reading(tokens, 0).total_s * self.rng.uniform(0.9, 1.1)
+        took_s = actual.reading(tokens, 0).total_s * self.rng.uniform(0.9, 1.1)
         took_s += late_s
         self.learned.learn_reading(PREFILL, expected, 0.0, took_s, 0.0)
         return took_s / expected.total_s
 
-    def error(self, real: engine_speeds.RoleSpeed) -> float:
-        """Returns by how much a usual prompt's estimate is off, as a share."""
+    def error(self, actual: engine_speeds.RoleSpeed) -> float:
+        """Returns the relative error of a typical prompt's estimate."""
         tokens = 10_000
         estimate_s = self.learned.speeds.prefill.reading(tokens, 0).total_s
-        return abs(estimate_s / real.reading(tokens, 0).total_s - 1.0)
+        return abs(estimate_s / actual.reading(tokens, 0).total_s - 1.0)
 
     def test_engines_of_any_speed_are_learned(self) -> None:
-        """Estimates are half of the truth, and queues look short.
+        """Estimates are half of the actual time, and queues look short.
 
-        Symptom: a long prompt took 1.09 s in the mean where 0.385 s were
-        estimated; that is an error of 0.65 for these engines, and of up to
-        0.8 for slower ones, at any time. Cause: the speed of two operators'
-        engines was a constant. Learned, it is under 0.15 after 100 answers.
+        A long prompt took 1.09 s on average where 0.385 s were estimated, as
+        the speed was a constant taken from two operators' engines. That is an
+        error of 0.65 for these engines, and of up to 0.8 for slower ones, at
+        any time. A learned speed is off by less than 0.15 after 100 answers.
         """
-        for real in (FAST, SLOW, SLOWEST):
+        for actual in (FAST, SLOW, SLOWEST):
             self.learned = engine_speeds.EngineSpeeds()
             for _ in range(100):
-                self.answer(real)
-            self.assertLess(self.error(real), 0.15, real)
+                self.answer(actual)
+            self.assertLess(self.error(actual), 0.15, actual)
 
-    def test_a_few_answers_are_enough_for_a_start(self) -> None:
-        for real in (FAST, SLOW):
+    def test_ten_answers_give_a_usable_estimate(self) -> None:
+        for actual in (FAST, SLOW):
             self.learned = engine_speeds.EngineSpeeds()
             for _ in range(10):
-                self.answer(real)
-            self.assertLess(self.error(real), 0.25, real)
+                self.answer(actual)
+            self.assertLess(self.error(actual), 0.25, actual)
 
-    def test_waits_that_nobody_expected_do_not_look_like_slow_engines(
+    def test_unexpected_waits_do_not_make_engines_look_slow(
         self,
     ) -> None:
         """In an overload all engines look slower and slower.
 
-        Symptom: callers were told to want 10 prefill engines of 9 where they
-        wanted 5. Sequence: prompts of others, not told of, stand before ours
-        in a queue; every third answer comes a second late. Cause: all of the
-        delay was taken for reading.
+        Prompts of other gateways, not reported to this one, are ahead in a
+        queue, and every third answer comes a second late. If the whole delay is
+        taken for prefill time, callers seem to need 10 prefill engines, of 9 in
+        the fleet, where they need 5.
         """
         for number in range(200):
             self.answer(SLOW, late_s=1.0 if number % 3 == 0 else 0.0)
         self.assertLess(self.error(SLOW), 0.5)
 
-    def test_short_prompts_teach_the_beginning(self) -> None:
+    def test_short_prompts_correct_the_fixed_overhead(self) -> None:
         for _ in range(100):
             expected = self.learned.speeds.decode.reading(50, 0)
             self.learned.learn_reading(DECODE, expected, 0.0, 0.05, 0.0)
@@ -81,7 +81,7 @@
             self.learned.speeds.decode.begin_s, 0.05, delta=0.01
         )
 
-    def test_a_slow_engine_has_a_pace_of_its_own_that_fades(self) -> None:
+    def test_slowdown_of_one_engine_is_learned_and_decays(self) -> None:
         slow = PREFILL._replace(start=build.start("slow"))
         for _ in range(30):
             for server, factor in ((PREFILL, 1.0), (slow, 4.0), (DECODE, 1.0)):
@@ -101,7 +101,7 @@
             self.learned.speeds.takeover_s, 0.04, delta=0.005
         )
 
-    def test_an_engine_that_left_is_forgotten(self) -> None:
+    def test_engine_that_left_is_forgotten(self) -> None:
         self.answer(SLOWEST)
         self.learned.keep_only(frozenset())
         self.assertEqual(self.learned.pace("p", 0.0), 1.0)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Which engines are slower than they say."""
+"""Tests the detection of engines that are slower than they report."""
 
 import unittest
 
@@ -16,22 +16,22 @@
 class PaceMeterTest(unittest.TestCase):
     _PACES_S = {"a": 0.02, "b": 0.022, "c": 0.025, "slow": 0.08}
 
-    def test_slow_engine_shows_though_it_reports_nothing(self):
-        """Answers crawl from one engine that goes on being chosen.
+    def test_slow_engine_is_detected_without_its_report(self):
+        """A slow engine keeps being chosen.
 
-        Sequence: an engine's accelerator is throttled; its reports name the
-        usual speeds. Cause: only reports were looked at.
+        Its accelerator is throttled, but its reports state the usual speeds.
+        Only reports were considered.
         """
         factors = _meter(self._PACES_S).slow_factors(0.0)
         self.assertEqual(list(factors), ["slow"])
         self.assertGreater(factors["slow"], 3)
 
-    def test_comparison_fades_so_that_it_is_tried_again(self):
+    def test_slow_factor_decays_without_new_answers(self):
         meter = _meter(self._PACES_S)
         factors = meter.slow_factors(100.0)
         self.assertLess(factors["slow"], 1.01)
 
-    def test_engine_that_recovered_is_normal_again(self):
+    def test_recovered_engine_has_no_slow_factor(self):
         meter = _meter(self._PACES_S)
         for _ in range(10):
             meter.on_pace("slow", 0.02, 1.0)
@@ -41,7 +41,7 @@
         meter = _meter({"a": 0.02, "slow": 0.2})
         self.assertFalse(meter.slow_factors(0.0))
 
-    def test_engine_that_went_is_forgotten(self):
+    def test_engine_that_left_is_forgotten(self):
         meter = _meter(self._PACES_S)
         meter.forget("slow")
         self.assertFalse(meter.slow_factors(0.0))
--- a/tests/test_role_split.py
+++ b/tests/test_role_split.py
@@ -1,4 +1,4 @@
-"""How many engines prefill: by their queues, one change at a time."""
+"""Tests the decision how many engines prefill, and the demand behind it."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 def engines(
     decode_count: int, *, prefills: int = 3, decodes: int = 6
 ) -> list[role_split.EngineLoad]:
-    """Returns engines over three zones, decode engines with so many streams."""
+    """Returns engines in three zones, decode engines with that many streams."""
     found = [
         load(f"p{n}", "prefill", 1, zone=f"zone-{n % 3}")
         for n in range(prefills)
@@ -41,74 +41,76 @@
         self.split = role_split.RoleSplit()
         self.now_s = 100.0
 
-    def play(
+    def simulate(
         self,
         loads: list[role_split.EngineLoad],
         wanted_prefill: float | None,
         for_s: float = 10.0,
     ) -> role_split.Decision:
-        """Shows the same loads for some seconds; returns the last decision."""
+        """Repeats the same loads for some seconds; returns the last result."""
         decision: role_split.Decision = role_split.Stay("nothing was shown")
         for _ in range(int(for_s)):
             decision = self.split.decide(loads, wanted_prefill, self.now_s)
             self.now_s += 1.0
         return decision
 
-    def test_much_reading_takes_a_decode_engine(self) -> None:
-        decision = self.play(engines(8), 3.5)
+    def test_high_prefill_demand_changes_a_decode_engine(self) -> None:
+        decision = self.simulate(engines(8), 3.5)
         assert isinstance(decision, role_split.Change)
         self.assertEqual(decision.role, "prefill")
         self.assertEqual(decision.server.role, "decode")
 
-    def test_full_batches_take_an_idle_prefill_engine(self) -> None:
-        decision = self.play(engines(60), 0.5)
+    def test_full_batches_change_an_idle_prefill_engine(self) -> None:
+        decision = self.simulate(engines(60), 0.5)
         assert isinstance(decision, role_split.Change)
         self.assertEqual(decision.role, "decode")
 
-    def test_a_split_that_fits_stays(self) -> None:
-        self.assertIsInstance(self.play(engines(20), 2.0), role_split.Stay)
+    def test_no_change_if_the_roles_fit_the_load(self) -> None:
+        self.assertIsInstance(self.simulate(engines(20), 2.0), role_split.Stay)
 
-    def test_a_fleet_that_is_full_in_both_roles_stays(self) -> None:
+    def test_no_change_if_both_roles_are_busy(self) -> None:
         for count in (40, 60):
-            decision = self.play(engines(count), 3.5)
+            decision = self.simulate(engines(count), 3.5)
             self.assertIsInstance(decision, role_split.Stay)
 
-    def test_no_engine_goes_to_and_fro(self) -> None:
-        """Engines are away whenever the mix swings.
+    def test_short_swings_change_no_roles(self) -> None:
+        """Engines are out of service whenever the mix of work swings.
 
-        Symptom: an order each few seconds, each of which takes an engine away
-        for three, and no split ever fits. Sequence: the mix swings between
-        prompts and answers every three seconds. Cause: the loads of the
-        moment decided, and a bound in one direction lay close to the other.
+        Work swings between prompts and answers every three seconds, and an
+        order follows every few seconds, each of which takes an engine away for
+        three. So no assignment of roles ever fits. The decisions used momentary
+        loads, and the bounds for the two directions were close to each other.
         """
         for _ in range(8):
             for count, wanted_prefill in ((10, 2.2), (60, 1.2)):
-                decision = self.play(engines(count), wanted_prefill, 3.0)
+                decision = self.simulate(engines(count), wanted_prefill, 3.0)
                 self.assertIsInstance(decision, role_split.Stay)
 
-    def test_nothing_changes_just_after_an_engine_was_lost(self) -> None:
+    def test_no_change_just_after_an_engine_was_lost(self) -> None:
         loads = engines(8)
-        self.play(loads, 1.0)
-        self.assertIsInstance(self.play(loads[:-1], 3.5, 2.0), role_split.Stay)
+        self.simulate(loads, 1.0)
+        self.assertIsInstance(
+            self.simulate(loads[:-1], 3.5, 2.0), role_split.Stay
+        )
 
-    def test_nothing_changes_before_the_demand_is_known(self) -> None:
-        self.assertIsInstance(self.play(engines(8), None), role_split.Stay)
+    def test_no_change_before_the_demand_is_known(self) -> None:
+        self.assertIsInstance(self.simulate(engines(8), None), role_split.Stay)
 
-    def test_few_engines_change_at_a_time(self) -> None:
+    def test_number_of_changing_engines_is_limited(self) -> None:
         loads = engines(8)
         for number in (3, 4):
-            self.assertIsInstance(self.play(loads, 6.0), role_split.Change)
-            moved = loads[number].server._replace(role="prefill")
+            self.assertIsInstance(self.simulate(loads, 6.0), role_split.Change)
+            changed = loads[number].server._replace(role="prefill")
             loads[number] = loads[number]._replace(
-                server=moved, is_changing=True
+                server=changed, is_changing=True
             )
-        self.assertIsInstance(self.play(loads, 6.0), role_split.Stay)
+        self.assertIsInstance(self.simulate(loads, 6.0), role_split.Stay)
 
-    def test_an_engine_that_changes_counts_in_its_next_role(self) -> None:
+    def test_changing_engine_counts_in_its_next_role(self) -> None:
         loads = engines(8)
-        moved = loads[3].server._replace(role="prefill")
-        loads[3] = loads[3]._replace(server=moved, is_changing=True)
-        self.assertIsInstance(self.play(loads, 2.8), role_split.Stay)
+        changed = loads[3].server._replace(role="prefill")
+        loads[3] = loads[3]._replace(server=changed, is_changing=True)
+        self.assertIsInstance(self.simulate(loads, 2.8), role_split.Stay)
 
     def test_each_zone_keeps_a_decode_engine(self) -> None:
         loads = [
@@ -117,15 +119,15 @@
             load("d1", "decode", 9, zone="zone-1"),
             load("d2", "decode", 9, zone="zone-1"),
         ]
-        decision = self.play(loads, 3.0)
+        decision = self.simulate(loads, 3.0)
         assert isinstance(decision, role_split.Change)
         self.assertEqual(decision.server.availability_zone, "zone-1")
-        self.assertIsInstance(self.play(loads[:3], 3.0), role_split.Stay)
+        self.assertIsInstance(self.simulate(loads[:3], 3.0), role_split.Stay)
 
-    def test_engines_with_few_streams_go_first(self) -> None:
+    def test_engine_with_the_fewest_streams_changes_first(self) -> None:
         loads = engines(8)
         loads[-1] = loads[-1]._replace(running_count=1)
-        decision = self.play(loads, 3.5)
+        decision = self.simulate(loads, 3.5)
         assert isinstance(decision, role_split.Change)
         self.assertEqual(decision.server.server_id, "d5")
 
@@ -138,22 +140,22 @@
         for step in range(int(for_s * 10)):
             self.demand.note(rate / 10, step / 10)
 
-    def test_nothing_is_said_at_the_beginning(self) -> None:
+    def test_total_is_unknown_at_the_start(self) -> None:
         self.note(1.0, 1.0)
         self.assertIsNone(self.demand.total(1, 1.0))
 
-    def test_the_mean_does_not_begin_at_zero(self) -> None:
-        """A fleet needs half a minute to notice that it must change.
+    def test_rate_is_not_biased_towards_zero_at_the_start(self) -> None:
+        """A fleet takes half a minute to notice that roles must change.
 
-        Sequence: traffic begins at full rate after an idle time. Cause: the
-        idle time was averaged in.
+        Traffic starts at its full rate after an idle time, which was included
+        in the average.
         """
         self.note(1.0, 3.0)
         total = self.demand.total(1, 3.0)
         assert total is not None
         self.assertAlmostEqual(total, 1.0, delta=0.1)
 
-    def test_gateways_are_added_up(self) -> None:
+    def test_demands_of_gateways_are_added_up(self) -> None:
         self.note(1.0, 3.0)
         self.demand.hear(1, 2.0, 3.0)
         self.demand.hear(1, 2.5, 3.0)
@@ -161,7 +163,7 @@
         assert total is not None
         self.assertAlmostEqual(total, 3.5, delta=0.1)
 
-    def test_gateways_that_are_not_heard_count_like_the_others(self) -> None:
+    def test_gateways_without_a_report_count_like_the_others(self) -> None:
         self.note(1.0, 3.0)
         self.demand.hear(1, 2.0, -10.0)
         total = self.demand.total(3, 3.0)
