--- a/src/mulberrywharf/policy/observed_waits.py
+++ b/src/mulberrywharf/policy/observed_waits.py
@@ -65,7 +65,7 @@
         self._waits: dict[tuple[fleet.ServerStart, Matter], _Wait] = {}
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
-        """Forgets engines that are not in ``engines``."""
+        """Forgets other engines, except those with unanswered prompts."""
         self._waits = {
             key: wait
             for key, wait in self._waits.items()
--- a/src/mulberrywharf/policy/prompt_admission.py
+++ b/src/mulberrywharf/policy/prompt_admission.py
@@ -16,25 +16,25 @@
 
 REFUSE_ALL_TARGET_SHARE = 0.8
 """Share of the first-token target from which every request is refused. Between
-the two bounds the probability of refusal rises linearly: gateways that all
-refuse everything at the same estimate leave the engines idle a moment later,
-and then all send again.
+the two bounds the probability of refusal rises linearly: if all gateways
+refused everything from one estimate on, the engines would be idle a moment
+later, and all gateways would send again.
 
 Admitting requests with longer waits serves fewer callers: late requests delay
 all behind them, streams last longer, and the loss of an engine or a zone ends
-more of them. With a range from 1.0 to 1.5 of the target, 0.72 of the value of a
-day with failures was earned; from 0.6 to 0.8, 0.77 was: of 100 callers 0.9 more
-were refused for good, and 1.6 fewer failed. With a lower bound of 0.4, prompts
-that are large for their route are hardly ever served."""
+more of them. With bounds of 1.0 and 1.5, 0.72 of the total value of a day with
+failures was earned; with 0.6 and 0.8 it was 0.77: of 100 callers 0.9 more were
+refused for good, and 1.6 fewer failed. With a lower bound of 0.4, prompts that
+are large for their route are hardly ever served."""
 
 MAX_OWN_PREFILL_TARGET_SHARE = 0.5
-"""Maximum share of the first-token target that a request's own prefill counts
-with. A large prompt is late because of its size and would be refused at every
+"""A request's own prefill counts as at most this share of the first-token
+target. A large prompt is late because of its size and would be refused at every
 retry, so beyond this only its queueing delay decides."""
 
 MIN_RETRY_AFTER_S = 0.1
-"""A caller that retries sooner would come back before its refusal has any
-effect on the queue."""
+"""Minimum retry delay. A caller that retries sooner would come back before its
+refusal has any effect on the queue."""
 
 MAX_RETRY_AFTER_LEFT_SHARE = 0.3
 """Maximum retry delay, as a share of the caller's remaining time. Callers
--- a/src/mulberrywharf/policy/prompt_placement.py
+++ b/src/mulberrywharf/policy/prompt_placement.py
@@ -1,11 +1,10 @@
 """Chooses the engines that prefill a prompt and generate its answer.
 
 The workload mixes many short prompts with long ones that share most of their
-tokens. Prefilling a long prompt takes an engine five times as long if nothing
-of it is cached as if its shared part is, and no engine can cache all shared
-parts. So where a part is cached matters most: each part has a home engine, the
-same on every node, and is prefilled elsewhere only if the home's queue is so
-long that this is faster.
+tokens. A long prompt takes five times as much engine time if its shared part
+isn't cached, and no engine can cache all shared parts. So where a part is
+cached matters most: each part has a home engine, the same on every node, and is
+prefilled elsewhere only if the home's queue is so long that this is faster.
 
 Each plan is scored by its time to the first token and by the engine time that
 it takes from other requests.
@@ -30,20 +29,20 @@
 prefill time. A new copy evicts as many tokens of other parts, and most of those
 are needed again, as the memory of all engines together holds each part about
 once. With a weight of 0, engines prefilled 433,000 shared tokens again within
-34 s; with 0.6 and with 1.0, 118,000."""
+34 s; with 0.6 and 1.0 it was 118,000."""
 
 STREAM_WEIGHT = 0.25
 """Cost of prefilling at a decode engine for each stream that it runs, as a
 share of the prefill's duration. Chunks of the prompt are processed between the
 tokens of these streams: meanwhile an event of eleven tokens takes 0.26 s
-instead of 0.06 s, and a stream that pauses for so long misses its target. The
-cost grows with the number of streams, not with the share of slots in use, by
-which an engine with many slots looked idle: 217 of 972 chat streams of a day
-then paused for longer than their callers accept."""
+instead of 0.06 s, and a stream that pauses for so long misses its target. With
+a cost by the share of slots in use, an engine with many slots looked idle, and
+217 of 972 chat streams of a day paused for longer than their callers accept."""
 
 FULL_BATCH_COST_S = 0.2
-"""Cost of an engine whose slots are all in use, in proportion below that. Its
-steps take longer, and a failure of the engine ends all its requests."""
+"""Cost of an engine whose slots are all in use; with fewer in use the cost is
+proportionally lower. The steps of a full batch take longer, and a failure of
+the engine ends all its requests."""
 
 SUSPECT_COST_S = 5.0
 """Exceeds any queueing delay, so that an engine that did not answer is used
@@ -57,8 +56,8 @@
 """Cost of generating in another availability zone: a stream lasts for seconds,
 and a network cut between the zones ends it. It equals the cost of a sixth of an
 engine's slots, so that other zones still take over what the own zone can't
-serve. On a day with a zone cut it contributed 0.035 of the day's value; with
-0.1 s, engines stayed idle beside full ones."""
+serve. On a day with a zone cut it added 0.035 of the total value of the day's
+requests; with 0.1 s, engines stayed idle beside full ones."""
 
 HOME_BONUS_S = 0.01
 """Bonus for the home engine of a part that no engine holds. It only breaks
--- a/src/mulberrywharf/policy/role_split.py
+++ b/src/mulberrywharf/policy/role_split.py
@@ -79,7 +79,8 @@
     """Average load of the engines of a service.
 
     Attributes:
-        wanted_prefill: Number of prefill engines that prefill work keeps busy.
+        wanted_prefill: Number of prefill engines that the prefill work would
+            keep busy.
         decode_share: Share of the decode engines' slots in use.
     """
 
@@ -125,7 +126,7 @@
 
 @describe.register
 def _describe_change(decision: Change) -> str:
-    return f"{decision.server.server_id} is to {decision.role}"
+    return f"{decision.server.server_id} changes its role to {decision.role}"
 
 
 @describe.register
@@ -162,15 +163,18 @@
             self._changed_at_s = now_s
         share = _decode_share(loads)
         if share is None or wanted_prefill is None:
-            return Stay("too little is known of the load")
+            return Stay("not enough load data yet")
         pressure = Pressure(
             wanted_prefill, self._decode_share.note(share, now_s)
         )
         if now_s - self._changed_at_s < SETTLE_TIME_S:
-            return Stay("the fleet has just changed", pressure)
+            return Stay("the set of engines has just changed", pressure)
         changing_count = sum(load.is_changing for load in loads)
         if changing_count >= max(1, int(MAX_CHANGING_SHARE * len(loads))):
-            return Stay("enough engines are changing", pressure)
+            return Stay(
+                "the maximum number of engines is already changing roles",
+                pressure,
+            )
         return _decide(loads, pressure)
 
 
--- a/src/mulberrywharf/policy/served_share.py
+++ b/src/mulberrywharf/policy/served_share.py
@@ -1,4 +1,4 @@
-"""Predicts the share of a zone's demand that its engines' roles can serve."""
+"""Predicts the share of a zone's demand that given engine roles can serve."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
--- a/tests/test_prompt_placement.py
+++ b/tests/test_prompt_placement.py
@@ -127,7 +127,7 @@
         plan = best(SHAPE, [slow, view("p2", "prefill")], [self.decode])
         self.assertEqual(plan.reader.server.server_id, "p2")
 
-    def test_transfer_between_zones_takes_twice_as_long(self) -> None:
+    def test_transfer_between_zones_takes_longer(self) -> None:
         far = self.prefill._replace(
             server=self.prefill.server._replace(availability_zone="zone-b")
         )
--- a/tests/test_role_split.py
+++ b/tests/test_role_split.py
@@ -48,7 +48,7 @@
         for_s: float = 10.0,
     ) -> role_split.Decision:
         """Repeats the same loads for some seconds; returns the last result."""
-        decision: role_split.Decision = role_split.Stay("nothing was shown")
+        decision: role_split.Decision = role_split.Stay("no decision yet")
         for _ in range(int(for_s)):
             decision = self.split.decide(loads, wanted_prefill, self.now_s)
             self.now_s += 1.0
