--- a/src/mulberrywharf/policy/admission.py
+++ b/src/mulberrywharf/policy/admission.py
@@ -1,9 +1,10 @@
-"""Decides at once whether a request is admitted, waits, or is refused.
+"""Admission control: admits, queues or refuses each request on arrival.
 
-A request that cannot meet its deadline or its first-token target only delays
-those that can, so it is refused at once, while its caller still has time to
-ask elsewhere. Under load the less important go first: each priority may use
-only a part of the queue and of the time to the first token.
+A request that cannot meet its deadline or its first-token target would only
+delay requests that can. It is refused immediately, while its caller still has
+time to try elsewhere. Under load, low-priority requests are refused first: the
+lower the priority, the smaller the part of the queue that a request may use
+and the less time it may take to its first token.
 """
 
 from typing import NamedTuple
@@ -11,38 +12,40 @@
 from mulberrywharf import errors
 
 LOWEST_PRIORITY = 9
-"""Priorities run from 0, the most important, to this."""
+"""Priorities range from 0 (highest) to this value."""
 
 
 class AdmissionSettings(NamedTuple):
-    """Bounds of admission.
+    """Limits that admission applies.
 
     Attributes:
-        queue_limit_count: Requests that may wait at this node.
-        low_priority_queue_share: Part of the queue open to the lowest
-            priority; those between get a part in proportion.
-        first_token_tolerance: Times the target that the most important may
-            be estimated at; estimates are rough.
-        low_priority_tolerance: The same for the lowest priority.
-        retry_after_least_s: Shortest wait told to a refused caller.
-        retry_after_most_s: Longest wait told to a refused caller.
+        queue_limit_count: Maximum requests that wait at this node.
+        low_priority_queue_share: Fraction of the queue that the lowest
+            priority may use; interpolated linearly for the priorities above.
+        first_token_tolerance: Estimated time to the first token that the
+            highest priority may have, as a multiple of its target. Above 1
+            because estimates are rough.
+        low_priority_tolerance: The same multiple for the lowest priority.
+        retry_after_min_s: Lower bound of the Retry-After of a refusal.
+        retry_after_max_s: Upper bound of the Retry-After of a refusal.
     """
 
     queue_limit_count: int = 256
     low_priority_queue_share: float = 0.25
     first_token_tolerance: float = 1.25
     low_priority_tolerance: float = 0.8
-    retry_after_least_s: float = 0.5
-    retry_after_most_s: float = 30.0
+    retry_after_min_s: float = 0.5
+    retry_after_max_s: float = 30.0
 
 
 class Demand(NamedTuple):
-    """What a request needs.
+    """Requirements of a request.
 
     Attributes:
-        time_left_s: Until the caller's deadline.
-        priority: 0 (first) to 9 (last).
-        first_token_target_s: Target of the first token; None for none.
+        time_left_s: Time until the caller's deadline.
+        priority: 0 (highest) to 9 (lowest).
+        first_token_target_s: Target for the time to the first token; None if
+            the request has no such target.
     """
 
     time_left_s: float
@@ -51,14 +54,15 @@
 
 
 class Outlook(NamedTuple):
-    """What the request would meet now.
+    """Estimates for the request under the current load.
 
     Attributes:
-        first_token_s: Estimated time to the first token once it starts.
-        total_s: Estimated time to the whole answer once it starts.
+        first_token_s: Estimated time from the start to the first token.
+        total_s: Estimated time from the start to the complete answer.
         queue_wait_s: Estimated wait in this node's queue.
         queued_count: Requests that wait at this node.
-        has_slot: Whether the engine's concurrency limit leaves a place.
+        has_slot: Whether the request may be sent now, under the engine's
+            concurrency limit.
     """
 
     first_token_s: float
@@ -73,11 +77,11 @@
 
 
 class Wait(NamedTuple):
-    """The request may wait for a place.
+    """The request may wait for a free slot.
 
     Attributes:
-        limit_s: After this it is refused, while an answer can still be of
-            use; the caller is then told at once.
+        limit_s: Maximum wait; after it the request is refused, as a later
+            start would miss its deadline or its first-token target.
     """
 
     limit_s: float
@@ -87,32 +91,32 @@
     """The request is refused.
 
     Attributes:
-        error: What to answer, with its Retry-After.
+        error: Error returned to the caller, with its Retry-After.
     """
 
     error: errors.RequestError
 
     @property
     def retry_after_s(self) -> float | None:
-        """When the caller may come back."""
+        """Time after which the caller may retry."""
         return self.error.retry_after_s
 
 
 def decide(
     demand: Demand, outlook: Outlook, settings: AdmissionSettings | None = None
 ) -> Admit | Wait | Shed:
-    """Decides what becomes of a request that has just arrived."""
+    """Decides whether a new request is admitted, queued or refused."""
     settings = settings or AdmissionSettings()
     if demand.time_left_s <= 0:
         return Shed(
-            errors.DeadlineExceededError("the deadline has passed already")
+            errors.DeadlineExceededError("the deadline has already passed")
         )
     slack_s = _slack_s(demand, outlook, settings)
     wait_s = 0.0 if outlook.has_slot else outlook.queue_wait_s
     if wait_s > slack_s:
-        over_s = wait_s - slack_s
+        excess_s = wait_s - slack_s
         return Shed(
-            _overloaded("the answer would come too late", over_s, settings)
+            _overloaded("the answer would come too late", excess_s, settings)
         )
     if outlook.has_slot:
         return Admit()
@@ -124,19 +128,19 @@
 
 
 def queue_limit(priority: int, settings: AdmissionSettings) -> int:
-    """Returns how many may wait before one of this priority is refused."""
-    share = _between(1.0, settings.low_priority_queue_share, priority)
+    """Returns the queue length at which this priority is refused."""
+    share = _interpolate(1.0, settings.low_priority_queue_share, priority)
     return max(1, int(settings.queue_limit_count * share))
 
 
 def _slack_s(
     demand: Demand, outlook: Outlook, settings: AdmissionSettings
 ) -> float:
-    """Returns how long the request may still wait; negative if too late."""
+    """Returns how long the request may wait; negative if it is too late."""
     slack_s = demand.time_left_s - outlook.total_s
     if demand.first_token_target_s is None:
         return slack_s
-    tolerance = _between(
+    tolerance = _interpolate(
         settings.first_token_tolerance,
         settings.low_priority_tolerance,
         demand.priority,
@@ -145,15 +149,16 @@
     return min(slack_s, allowed_s - outlook.first_token_s)
 
 
-def _between(first: float, last: float, priority: int) -> float:
-    part = min(max(priority, 0), LOWEST_PRIORITY) / LOWEST_PRIORITY
-    return first + (last - first) * part
+def _interpolate(at_highest: float, at_lowest: float, priority: int) -> float:
+    """Interpolates between the values of the highest and lowest priority."""
+    fraction = min(max(priority, 0), LOWEST_PRIORITY) / LOWEST_PRIORITY
+    return at_highest + (at_lowest - at_highest) * fraction
 
 
 def _overloaded(
-    message: str, over_s: float, settings: AdmissionSettings
+    message: str, delay_s: float, settings: AdmissionSettings
 ) -> errors.OverloadedError:
     retry_after_s = min(
-        max(over_s, settings.retry_after_least_s), settings.retry_after_most_s
+        max(delay_s, settings.retry_after_min_s), settings.retry_after_max_s
     )
     return errors.OverloadedError(message, retry_after_s=retry_after_s)
--- a/src/mulberrywharf/policy/concurrency.py
+++ b/src/mulberrywharf/policy/concurrency.py
@@ -1,9 +1,10 @@
-"""How many requests this node keeps at one engine, from measured delay.
+"""Adaptive limit on one node's concurrent requests at one engine.
 
-The limit follows the gradient of the delay: while first tokens come about as
-fast as on an idle engine the limit grows by its square root, and once they
-come later it shrinks in proportion. A refusal by a full engine cuts it at
-once. Nothing is known of the other nodes; each reacts to the same delay.
+The limit follows the gradient of the measured delay. While first tokens arrive
+about as fast as on an idle engine, the limit grows by its square root; when
+they arrive later, it shrinks in proportion. A refusal by a full engine reduces
+it immediately. Nodes do not coordinate their limits: they all react to the
+same delay.
 """
 
 import math
@@ -11,27 +12,32 @@
 
 
 class ConcurrencySettings(NamedTuple):
-    """Bounds of one engine's limit.
+    """Parameters of one engine's limit.
 
     Attributes:
-        first_limit_count: Limit before anything was measured.
-        least_limit_count: Never below, so that recovery is noticed.
-        most_limit_count: Never above.
-        delay_tolerance: Times the idle delay that is still fine.
-        pace_aim_share: Part of the target between tokens that is aimed at;
-            the mean of many answers must lie below what 95 in 100 keep.
-        smoothing: Part of the way that one sample moves the limit.
-        cut_factor: What a refusal leaves of the limit.
-        cut_interval_s: Refusals within this of a cut are one event.
-        delay_floor_s: Added to both delays, so that the jitter of tiny
-            prompts does not look like overload.
+        initial_limit_count: Limit before the first measurement.
+        min_limit_count: Lower bound of the limit. Some requests must still be
+            sent, so that the recovery of an engine is noticed.
+        max_limit_count: Upper bound of the limit.
+        delay_tolerance: Delay that does not yet count as overload, as a
+            multiple of the idle delay.
+        pace_target_share: Fraction of the target time between tokens that the
+            limit is controlled to. Below 1, because the target must be met by
+            95% of the answers, while the control acts on their mean.
+        smoothing: Weight of one sample: the fraction of the distance to the
+            proposed limit by which it moves the limit.
+        cut_factor: Factor that a refusal multiplies the limit by.
+        cut_interval_s: Time after a reduction in which further refusals are
+            ignored, since they belong to the same event.
+        delay_floor_s: Added to both delays, so that the jitter of very short
+            prompts does not count as overload.
     """
 
-    first_limit_count: float = 4.0
-    least_limit_count: float = 2.0
-    most_limit_count: float = 256.0
+    initial_limit_count: float = 4.0
+    min_limit_count: float = 2.0
+    max_limit_count: float = 256.0
     delay_tolerance: float = 3.0
-    pace_aim_share: float = 0.85
+    pace_target_share: float = 0.85
     smoothing: float = 0.2
     cut_factor: float = 0.7
     cut_interval_s: float = 1.0
@@ -39,13 +45,13 @@
 
 
 class ConcurrencyLimit:
-    """The adaptive limit of requests at one engine."""
+    """The adaptive limit on concurrent requests at one engine."""
 
     __slots__ = ("_cut_s", "_limit", "_pace_gradient", "_settings")
 
     def __init__(self, settings: ConcurrencySettings):
         self._settings = settings
-        self._limit = settings.first_limit_count
+        self._limit = settings.initial_limit_count
         self._cut_s = float("-inf")
         self._pace_gradient = 1.0
 
@@ -53,12 +59,12 @@
     def from_config(
         cls, settings: ConcurrencySettings | None = None
     ) -> "ConcurrencyLimit":
-        """Starts at the first limit, with default bounds when none given."""
+        """Starts at the initial limit; uses default settings when None."""
         return cls(settings or ConcurrencySettings())
 
     @property
     def limit_count(self) -> int:
-        """Requests that may be at the engine now."""
+        """Maximum requests in flight at the engine now."""
         return int(self._limit)
 
     def has_slot(self, in_flight_count: int) -> bool:
@@ -68,13 +74,14 @@
     def on_first_token(
         self, delay_s: float, idle_delay_s: float, in_flight_count: int
     ) -> None:
-        """Learns from one request's first token.
+        """Updates the limit from the delay of one request's first token.
 
         Args:
-            delay_s: From sending the request to its first token.
-            idle_delay_s: What an idle engine would have taken for this
-                prompt; long prompts take long without any overload.
-            in_flight_count: Requests that were at the engine when it came.
+            delay_s: Time from sending the request to its first token.
+            idle_delay_s: Time that an idle engine would have needed for this
+                prompt; long prompts take long even without overload.
+            in_flight_count: Requests in flight at the engine when the token
+                arrived.
         """
         settings = self._settings
         allowed_s = idle_delay_s * settings.delay_tolerance
@@ -82,51 +89,61 @@
             max(delay_s, 0.0) + settings.delay_floor_s
         )
         gradient = min(1.0, max(0.5, gradient))
-        wanted = self._limit * gradient
-        # First tokens of short prompts come early even from a batch that is
-        # too large already; without this they would undo every cut.
+        proposed_limit = self._limit * gradient
+        # First tokens of short prompts arrive early even when the batch is
+        # already too large. Without this check they would undo each reduction
+        # that is due to slow token generation.
         if self._pace_gradient >= 1.0:
-            wanted += math.sqrt(self._limit)
-        # An idle limit must not grow: it would allow a burst that was never
-        # tried.
-        if wanted > self._limit and in_flight_count < self._limit / 2:
+            proposed_limit += math.sqrt(self._limit)
+        # A limit that is not used must not grow: it would allow a burst of a
+        # size that the engine has not handled yet.
+        if proposed_limit > self._limit and in_flight_count < self._limit / 2:
             return
-        self._move_to(self._limit + settings.smoothing * (wanted - self._limit))
+        self._set_limit(
+            self._limit + settings.smoothing * (proposed_limit - self._limit)
+        )
 
     def on_answer(
         self, between_tokens_s: float, target_s: float, in_flight_count: int
     ) -> None:
-        """Learns from one whole answer's pace.
+        """Updates the limit from the token rate of one complete answer.
 
-        A batch that grows slows every answer in it long before first tokens
-        come late, so their delay alone would let the pace go.
+        A growing batch slows down all its answers long before first tokens
+        arrive late, so the delay of first tokens alone does not keep the token
+        rate up.
 
         Args:
-            between_tokens_s: Mean time between its tokens.
-            target_s: What it should have been.
-            in_flight_count: Requests that were at the engine when it ended.
+            between_tokens_s: Mean time between the answer's tokens.
+            target_s: Target for that time.
+            in_flight_count: Requests in flight at the engine when the answer
+                ended.
         """
         settings = self._settings
-        aim_s = target_s * settings.pace_aim_share
-        gradient = min(2.0, aim_s / max(between_tokens_s, 1e-6))
+        reduced_target_s = target_s * settings.pace_target_share
+        gradient = min(2.0, reduced_target_s / max(between_tokens_s, 1e-6))
         self._pace_gradient += settings.smoothing * (
             gradient - self._pace_gradient
         )
         if gradient >= 1.0:
             return
-        wanted = self._limit * max(0.5, gradient)
-        # A limit far above what is in use would take long to bite.
-        wanted = min(wanted, max(1.0, in_flight_count) * gradient + 1.0)
-        self._move_to(self._limit + settings.smoothing * (wanted - self._limit))
+        proposed_limit = self._limit * max(0.5, gradient)
+        # Limits the proposal by the requests in flight: reducing a limit far
+        # above them would take long to have an effect.
+        proposed_limit = min(
+            proposed_limit, max(1.0, in_flight_count) * gradient + 1.0
+        )
+        self._set_limit(
+            self._limit + settings.smoothing * (proposed_limit - self._limit)
+        )
 
     def on_refused(self, now_s: float) -> None:
-        """Learns that the engine was full or failed."""
+        """Reduces the limit because the engine was full or failed."""
         if now_s - self._cut_s < self._settings.cut_interval_s:
             return
         self._cut_s = now_s
-        self._move_to(self._limit * self._settings.cut_factor)
+        self._set_limit(self._limit * self._settings.cut_factor)
 
-    def _move_to(self, limit: float) -> None:
-        least = self._settings.least_limit_count
-        most = self._settings.most_limit_count
-        self._limit = min(most, max(least, limit))
+    def _set_limit(self, limit: float) -> None:
+        lower = self._settings.min_limit_count
+        upper = self._settings.max_limit_count
+        self._limit = min(upper, max(lower, limit))
--- a/src/mulberrywharf/policy/crash_suspects.py
+++ b/src/mulberrywharf/policy/crash_suspects.py
@@ -26,7 +26,7 @@
 """A request is suspected for so long behind the last end: a new version of its
 service may take it."""
 
-WHOLE_KEPT_S = 10.0
+COMPLETED_KEPT_S = 10.0
 """A request that ended whole is not suspected for so long. Without it, one
 that many callers send would be blocked when all servers of a service end
 together."""
@@ -37,8 +37,8 @@
 seconds."""
 
 SUSPECTS_LIMIT_COUNT = 1_024
-WHOLE_LIMIT_COUNT = 2_048
-_ENDS_KEPT_COUNT = 4
+COMPLETED_LIMIT_COUNT = 2_048
+_ENDS_PER_REQUEST_LIMIT_COUNT = 4
 
 
 class End(NamedTuple):
@@ -67,7 +67,7 @@
         self._ends: collections.OrderedDict[int, dict[int, End]] = (
             collections.OrderedDict()
         )
-        self._whole_s: collections.OrderedDict[int, float] = (
+        self._completed_s: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
 
@@ -77,15 +77,15 @@
         Returns:
             Whether that was not known before.
         """
-        self._forget(end.at_s)
-        if fingerprint in self._whole_s:
+        self._drop_expired(end.at_s)
+        if fingerprint in self._completed_s:
             return False
         ends = self._ends.setdefault(fingerprint, {})
         known = ends.get(end.server_key)
         if known is not None and (known.made_output or not end.made_output):
             return False
         ends[end.server_key] = end
-        while len(ends) > _ENDS_KEPT_COUNT:
+        while len(ends) > _ENDS_PER_REQUEST_LIMIT_COUNT:
             del ends[next(iter(ends))]
         self._ends.move_to_end(fingerprint)
         if len(self._ends) > SUSPECTS_LIMIT_COUNT:
@@ -98,15 +98,15 @@
         Returns:
             Whether it was suspected.
         """
-        self._whole_s[fingerprint] = now_s
-        self._whole_s.move_to_end(fingerprint)
-        if len(self._whole_s) > WHOLE_LIMIT_COUNT:
-            self._whole_s.popitem(last=False)
+        self._completed_s[fingerprint] = now_s
+        self._completed_s.move_to_end(fingerprint)
+        if len(self._completed_s) > COMPLETED_LIMIT_COUNT:
+            self._completed_s.popitem(last=False)
         return self._ends.pop(fingerprint, None) is not None
 
     def ends(self, fingerprint: int, now_s: float) -> tuple[End, ...]:
         """Returns the ends of servers under a request, the first one first."""
-        self._forget(now_s)
+        self._drop_expired(now_s)
         return tuple(self._ends.get(fingerprint, {}).values())
 
     def has_end(self, fingerprint: int, server_key: int) -> bool:
@@ -134,8 +134,8 @@
         ends = self.ends(fingerprint, now_s)
         if len(ends) >= ENDS_LIMIT_COUNT:
             return True
-        bare = _bare(ends)
-        return len(bare) >= SURE_ENDS_COUNT and self._is_alone(
+        bare = _ended_without_output(ends)
+        return len(bare) >= SURE_ENDS_COUNT and self._is_only_common_request(
             fingerprint, bare
         )
 
@@ -147,7 +147,7 @@
 
     def blocked(self, now_s: float) -> list[int]:
         """Returns the fingerprints of all blocked requests."""
-        self._forget(now_s)
+        self._drop_expired(now_s)
         return [one for one in self._ends if self.is_blocked(one, now_s)]
 
     @property
@@ -155,14 +155,17 @@
         """Whether no request is suspected."""
         return not self._ends
 
-    def _is_alone(self, fingerprint: int, server_keys: frozenset[int]) -> bool:
+    def _is_only_common_request(
+        self, fingerprint: int, server_keys: frozenset[int]
+    ) -> bool:
         return not any(
-            len(_bare(ends.values()) & server_keys) >= SURE_ENDS_COUNT
+            len(_ended_without_output(ends.values()) & server_keys)
+            >= SURE_ENDS_COUNT
             for other, ends in self._ends.items()
             if other != fingerprint
         )
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         """Drops what is too old; both tables are about in order of time."""
         while self._ends:
             oldest = next(iter(self._ends))
@@ -170,13 +173,13 @@
             if now_s - last_s < KEPT_S:
                 break
             del self._ends[oldest]
-        while self._whole_s:
-            oldest = next(iter(self._whole_s))
-            if now_s - self._whole_s[oldest] < WHOLE_KEPT_S:
+        while self._completed_s:
+            oldest = next(iter(self._completed_s))
+            if now_s - self._completed_s[oldest] < COMPLETED_KEPT_S:
                 break
-            del self._whole_s[oldest]
+            del self._completed_s[oldest]
 
 
-def _bare(ends: Iterable[End]) -> frozenset[int]:
+def _ended_without_output(ends: Iterable[End]) -> frozenset[int]:
     """Returns the servers that ended before they made any output."""
     return frozenset(end.server_key for end in ends if not end.made_output)
--- a/src/mulberrywharf/policy/fairness.py
+++ b/src/mulberrywharf/policy/fairness.py
@@ -1,11 +1,12 @@
-"""A fair queue over customers: start-time fair queueing.
-
-Requests that wait for a place are served so that each customer gets engine
-time in proportion to its weight, however many requests one of them sends. A
-customer with a short queue therefore waits for about one request of each of
-the others, not for the flood of one. When the queue is full, the newcomer
-takes the place of the last request of the customer with the longest queue,
-unless it is that customer's own.
+"""Fair queue over customers, with start-time fair queueing (SFQ).
+
+Requests that wait for a slot are served so that each customer gets engine time
+in proportion to its weight, regardless of how many requests each customer
+sends. A customer with a short queue therefore waits for about one request of
+each other customer, even when one of them floods the queue. When the queue is
+full, a new request displaces the last request of the customer with the longest
+queue, unless its own customer has the longest or nearly the longest queue; then
+it is refused.
 """
 
 import collections
@@ -15,18 +16,18 @@
 
 Item = TypeVar("Item")
 
-_SLACK_COUNT = 16
-"""Dead entries that a heap may hold beyond as many as are alive."""
+_STALE_SLACK_COUNT = 16
+"""Stale entries that a heap may hold in addition to its number of live ones."""
 
 
 class FairQueueSettings(NamedTuple):
-    """Bounds of the queue.
+    """Limits of the queue.
 
     Attributes:
-        entries_limit_count: Most requests that wait.
-        customer_limit_count: Most requests of one customer that wait.
-        idle_limit_count: Customers without a waiting request whose used
-            share is remembered.
+        entries_limit_count: Maximum waiting requests.
+        customer_limit_count: Maximum waiting requests of one customer.
+        idle_limit_count: Maximum customers without a waiting request whose
+            finish tag is kept.
     """
 
     entries_limit_count: int = 256
@@ -35,15 +36,15 @@
 
 
 class Ticket(Generic[Item]):
-    """One waiting request.
+    """One request in the queue.
 
     Attributes:
-        customer: Whose it is.
-        item: What the caller of ``push`` gave.
-        priority: 0 (first) to 9, among the customer's own requests.
-        cost: Tokens that it will use.
-        expires_s: After this it is no longer handed out.
-        is_waiting: False once it was handed out, removed or displaced.
+        customer: Customer that sent the request.
+        item: Object passed to ``push``.
+        priority: 0 (highest) to 9, among the customer's own requests.
+        cost: Tokens that the request is expected to use.
+        expires_s: Time after which the request is no longer returned.
+        is_waiting: False once the request was returned, removed or displaced.
     """
 
     __slots__ = (
@@ -72,12 +73,13 @@
         self.is_waiting = True
 
 
-class Queued(NamedTuple, Generic[Item]):
-    """What became of a push.
+class PushResult(NamedTuple, Generic[Item]):
+    """Result of ``FairQueue.push``.
 
     Attributes:
-        ticket: The newcomer's, or None when it is refused.
-        displaced: The request that lost its place, to be answered at once.
+        ticket: Ticket of the new request, or None if it is refused.
+        displaced: Request that was removed to make room, if any. Its caller
+            should be answered immediately.
     """
 
     ticket: Ticket[Item] | None
@@ -85,7 +87,15 @@
 
 
 class _Flow(Generic[Item]):
-    """One customer's waiting requests and its used share."""
+    """One customer's waiting requests and its tags.
+
+    Attributes:
+        heap: Entries (priority, sequence number, ticket).
+        waiting_count: Requests that wait; the heap may hold stale entries too.
+        weight: Weight of the customer.
+        start: Start tag, the virtual time at which its next request starts.
+        finish: Finish tag, the virtual time at which its last one finishes.
+    """
 
     __slots__ = ("finish", "heap", "start", "waiting_count", "weight")
 
@@ -98,36 +108,36 @@
 
 
 class FairQueue(Generic[Item]):
-    """Requests that wait, handed out fairly by customer."""
+    """Queue of waiting requests that serves the customers fairly."""
 
     def __init__(self, settings: FairQueueSettings):
         self._settings = settings
         self._flows: collections.OrderedDict[str, _Flow[Item]] = (
             collections.OrderedDict()
         )
-        # Customers with waiting requests by start tag; entries go stale and
-        # are dropped when they come up.
-        self._order: list[tuple[float, int, str]] = []
-        self._numbers = itertools.count()
-        self._virtual = 0.0
+        # Customers with waiting requests, by start tag. Stale entries are
+        # dropped when they reach the top.
+        self._start_heap: list[tuple[float, int, str]] = []
+        self._sequence_numbers = itertools.count()
+        self._virtual_time = 0.0
         self._count = 0
 
     @classmethod
     def from_config(
         cls, settings: FairQueueSettings | None = None
     ) -> "FairQueue[Item]":
-        """Makes an empty queue, with the default bounds when none given."""
+        """Makes an empty queue; uses default settings when None."""
         return cls(settings or FairQueueSettings())
 
     def __len__(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return self._count
 
     @property
-    def held_count(self) -> int:
-        """Entries in memory, those included that no longer wait."""
+    def stored_entries_count(self) -> int:
+        """Number of entries in memory, including stale ones."""
         tickets = sum(len(flow.heap) for flow in self._flows.values())
-        return tickets + len(self._order) + len(self._flows)
+        return tickets + len(self._start_heap) + len(self._flows)
 
     def waiting_count(self, customer: str) -> int:
         """Returns how many of the customer's requests wait."""
@@ -143,24 +153,25 @@
         weight: float = 1.0,
         priority: int = 5,
         expires_s: float = float("inf"),
-    ) -> Queued[Item]:
+    ) -> PushResult[Item]:
         """Queues a request, or refuses it when the queue is full.
 
         Args:
-            customer: Whose it is.
-            item: Handed back with the ticket.
-            cost: Tokens that it will use, at least 1.
-            weight: The customer's part of the whole against others'.
-            priority: 0 (first) to 9, among the customer's own requests.
-            expires_s: After this it is no longer handed out.
+            customer: Customer that sent the request.
+            item: Object returned with the ticket.
+            cost: Tokens that the request is expected to use; values below 1
+                count as 1.
+            weight: Weight of the customer relative to the others.
+            priority: 0 (highest) to 9, among the customer's own requests.
+            expires_s: Time after which the request is no longer returned.
         """
         if self.waiting_count(customer) >= self._settings.customer_limit_count:
-            return Queued(None)
+            return PushResult(None)
         displaced = None
         if self._count >= self._settings.entries_limit_count:
             displaced = self._displace(customer)
             if displaced is None:
-                return Queued(None)
+                return PushResult(None)
         ticket = Ticket(
             customer,
             item,
@@ -168,31 +179,33 @@
             priority=priority,
             expires_s=expires_s,
         )
-        flow = self._flow(customer)
+        flow = self._flow_of(customer)
         flow.weight = max(weight, 0.001)
-        heapq.heappush(flow.heap, (priority, next(self._numbers), ticket))
+        heapq.heappush(
+            flow.heap, (priority, next(self._sequence_numbers), ticket)
+        )
         flow.waiting_count += 1
         self._count += 1
         if flow.waiting_count == 1:
-            self._schedule(customer, flow, max(self._virtual, flow.finish))
-        return Queued(ticket, displaced)
+            self._schedule(customer, flow, max(self._virtual_time, flow.finish))
+        return PushResult(ticket, displaced)
 
     def pop(self, now_s: float) -> Ticket[Item] | None:
-        """Hands out the next request, or None when none waits.
+        """Returns the next request, or None if none waits.
 
-        Requests that expired are dropped here; whoever waits on one has its
-        own timer and answers its caller without being told.
+        Expired requests are dropped here without notice: the code that waits
+        for one has its own timeout, on which it answers the caller.
         """
-        while self._order:
-            entry = heapq.heappop(self._order)
+        while self._start_heap:
+            entry = heapq.heappop(self._start_heap)
             if not self._is_current(entry):
                 continue
             start, _, customer = entry
             flow = self._flows[customer]
-            ticket = self._take_first(flow, now_s)
+            ticket = self._pop_ticket(flow, now_s)
             if ticket is None:
                 continue
-            self._virtual = max(self._virtual, start)
+            self._virtual_time = max(self._virtual_time, start)
             flow.finish = start + ticket.cost / flow.weight
             if flow.waiting_count:
                 self._schedule(customer, flow, flow.finish)
@@ -200,25 +213,30 @@
         return None
 
     def remove(self, ticket: Ticket[Item]) -> None:
-        """Takes out a request whose caller is gone or was answered."""
+        """Removes a request whose caller is gone or was answered."""
         if not ticket.is_waiting:
             return
         ticket.is_waiting = False
         flow = self._flows[ticket.customer]
         flow.waiting_count -= 1
         self._count -= 1
-        # While no engine has a place, callers come and time out and nothing
-        # is handed out; without this their dead tickets would pile up.
-        if len(flow.heap) > 2 * flow.waiting_count + _SLACK_COUNT:
+        # While no engine has a free slot, requests are queued and time out,
+        # and none is popped. Without this cleanup, stale tickets would
+        # accumulate.
+        if len(flow.heap) > 2 * flow.waiting_count + _STALE_SLACK_COUNT:
             flow.heap = [e for e in flow.heap if e[2].is_waiting]
             heapq.heapify(flow.heap)
 
     def _schedule(self, customer: str, flow: _Flow[Item], start: float) -> None:
         flow.start = start
-        if len(self._order) > 2 * len(self._flows) + _SLACK_COUNT:
-            self._order = [e for e in self._order if self._is_current(e)]
-            heapq.heapify(self._order)
-        heapq.heappush(self._order, (start, next(self._numbers), customer))
+        if len(self._start_heap) > 2 * len(self._flows) + _STALE_SLACK_COUNT:
+            self._start_heap = [
+                e for e in self._start_heap if self._is_current(e)
+            ]
+            heapq.heapify(self._start_heap)
+        heapq.heappush(
+            self._start_heap, (start, next(self._sequence_numbers), customer)
+        )
 
     def _is_current(self, entry: tuple[float, int, str]) -> bool:
         start, _, customer = entry
@@ -227,7 +245,7 @@
             return False
         return flow.start == start
 
-    def _take_first(
+    def _pop_ticket(
         self, flow: _Flow[Item], now_s: float
     ) -> Ticket[Item] | None:
         while flow.heap:
@@ -239,29 +257,32 @@
                 return ticket
         return None
 
-    def _displace(self, newcomer: str) -> Ticket[Item] | None:
+    def _displace(self, pushing_customer: str) -> Ticket[Item] | None:
         longest = max(
             self._flows, key=lambda name: self._flows[name].waiting_count
         )
-        if self.waiting_count(longest) <= self.waiting_count(newcomer) + 1:
+        if (
+            self.waiting_count(longest)
+            <= self.waiting_count(pushing_customer) + 1
+        ):
             return None
         waiting = [e for e in self._flows[longest].heap if e[2].is_waiting]
         last = max(waiting, key=lambda entry: entry[:2])[2]
         self.remove(last)
         return last
 
-    def _flow(self, customer: str) -> _Flow[Item]:
+    def _flow_of(self, customer: str) -> _Flow[Item]:
         flow = self._flows.get(customer)
         if flow is None:
-            self._forget_idle()
+            self._evict_idle_flows()
             flow = _Flow()
             self._flows[customer] = flow
         self._flows.move_to_end(customer)
         return flow
 
-    def _forget_idle(self) -> None:
-        # The oldest idle ones have most likely been overtaken by the virtual
-        # time, so that forgetting them changes nothing.
+    def _evict_idle_flows(self) -> None:
+        # The virtual time has most likely passed the finish tags of the
+        # customers that were idle for longest, so evicting them has no effect.
         excess = len(self._flows) - self._settings.idle_limit_count
         if excess < 0:
             return
--- a/src/mulberrywharf/policy/limits.py
+++ b/src/mulberrywharf/policy/limits.py
@@ -1,9 +1,10 @@
-"""Customers' limits, shared by the nodes without a call for each request.
+"""Customer rate limits, shared by the nodes without a call per request.
 
-Each node holds a share of every customer's rate and spends it from its own
-token buckets. Once a round, each node tells the others how much each of its
-busiest customers asked for, and all nodes work out the same shares from the
-same figures (``shares.py`` says how, and what happens when figures are lost).
+Each node holds a share of every customer's rate limit and enforces it with its
+own token buckets. Once per round, each node reports the demand of its busiest
+customers to the others, and all nodes compute the same shares from the same
+reports. ``shares.py`` describes the computation and what happens when reports
+are lost.
 """
 
 from collections.abc import Mapping
@@ -16,11 +17,12 @@
 
 
 class CustomerLimit(NamedTuple):
-    """What a customer may use over the whole deployment.
+    """A customer's rate limit over the whole deployment.
 
     Attributes:
-        requests_per_s: Requests each second, or None for no limit.
-        tokens_per_s: Prompt and output tokens each second, or None.
+        requests_per_s: Requests per second, or None for no limit.
+        tokens_per_s: Prompt and output tokens per second, or None for no
+            limit.
     """
 
     requests_per_s: float | None = None
@@ -28,21 +30,23 @@
 
 
 class LimitSettings(NamedTuple):
-    """Bounds of the limits' state.
+    """Parameters of the customer limits.
 
     Attributes:
-        burst_s: Seconds of its share that a customer may save up.
-        reported_limit_count: Customers in one report (the busiest).
-        demand_constant_s: Time over which demand is averaged.
+        burst_s: Burst that a customer may send, in seconds of its share.
+        reported_customers_limit_count: Maximum customers in one report; the
+            busiest are reported.
+        demand_time_constant_s: Time constant of the exponential average of
+            demand.
     """
 
     burst_s: float = 2.0
-    reported_limit_count: int = 16
-    demand_constant_s: float = 1.5
+    reported_customers_limit_count: int = 16
+    demand_time_constant_s: float = 1.5
 
 
 class _CustomerState:
-    """One customer's buckets and demand at this node."""
+    """One customer's token buckets and demand at this node."""
 
     __slots__ = ("_requests", "_tokens", "demand")
 
@@ -57,16 +61,16 @@
     def set_share(
         self, share: CustomerLimit, settings: LimitSettings, now_s: float
     ) -> None:
-        """Takes a new share; what is saved up or owed stays."""
-        self._requests = _resized(
+        """Applies a new share; the saved tokens or the debt stay."""
+        self._requests = _updated_bucket(
             self._requests, share.requests_per_s, settings, now_s
         )
-        self._tokens = _resized(
+        self._tokens = _updated_bucket(
             self._tokens, share.tokens_per_s, settings, now_s
         )
 
     def wait_s(self, tokens: float, now_s: float) -> float:
-        """Returns how long until a request of ``tokens`` may pass."""
+        """Returns the time until a request of ``tokens`` is allowed."""
         wait_s = 0.0
         if self._requests is not None:
             wait_s = self._requests.wait_s(1.0, now_s)
@@ -81,12 +85,12 @@
         self.settle(tokens)
 
     def settle(self, tokens: float) -> None:
-        """Takes tokens, or gives them back if negative."""
+        """Takes tokens, or returns them if negative."""
         if self._tokens is not None:
             self._tokens.take(tokens)
 
 
-def _resized(
+def _updated_bucket(
     bucket: token_bucket.TokenBucket | None,
     rate_per_s: float | None,
     settings: LimitSettings,
@@ -94,8 +98,8 @@
 ) -> token_bucket.TokenBucket | None:
     if rate_per_s is None:
         return None
-    # One request must fit, however small the node's share is; a limit of
-    # zero lets none pass.
+    # The bucket must hold at least one request, however small the node's
+    # share is. A limit of zero allows no request.
     capacity = max(1.0, rate_per_s * settings.burst_s) if rate_per_s else 0.0
     if bucket is None:
         return token_bucket.TokenBucket(rate_per_s, capacity, now_s)
@@ -104,7 +108,7 @@
 
 
 class CustomerLimits:
-    """One node's shares of all customers' limits."""
+    """One node's shares of all customers' rate limits."""
 
     def __init__(
         self,
@@ -115,7 +119,7 @@
     ):
         self._node_id = node_id
         self._settings = settings
-        self._division = shares.Division.alone_of(1)
+        self._division = shares.Division.equal_split(1)
         self._customers: dict[str, _CustomerState] = {}
         self.set_limits(limits, now_s)
 
@@ -130,19 +134,23 @@
         settings: LimitSettings | None = None,
     ) -> "CustomerLimits":
         """Starts with an equal share for each of ``nodes_count`` nodes."""
-        made = cls(node_id, limits, settings or LimitSettings(), now_s)
-        made.set_division(shares.Division.alone_of(nodes_count), now_s)
-        return made
+        customer_limits = cls(
+            node_id, limits, settings or LimitSettings(), now_s
+        )
+        customer_limits.set_division(
+            shares.Division.equal_split(nodes_count), now_s
+        )
+        return customer_limits
 
     def set_limits(
         self, limits: Mapping[str, CustomerLimit], now_s: float
     ) -> None:
-        """Takes the limits of a new configuration.
+        """Applies the limits of a new configuration.
 
-        State is kept for the customers that have a limit and for no others,
-        so that unknown names cannot fill the memory.
+        State is kept only for customers that have a limit, so that unknown
+        customer names cannot exhaust the memory.
         """
-        before = self._customers
+        previous_states = self._customers
         self._limits = {
             customer: limit
             for customer, limit in limits.items()
@@ -151,7 +159,7 @@
         self._customers = {}
         for customer in self._limits:
             share = self.share_of(customer)
-            state = before.get(customer)
+            state = previous_states.get(customer)
             if state is None:
                 state = _CustomerState(share, self._settings, now_s)
             else:
@@ -159,7 +167,7 @@
             self._customers[customer] = state
 
     def set_division(self, division: shares.Division, now_s: float) -> None:
-        """Takes the shares of a new round."""
+        """Applies the shares of a new round."""
         self._division = division
         for customer, state in self._customers.items():
             state.set_share(self.share_of(customer), self._settings, now_s)
@@ -170,19 +178,20 @@
         """Takes one request and its expected tokens, or nothing at all.
 
         Args:
-            customer: Who asks.
+            customer: Customer that sends the request.
             tokens: Prompt tokens and expected output tokens.
-            now_s: The present.
+            now_s: Current time.
 
         Returns:
-            Nothing, or an error that says when the share allows it.
+            None, or an error with the time after which this node's share
+            allows the request.
         """
         state = self._customers.get(customer)
         if state is None:
             return Ok(None)
-        # What is refused counts too, else a node with a small share would
-        # never show that it needs more.
-        state.demand.add(tokens, now_s, self._settings.demand_constant_s)
+        # Refused requests count as demand too. Otherwise a node with a small
+        # share would never report that it needs a larger one.
+        state.demand.add(tokens, now_s, self._settings.demand_time_constant_s)
         wait_s = state.wait_s(tokens, now_s)
         if wait_s > 0:
             return Err(_over_limit(customer, wait_s))
@@ -192,39 +201,42 @@
     def settle(
         self, customer: str, taken_tokens: float, used_tokens: float
     ) -> None:
-        """Corrects the tokens taken once it is known what was used."""
+        """Corrects the tokens taken once the tokens used are known."""
         state = self._customers.get(customer)
         if state is not None:
             state.settle(used_tokens - taken_tokens)
 
     def demand(self, now_s: float) -> tuple[shares.CustomerDemand, ...]:
-        """Returns the demand of the busiest limited customers here."""
+        """Returns the demand at this node of its busiest limited customers."""
         demands = [
-            state.demand.read(customer, now_s, self._settings.demand_constant_s)
+            state.demand.read(
+                customer, now_s, self._settings.demand_time_constant_s
+            )
             for customer, state in self._customers.items()
         ]
         demands = [d for d in demands if d.requests_per_s > 0.0]
         demands.sort(key=lambda d: (-d.tokens_per_s, d.customer))
-        return tuple(demands[: self._settings.reported_limit_count])
+        return tuple(demands[: self._settings.reported_customers_limit_count])
 
     def share_of(self, customer: str) -> CustomerLimit:
-        """Returns what this node may use of the customer's limit now."""
+        """Returns this node's current share of the customer's limit."""
         limit = self._limits.get(customer, CustomerLimit())
         part = self._division.part_of(self._node_id, customer)
         return CustomerLimit(
-            _times(limit.requests_per_s, part.requests_share),
-            _times(limit.tokens_per_s, part.tokens_share),
+            _scaled(limit.requests_per_s, part.requests_share),
+            _scaled(limit.tokens_per_s, part.tokens_share),
         )
 
 
-def _times(rate: float | None, share: float) -> float | None:
+def _scaled(rate: float | None, share: float) -> float | None:
     return None if rate is None else rate * share
 
 
 def _over_limit(customer: str, wait_s: float) -> errors.OverLimitError:
     retry_after_s = None if wait_s == float("inf") else wait_s
     return errors.OverLimitError(
-        f"customer {customer!r} has spent its limit at this node",
+        f"customer {customer!r} exceeded its limit at this node",
         retry_after_s=retry_after_s,
-        advice="Wait as Retry-After says, or ask the operators for more.",
+        advice="Retry after the time in Retry-After, or ask the operators for"
+        " a higher limit.",
     )
--- a/src/mulberrywharf/policy/repeat_budget.py
+++ b/src/mulberrywharf/policy/repeat_budget.py
@@ -14,7 +14,7 @@
 """Parts of the window that are counted apart; a finer count costs memory and
 gains at most a tenth of the budget."""
 
-SHARE_MARGIN = 0.8
+USABLE_SHARE = 0.8
 """Part of the share that is spent. The operators' window slides and counts at
 the servers; requests that arrive there a moment later than here would else
 exceed it by a few."""
@@ -81,7 +81,7 @@
         window, bucket = self._window(service, now_s)
         settings = self._settings
         allowed = (
-            SHARE_MARGIN * settings.ratio * window.requests.total()
+            USABLE_SHARE * settings.ratio * window.requests.total()
             + settings.allowance_count / max(1, self._nodes_count())
         )
         if window.repeats.total() + 1 > allowed:
--- a/src/mulberrywharf/policy/retry_budget.py
+++ b/src/mulberrywharf/policy/retry_budget.py
@@ -25,7 +25,7 @@
         burst_count: Most retries saved up by the whole node.
         customer_burst_count: Most retries saved up by a customer.
         attempts_limit_count: Most attempts of one request.
-        first_backoff_s: Bound of the first wait.
+        initial_backoff_s: Bound of the first wait.
         backoff_limit_s: Bound of any wait.
         customers_limit_count: Customers remembered; the one not seen for
             longest goes first.
@@ -37,7 +37,7 @@
     burst_count: float = 20.0
     customer_burst_count: float = 5.0
     attempts_limit_count: int = 3
-    first_backoff_s: float = 0.05
+    initial_backoff_s: float = 0.05
     backoff_limit_s: float = 2.0
     customers_limit_count: int = 2_000
 
@@ -93,10 +93,10 @@
 
     def __init__(self, settings: RetrySettings, now_s: float):
         self._settings = settings
-        self._whole = token_bucket.TokenBucket(
+        self._node_bucket = token_bucket.TokenBucket(
             settings.floor_per_s, settings.burst_count, now_s
         )
-        self._customers: collections.OrderedDict[
+        self._customer_buckets: collections.OrderedDict[
             str, token_bucket.TokenBucket
         ] = collections.OrderedDict()
 
@@ -110,12 +110,15 @@
     @property
     def customers_count(self) -> int:
         """Customers whose budget is remembered."""
-        return len(self._customers)
+        return len(self._customer_buckets)
 
     def on_first_attempt(self, customer: str, now_s: float) -> None:
         """Earns for a request that is tried for the first time."""
         earned = self._settings.retry_share
-        for bucket in (self._whole, self._customer(customer, now_s)):
+        for bucket in (
+            self._node_bucket,
+            self._customer_bucket(customer, now_s),
+        ):
             bucket.fill(now_s)
             bucket.take(-earned)
 
@@ -136,7 +139,9 @@
             )
         if attempt.attempt_count >= self._settings.attempts_limit_count:
             return GiveUp(
-                _spent("every allowed attempt failed", outcome_so_far)
+                _budget_spent_error(
+                    "every allowed attempt failed", outcome_so_far
+                )
             )
         after_s = self._backoff_s(attempt, rng)
         if after_s + attempt.expected_s >= attempt.time_left_s:
@@ -146,43 +151,48 @@
                     outcome=outcome_so_far,
                 )
             )
-        if not self._pay(attempt.customer, now_s):
-            return GiveUp(_spent("the retry budget is spent", outcome_so_far))
+        if not self._spend_retry(attempt.customer, now_s):
+            return GiveUp(
+                _budget_spent_error("the retry budget is spent", outcome_so_far)
+            )
         return Retry(after_s, is_resume=verdict.may_resume)
 
     def _backoff_s(self, attempt: FailedAttempt, rng: random.Random) -> float:
         settings = self._settings
         doublings = min(attempt.attempt_count - 1, 16)
-        bound_s = settings.first_backoff_s * 2**doublings
+        bound_s = settings.initial_backoff_s * 2**doublings
         jitter_s = rng.uniform(0.0, min(bound_s, settings.backoff_limit_s))
         return attempt.retry_after_s + jitter_s
 
-    def _pay(self, customer: str, now_s: float) -> bool:
-        buckets = (self._whole, self._customer(customer, now_s))
+    def _spend_retry(self, customer: str, now_s: float) -> bool:
+        buckets = (self._node_bucket, self._customer_bucket(customer, now_s))
         if any(bucket.wait_s(1.0, now_s) > 0 for bucket in buckets):
             return False
         for bucket in buckets:
             bucket.take(1.0)
         return True
 
-    def _customer(
+    def _customer_bucket(
         self, customer: str, now_s: float
     ) -> token_bucket.TokenBucket:
-        bucket = self._customers.get(customer)
+        bucket = self._customer_buckets.get(customer)
         if bucket is None:
             bucket = token_bucket.TokenBucket(
                 self._settings.customer_floor_per_s,
                 self._settings.customer_burst_count,
                 now_s,
             )
-            self._customers[customer] = bucket
-            if len(self._customers) > self._settings.customers_limit_count:
-                self._customers.popitem(last=False)
-        self._customers.move_to_end(customer)
+            self._customer_buckets[customer] = bucket
+            if (
+                len(self._customer_buckets)
+                > self._settings.customers_limit_count
+            ):
+                self._customer_buckets.popitem(last=False)
+        self._customer_buckets.move_to_end(customer)
         return bucket
 
 
-def _spent(
+def _budget_spent_error(
     message: str, outcome_so_far: errors.Outcome
 ) -> errors.RetryBudgetSpentError:
     return errors.RetryBudgetSpentError(
--- a/src/mulberrywharf/policy/shares.py
+++ b/src/mulberrywharf/policy/shares.py
@@ -1,17 +1,17 @@
-"""Divides customers' limits among nodes from the demand they reported.
-
-Time is cut into rounds. In each round every node publishes one
-``DemandReport``: its demand, and a digest of the set of nodes that it holds
-for live. Nodes that reported the same digest, and heard each other's reports,
-divide among themselves by demand their part of the limit: (their number / all
-nodes in the VM list). A node that misses a report of its set takes no more
-than an equal part, limit / all nodes.
-
-Why the sum stays bounded: a node publishes one digest a round, so two groups
-that agree within themselves never share a node, and their parts add up to at
-most the limit. Each of the m nodes that miss a report takes at most limit /
-all nodes, so the sum is at most limit * (1 + m / nodes), and never more than
-the limit when all reports arrive or when a partition splits the nodes cleanly.
+"""Divides customers' limits among the nodes by the demand they reported.
+
+Time is divided into rounds. In each round, every node publishes one
+``DemandReport``: its demand, and a digest of the set of nodes that it believes
+to be live. Nodes that reported the same digest and received each other's
+reports form a group. The group gets limit * (its nodes / all nodes in the VM
+list) and divides this by demand. A node that lacks a report from a node of its
+live set takes only an equal part, limit / all nodes.
+
+This bounds the sum of all parts. A node publishes one digest per round, so
+groups are disjoint, and their parts add up to at most the limit. Each of the m
+nodes that lack a report takes at most limit / all nodes, so the sum is at most
+limit * (1 + m / all nodes). It does not exceed the limit when all reports
+arrive or when a partition splits the nodes into disjoint groups.
 """
 
 import math
@@ -21,17 +21,17 @@
 import xxhash
 
 FLOOR_SHARE = 0.03
-"""Part of a group's limit that is divided equally whatever the demand."""
+"""Fraction of a group's limit that is divided equally, regardless of demand."""
 
 
 class CustomerDemand(NamedTuple):
-    """What one customer asked of one node.
+    """One customer's demand at one node.
 
     Attributes:
-        customer: Who asked.
-        requests_per_s: Requests, refused ones too.
-        tokens_per_s: Their tokens; where no node tells them, the tokens are
-            divided as the requests are.
+        customer: Name of the customer.
+        requests_per_s: Requests per second, including refused ones.
+        tokens_per_s: Tokens of these requests per second. If no node reports
+            any, the token limit is divided like the request limit.
     """
 
     customer: str
@@ -43,11 +43,11 @@
     """One node's demand in one round, carried in its heartbeats.
 
     Attributes:
-        node_id: Who reports.
-        round_number: The round; see ``round_number``.
-        live_digest: Digest of the nodes it holds for live, see
+        node_id: Node that reports.
+        round_number: Number of the round; see ``round_number``.
+        live_digest: Digest of the nodes that it believes to be live; see
             ``live_digest``.
-        demands: Its busiest customers.
+        demands: Demand of its busiest customers.
     """
 
     node_id: str
@@ -60,8 +60,8 @@
     """A node's part of one customer's limit.
 
     Attributes:
-        requests_share: Of its requests, 0 to 1.
-        tokens_share: Of its tokens, 0 to 1.
+        requests_share: Fraction of the request limit, 0 to 1.
+        tokens_share: Fraction of the token limit, 0 to 1.
     """
 
     requests_share: float
@@ -69,7 +69,7 @@
 
 
 class DemandMeter:
-    """Averages what a customer asks for, fading exponentially."""
+    """Exponentially decaying average of a customer's demand."""
 
     __slots__ = ("_requests_per_s", "_tokens_per_s", "_updated_s")
 
@@ -78,33 +78,33 @@
         self._tokens_per_s = 0.0
         self._updated_s = now_s
 
-    def add(self, tokens: float, now_s: float, constant_s: float) -> None:
+    def add(self, tokens: float, now_s: float, time_constant_s: float) -> None:
         """Counts one request of ``tokens``."""
-        self._fade(now_s, constant_s)
-        self._requests_per_s += 1.0 / constant_s
-        self._tokens_per_s += tokens / constant_s
+        self._decay(now_s, time_constant_s)
+        self._requests_per_s += 1.0 / time_constant_s
+        self._tokens_per_s += tokens / time_constant_s
 
     def read(
-        self, customer: str, now_s: float, constant_s: float
+        self, customer: str, now_s: float, time_constant_s: float
     ) -> CustomerDemand:
-        """Returns the present averages; what has all but faded is zero."""
-        self._fade(now_s, constant_s)
+        """Returns the current averages; below 0.001 requests/s they are 0."""
+        self._decay(now_s, time_constant_s)
         if self._requests_per_s < 0.001:
             return CustomerDemand(customer, 0.0)
         return CustomerDemand(
             customer, self._requests_per_s, self._tokens_per_s
         )
 
-    def _fade(self, now_s: float, constant_s: float) -> None:
-        passed_s = max(0.0, now_s - self._updated_s)
+    def _decay(self, now_s: float, time_constant_s: float) -> None:
+        elapsed_s = max(0.0, now_s - self._updated_s)
         self._updated_s = max(self._updated_s, now_s)
-        left = math.exp(-passed_s / constant_s)
-        self._requests_per_s *= left
-        self._tokens_per_s *= left
+        remaining_share = math.exp(-elapsed_s / time_constant_s)
+        self._requests_per_s *= remaining_share
+        self._tokens_per_s *= remaining_share
 
 
 class Division:
-    """The parts of all customers' limits in one round, as one node sees it."""
+    """Division of all customers' limits in one round, as one node sees it."""
 
     def __init__(
         self,
@@ -118,13 +118,13 @@
         self._totals = _total_demands(reports)
 
     @classmethod
-    def alone_of(cls, nodes_count: int) -> "Division":
-        """Makes the division of a node that has heard of no demand."""
+    def equal_split(cls, nodes_count: int) -> "Division":
+        """Makes a division in which each node gets an equal part."""
         return cls(nodes_count, {}, is_complete=False)
 
     @property
     def is_complete(self) -> bool:
-        """Whether every report of the node's group was heard."""
+        """Whether every report of the node's group was received."""
         return self._is_complete
 
     def part_of(self, node_id: str, customer: str) -> Part:
@@ -136,19 +136,22 @@
         group_share = group_count * equal_share
         own = _demand_of(self._reports[node_id], customer)
         total = self._totals.get(customer, CustomerDemand(customer, 0.0))
-        requests_share = _divide(
+        requests_share = _demand_share(
             own.requests_per_s, total.requests_per_s, group_count
         )
         tokens_share = requests_share
         if total.tokens_per_s > 0:
-            tokens_share = _divide(
+            tokens_share = _demand_share(
                 own.tokens_per_s, total.tokens_per_s, group_count
             )
         return Part(group_share * requests_share, group_share * tokens_share)
 
 
 def round_number(now_unix_s: float, round_s: float) -> int:
-    """Returns the number of the round; nodes' clocks agree within a part."""
+    """Returns the number of the round that contains a time.
+
+    The nodes' clocks are expected to agree within a fraction of a round.
+    """
     return int(now_unix_s // round_s)
 
 
@@ -163,35 +166,35 @@
     live_node_ids: Collection[str],
     nodes_count: int,
     reports: Mapping[str, DemandReport],
-    wanted_round: int,
+    report_round: int,
 ) -> Division:
-    """Works out the division of a round from the reports heard.
+    """Computes the division of a round from the reports received.
 
     Args:
-        node_id: The node that asks; it must be among the live.
-        live_node_ids: Nodes that it holds for live.
-        nodes_count: All nodes in the VM list, live or not; those that are
-            not live keep an equal part each, since they may only be cut off.
-        reports: Last report of each node, its own among them.
-        wanted_round: The round whose reports count, the one before the
-            present, so that they had a whole round to arrive.
+        node_id: The node that computes the division; must be live.
+        live_node_ids: Nodes that it believes to be live.
+        nodes_count: All nodes in the VM list, live or not. Nodes that are not
+            live keep an equal part each, since they may only be partitioned.
+        reports: Latest report of each node, including its own.
+        report_round: Round whose reports are used: the one before the current
+            round, so that reports had a whole round to arrive.
     """
     nodes_count = max(nodes_count, len(live_node_ids))
     digest = live_digest(live_node_ids)
-    heard = {}
+    received = {}
     for live_node_id in live_node_ids:
         report = reports.get(live_node_id)
-        if report is None or report.round_number != wanted_round:
-            return Division.alone_of(nodes_count)
+        if report is None or report.round_number != report_round:
+            return Division.equal_split(nodes_count)
         if report.live_digest != digest:
-            return Division.alone_of(nodes_count)
-        heard[live_node_id] = report
-    if node_id not in heard:
-        return Division.alone_of(nodes_count)
-    return Division(nodes_count, heard, is_complete=True)
+            return Division.equal_split(nodes_count)
+        received[live_node_id] = report
+    if node_id not in received:
+        return Division.equal_split(nodes_count)
+    return Division(nodes_count, received, is_complete=True)
 
 
-def _divide(own: float, total: float, count: int) -> float:
+def _demand_share(own: float, total: float, count: int) -> float:
     if total <= 0:
         return 1.0 / count
     return FLOOR_SHARE / count + (1.0 - FLOOR_SHARE) * own / total
@@ -210,12 +213,12 @@
     totals: dict[str, CustomerDemand] = {}
     for report in reports.values():
         for demand in report.demands:
-            before = totals.get(
+            subtotal = totals.get(
                 demand.customer, CustomerDemand(demand.customer, 0.0)
             )
             totals[demand.customer] = CustomerDemand(
                 demand.customer,
-                before.requests_per_s + demand.requests_per_s,
-                before.tokens_per_s + demand.tokens_per_s,
+                subtotal.requests_per_s + demand.requests_per_s,
+                subtotal.tokens_per_s + demand.tokens_per_s,
             )
     return totals
--- a/src/mulberrywharf/policy/suspicion.py
+++ b/src/mulberrywharf/policy/suspicion.py
@@ -82,7 +82,7 @@
     settings = settings or SuspicionSettings()
     leaving = frozenset(vm.vm_id for vm in vms if vm.state == "leaving")
     staying = frozenset(vm.vm_id for vm in vms) - leaving
-    newest = _newest(observations, now_s, settings)
+    newest = _latest_observations(observations, now_s, settings)
     suspected = frozenset(
         vm_id
         for vm_id in staying
@@ -97,7 +97,7 @@
     )
 
 
-def _newest(
+def _latest_observations(
     observations: Iterable[Observation],
     now_s: float,
     settings: SuspicionSettings,
--- a/src/mulberrywharf/policy/token_bucket.py
+++ b/src/mulberrywharf/policy/token_bucket.py
@@ -1,11 +1,11 @@
-"""A token bucket whose clock is passed in."""
+"""A token bucket that takes the current time as an argument."""
 
 
 class TokenBucket:
-    """Fills at a rate up to a capacity; takings may leave it in debt.
+    """A bucket that fills at a fixed rate, up to a capacity.
 
     Attributes:
-        level: What it holds now, negative when in debt.
+        level: Tokens that it holds now; negative when it is in debt.
     """
 
     __slots__ = ("_capacity", "_filled_s", "_rate_per_s", "level")
@@ -18,32 +18,32 @@
 
     @property
     def rate_per_s(self) -> float:
-        """What it gains each second."""
+        """Tokens added per second."""
         return self._rate_per_s
 
     def set_rate(
         self, rate_per_s: float, capacity: float, now_s: float
     ) -> None:
-        """Changes rate and capacity; what it holds is cut to the latter."""
+        """Changes rate and capacity; tokens above the capacity are dropped."""
         self.fill(now_s)
         self._rate_per_s = rate_per_s
         self._capacity = capacity
         self.level = min(self.level, capacity)
 
     def fill(self, now_s: float) -> None:
-        """Adds what was gained since the last call; time never goes back."""
-        passed_s = now_s - self._filled_s
-        if passed_s <= 0:
+        """Adds the tokens since the last call; ignores times before it."""
+        elapsed_s = now_s - self._filled_s
+        if elapsed_s <= 0:
             return
         self._filled_s = now_s
-        gained = passed_s * self._rate_per_s
+        gained = elapsed_s * self._rate_per_s
         self.level = min(self._capacity, self.level + gained)
 
     def wait_s(self, amount: float, now_s: float) -> float:
-        """Returns how long until ``amount`` could be taken, 0 if now.
+        """Returns the time until ``amount`` can be taken, or 0 if it can now.
 
-        An amount above the capacity may be taken once the bucket is full, or
-        it could never pass; the debt then delays what follows.
+        An amount above the capacity, which could otherwise never be taken, may
+        be taken once the bucket is full. The debt then delays later requests.
         """
         self.fill(now_s)
         if self._capacity <= 0:
@@ -56,5 +56,5 @@
         return missing / self._rate_per_s
 
     def take(self, amount: float) -> None:
-        """Takes ``amount``, or gives it back if negative."""
+        """Takes ``amount``, or returns it if negative."""
         self.level = min(self._capacity, self.level - amount)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is admitted, waits, or is refused at once."""
+"""Tests that requests are admitted, queued or refused correctly."""
 
 import unittest
 from typing import Any
@@ -25,11 +25,11 @@
 
 
 class DecideTest(unittest.TestCase):
-    def test_free_engine_admits(self):
+    def test_request_is_admitted_when_the_engine_has_a_slot(self):
         decision = admission.decide(_demand(), _outlook())
         self.assertIsInstance(decision, admission.Admit)
 
-    def test_shed_at_once_when_too_late(self):
+    def test_request_is_refused_at_once_when_it_would_be_too_late(self):
         cases = {
             "deadline": (_demand(time_left_s=2.0), _outlook()),
             "first token": (_demand(), _outlook(first_token_s=2.0)),
@@ -46,22 +46,22 @@
                 self.assertEqual(decision.error.outcome, "not-run")
                 self.assertGreater(decision.retry_after_s, 0)
 
-    def test_deadline_that_passed_is_told_as_such(self):
+    def test_passed_deadline_gives_deadline_exceeded_error(self):
         decision = admission.decide(_demand(time_left_s=0.0), _outlook())
         self.assertIsInstance(decision.error, errors.DeadlineExceededError)
 
-    def test_request_without_target_needs_only_its_deadline(self):
+    def test_request_without_first_token_target_needs_only_its_deadline(self):
         demand = _demand(first_token_target_s=None)
         decision = admission.decide(demand, _outlook(first_token_s=2.5))
         self.assertIsInstance(decision, admission.Admit)
 
-    def test_wait_ends_while_an_answer_is_still_of_use(self):
+    def test_wait_limit_leaves_time_to_answer_before_the_deadline(self):
         outlook = _outlook(has_slot=False, queue_wait_s=0.3, queued_count=2)
         decision = admission.decide(_demand(time_left_s=3.5), outlook)
         self.assertIsInstance(decision, admission.Wait)
         self.assertAlmostEqual(decision.limit_s, 0.5)
 
-    def test_less_important_are_refused_first(self):
+    def test_low_priority_is_refused_first(self):
         late = _outlook(first_token_s=1.3)
         full = _outlook(has_slot=False, queued_count=100)
         for name, outlook, taken in (
@@ -74,7 +74,7 @@
                 self.assertIsInstance(first, taken)
                 self.assertIsInstance(last, admission.Shed)
 
-    def test_queue_is_bounded_for_the_most_important_too(self):
+    def test_queue_is_bounded_for_the_highest_priority_too(self):
         outlook = _outlook(has_slot=False, queued_count=256)
         decision = admission.decide(_demand(priority=0), outlook)
         self.assertIsInstance(decision, admission.Shed)
@@ -91,7 +91,7 @@
         st.booleans(),
     )
     @settings(derandomize=True, deadline=None)
-    def test_nothing_is_kept_that_cannot_meet_its_deadline(
+    def test_request_that_cannot_meet_its_deadline_is_refused(
         self, left_s, priority, first_s, after_s, wait_s, queued, has_slot
     ):
         demand = _demand(time_left_s=left_s, priority=priority)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The adaptive limit of requests at one engine."""
+"""Tests of the adaptive limit on concurrent requests at one engine."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 def _feed(
     limit: concurrency.ConcurrencyLimit, capacity_count: int, samples: int
 ) -> None:
-    """Keeps the limit used at an engine that slows beyond a capacity."""
+    """Uses the limit fully at an engine that slows beyond a capacity."""
     for _ in range(samples):
         in_flight = limit.limit_count
         overload = max(1.0, in_flight / capacity_count)
@@ -25,7 +25,7 @@
 
 
 class ConcurrencyLimitTest(unittest.TestCase):
-    def test_settles_near_what_the_engine_bears(self):
+    def test_converges_near_the_capacity_of_the_engine(self):
         for capacity_count in (8, 40, 100):
             with self.subTest(capacity_count=capacity_count):
                 limit = _limit()
@@ -33,7 +33,7 @@
                 self.assertGreater(limit.limit_count, capacity_count)
                 self.assertLess(limit.limit_count, capacity_count * 3)
 
-    def test_shrinks_when_the_engine_slows(self):
+    def test_shrinks_when_the_engine_slows_down(self):
         limit = _limit()
         _feed(limit, 100, 500)
         before_count = limit.limit_count
@@ -47,18 +47,19 @@
             limit.on_first_token(_IDLE_S, _IDLE_S, 1)
         self.assertEqual(limit.limit_count, before_count)
 
-    def test_long_prompt_is_no_overload(self):
+    def test_delay_of_a_long_prompt_does_not_count_as_overload(self):
         limit = _limit()
         before_count = limit.limit_count
         for _ in range(50):
             limit.on_first_token(2.0, 1.9, before_count)
         self.assertGreaterEqual(limit.limit_count, before_count)
 
-    def test_slow_pace_shrinks_though_first_tokens_come_early(self):
-        """Tokens drip from engines whose first tokens look fine.
+    def test_slow_token_rate_shrinks_the_limit_despite_early_first_tokens(self):
+        """Guards against slow token generation at engines with a full batch.
 
-        Sequence: short prompts fill the batch, each first token comes at
-        once, every answer slows. Cause: only the first token's delay counted.
+        Short prompts fill the batch: each first token arrives early, while all
+        answers slow down. A limit that considers only the delay of first
+        tokens keeps growing.
         """
         limit = _limit()
         for _ in range(100):
@@ -68,15 +69,15 @@
         self.assertLessEqual(0.002 * limit.limit_count, 0.032)
         self.assertGreaterEqual(limit.limit_count, 8)
 
-    def test_good_pace_changes_nothing(self):
+    def test_token_rate_within_the_target_keeps_the_limit(self):
         limit = _limit()
         before_count = limit.limit_count
         limit.on_answer(0.01, 0.028, before_count)
         self.assertEqual(limit.limit_count, before_count)
 
-    def test_refusals_at_once_are_one_event(self):
+    def test_simultaneous_refusals_reduce_the_limit_once(self):
         limit = concurrency.ConcurrencyLimit.from_config(
-            concurrency.ConcurrencySettings(first_limit_count=100.0)
+            concurrency.ConcurrencySettings(initial_limit_count=100.0)
         )
         for _ in range(20):
             limit.on_refused(10.0)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""The fair queue over customers."""
+"""Tests of the fair queue over customers."""
 
 import collections
 import unittest
@@ -27,11 +27,11 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    def test_flood_of_one_does_not_delay_the_others(self):
-        """All customers wait while one of them floods.
+    def test_flood_of_one_customer_does_not_delay_the_others(self):
+        """Guards against one customer's flood delaying all other customers.
 
-        Sequence: one customer queues a hundred requests, then nine others
-        queue one each. Cause: first come, first served.
+        One customer queues a hundred requests, then nine others queue one
+        each. In a first-come, first-served queue they wait for all hundred.
         """
         queue = _queue()
         for number in range(100):
@@ -42,7 +42,7 @@
         others = [item for item in first if item.startswith("other")]
         self.assertEqual(len(others), 9)
 
-    def test_service_follows_the_weights(self):
+    def test_service_is_in_proportion_to_the_weights(self):
         queue = _queue()
         for number in range(60):
             queue.push("heavy", f"heavy-{number}", cost=10, weight=3.0)
@@ -52,7 +52,7 @@
         )
         self.assertAlmostEqual(served["heavy"], 30, delta=1)
 
-    def test_service_is_counted_in_tokens(self):
+    def test_service_is_measured_in_tokens(self):
         queue = _queue()
         for number in range(100):
             queue.push("long", f"long-{number}", cost=900)
@@ -62,7 +62,7 @@
         )
         self.assertAlmostEqual(served["short"] / served["long"], 9, delta=2)
 
-    def test_idle_customer_saves_up_no_claim(self):
+    def test_idle_customer_earns_no_credit(self):
         queue = _queue()
         for number in range(50):
             queue.push("busy", f"busy-{number}", cost=10)
@@ -79,7 +79,7 @@
         queue.push("prairie", "second tag", cost=1, priority=7)
         self.assertEqual(_drain(queue, 3), ["verdict", "tag", "second tag"])
 
-    def test_expired_and_removed_requests_are_not_handed_out(self):
+    def test_expired_and_removed_requests_are_not_returned(self):
         queue = _queue()
         queue.push("prairie", "expired", cost=1, expires_s=5.0)
         removed = queue.push("prairie", "removed", cost=1).ticket
@@ -89,7 +89,7 @@
         self.assertEqual(_drain(queue, 3, now_s=10.0), ["waiting"])
         self.assertEqual(len(queue), 0)
 
-    def test_full_queue_takes_the_place_from_the_longest(self):
+    def test_full_queue_displaces_the_last_request_of_the_longest_queue(self):
         queue = _queue(entries_limit_count=10)
         for number in range(10):
             queue.push("flooding", f"flood-{number}", cost=1)
@@ -100,17 +100,17 @@
         refused = queue.push("flooding", "flood-10", cost=1)
         self.assertIsNone(refused.ticket)
 
-    def test_customer_is_bounded(self):
+    def test_waiting_requests_of_a_customer_are_bounded(self):
         queue = _queue(customer_limit_count=3)
         for number in range(5):
             queue.push("prairie", str(number), cost=1)
         self.assertEqual(queue.waiting_count("prairie"), 3)
 
-    def test_dead_tickets_do_not_pile_up(self):
-        """Memory grows while no engine has a place.
+    def test_stale_tickets_do_not_accumulate(self):
+        """Guards against memory growth while no engine has a free slot.
 
-        Sequence: callers queue and time out for hours, nothing is handed
-        out. Cause: their tickets stayed in the heaps until popped.
+        Requests are queued and time out for hours, and none is popped. Their
+        tickets must not stay in the heaps until then.
         """
         queue = _queue()
         queue.push("prairie", "stays", cost=1)
@@ -118,14 +118,14 @@
             queue.remove(queue.push("prairie", "x", cost=1).ticket)
             name = f"customer-{number % 5}"
             queue.remove(queue.push(name, "x", cost=1).ticket)
-        self.assertLess(queue.held_count, 200)
+        self.assertLess(queue.stored_entries_count, 200)
 
-    def test_customers_remembered_are_bounded(self):
+    def test_idle_customers_in_memory_are_bounded(self):
         queue = _queue(idle_limit_count=20)
         for number in range(500):
             queue.push(f"customer-{number}", "x", cost=1)
             queue.pop(0.0)
-        self.assertLess(queue.held_count, 80)
+        self.assertLess(queue.stored_entries_count, 80)
 
     @given(
         st.lists(
@@ -139,7 +139,7 @@
         )
     )
     @settings(derandomize=True, deadline=None)
-    def test_every_request_has_exactly_one_end(self, steps):
+    def test_every_request_leaves_the_queue_exactly_once(self, steps):
         queue = _queue(entries_limit_count=8, customer_limit_count=5)
         waiting = set()
         for number, (step, customer, cost, priority) in enumerate(steps):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Customers' limits, shared by the nodes."""
+"""Tests of customer rate limits and of their division among nodes."""
 
 import unittest
 from collections.abc import Collection, Mapping
@@ -35,7 +35,7 @@
     live_of: Mapping[str, Collection[str]],
     heard_by: Mapping[str, Collection[str]],
 ) -> float:
-    """Adds up all nodes' parts, each from what it heard."""
+    """Adds up all nodes' parts, each computed from the reports it received."""
     total = 0.0
     for node_id, live in live_of.items():
         heard = {n: reports[n] for n in heard_by[node_id] if n in reports}
@@ -52,7 +52,7 @@
             for number, node_id in enumerate(self.nodes)
         }
 
-    def test_demand_draws_the_share(self):
+    def test_node_with_the_demand_gets_the_share(self):
         division = shares.divide("entry-0", self.nodes, 9, self.reports, _ROUND)
         busy = division.part_of("entry-0", _CUSTOMER)
         idle = division.part_of("entry-1", _CUSTOMER)
@@ -67,12 +67,12 @@
         part = division.part_of("entry-5", "unheard-of")
         self.assertAlmostEqual(part.tokens_share, 1 / 9)
 
-    def test_missing_report_leaves_an_equal_part(self):
+    def test_missing_or_unusable_report_gives_an_equal_part(self):
         cases = {
             "lost": {n: r for n, r in self.reports.items() if n != "entry-3"},
-            "of an earlier round": self.reports
+            "from an earlier round": self.reports
             | {"entry-3": _report("entry-3", self.nodes, 0.0, _ROUND - 1)},
-            "other picture of the nodes": self.reports
+            "other view of the live nodes": self.reports
             | {"entry-3": _report("entry-3", self.nodes[:8], 0.0)},
         }
         for name, reports in cases.items():
@@ -83,11 +83,12 @@
                 part = division.part_of("entry-0", _CUSTOMER)
                 self.assertAlmostEqual(part.requests_share, 1 / 9)
 
-    def test_zone_cut_off_uses_its_part_by_its_own_demand(self):
-        """A cut between zones doubles a customer's limit.
+    def test_partition_divides_the_limit_in_proportion_to_its_nodes(self):
+        """Guards against a network partition doubling a customer's limit.
 
-        Sequence: three of nine nodes lose the six others; both sides go on.
-        Cause: each side would divide the whole limit among itself.
+        Three of nine nodes lose contact with the six others, and both sides
+        continue. Without a part for the missing nodes, each side would divide
+        the whole limit among its own nodes.
         """
         near, far = self.nodes[:3], self.nodes[3:]
         live_of = {n: near if n in near else far for n in self.nodes}
@@ -103,11 +104,14 @@
 
     @given(st.data(), st.integers(1, 8))
     @settings(derandomize=True, deadline=None, max_examples=200)
-    def test_sum_is_bounded_whatever_is_lost(self, data, count):
-        """Lost heartbeats and differing pictures let a customer run free.
-
-        Any picture of the live nodes and any loss of reports: the sum stays
-        within limit * (1 + m / nodes), m being the nodes that fell back.
+    def test_sum_is_bounded_for_any_lost_reports_and_any_live_sets(
+        self, data, count
+    ):
+        """Guards against lost heartbeats or differing views lifting a limit.
+
+        For any live set at each node and any loss of reports, the sum stays
+        within limit * (1 + m / nodes), where m nodes fell back to an equal
+        part.
         """
         nodes = _node_ids(count)
         subsets = st.sets(st.sampled_from(nodes))
@@ -127,7 +131,7 @@
 
     @given(st.lists(st.floats(0, 1_000), min_size=1, max_size=12))
     @settings(derandomize=True, deadline=None)
-    def test_sum_is_the_limit_when_all_is_heard(self, demands):
+    def test_sum_is_the_limit_when_all_reports_arrive(self, demands):
         nodes = _node_ids(len(demands))
         reports = {
             n: _report(n, nodes, demand)
@@ -159,12 +163,12 @@
             node.take(_CUSTOMER, tokens, now_s).is_ok() for now_s in instants
         )
 
-    def test_customer_without_limit_passes(self):
+    def test_customer_without_limit_is_not_limited(self):
         node = self._limits(limits.CustomerLimit(requests_per_s=1.0))
         for _ in range(100):
             self.assertTrue(node.take("solano", 10**6, 0.0).is_ok())
 
-    def test_rate_is_held(self):
+    def test_rate_limit_is_enforced(self):
         cases = {
             "requests": (limits.CustomerLimit(requests_per_s=10.0), 1.0, 10),
             "tokens": (limits.CustomerLimit(tokens_per_s=500.0), 50.0, 10),
@@ -180,7 +184,7 @@
                 self.assertLessEqual(passed, rate_per_s * 12 + 1)
                 self.assertGreaterEqual(passed, rate_per_s * 10)
 
-    def test_refusal_says_when_the_share_allows_it(self):
+    def test_refused_request_is_allowed_after_its_retry_after_time(self):
         node = self._limits(limits.CustomerLimit(requests_per_s=0.5))
         self.assertTrue(node.take(_CUSTOMER, 1, 0.0).is_ok())
         error = node.take(_CUSTOMER, 1, 0.0).unwrap_err()
@@ -188,28 +192,29 @@
         later_s = error.retry_after_s + 0.001
         self.assertTrue(node.take(_CUSTOMER, 1, later_s).is_ok())
 
-    def test_limit_of_zero_lets_nothing_pass(self):
+    def test_limit_of_zero_allows_no_request(self):
         node = self._limits(limits.CustomerLimit(requests_per_s=0.0))
         error = node.take(_CUSTOMER, 1, 0.0).unwrap_err()
         self.assertIsNone(error.retry_after_s)
 
-    def test_request_above_the_burst_passes_and_leaves_a_debt(self):
+    def test_request_above_the_burst_is_allowed_and_leaves_a_debt(self):
         node = self._limits(limits.CustomerLimit(tokens_per_s=100.0))
         self.assertTrue(node.take(_CUSTOMER, 1_000, 0.0).is_ok())
         self.assertTrue(node.take(_CUSTOMER, 1, 7.0).is_err())
         self.assertTrue(node.take(_CUSTOMER, 1, 9.0).is_ok())
 
-    def test_unused_tokens_are_given_back(self):
+    def test_unused_tokens_are_returned(self):
         node = self._limits(limits.CustomerLimit(tokens_per_s=100.0))
         node.take(_CUSTOMER, 200, 0.0)
         node.settle(_CUSTOMER, 200, 10)
         self.assertTrue(node.take(_CUSTOMER, 150, 0.0).is_ok())
 
-    def test_refused_requests_show_as_demand(self):
-        """A node with a small share never gets a larger one.
+    def test_refused_requests_count_as_demand(self):
+        """Guards against a node with a small share never getting a larger one.
 
-        Sequence: all of a customer's load arrives at one node, which refuses
-        most of it. Cause: only what passed was reported as demand.
+        All of a customer's load arrives at one node, which refuses most of it.
+        If only allowed requests counted as demand, the node's share would stay
+        small.
         """
         node = self._limits(
             limits.CustomerLimit(requests_per_s=9.0), nodes_count=9
@@ -218,7 +223,7 @@
         (demand,) = node.demand(10.0)
         self.assertGreater(demand.requests_per_s, 40)
 
-    def test_reported_customers_are_bounded_and_the_busiest(self):
+    def test_only_the_busiest_customers_are_reported(self):
         names = [f"customer-{number:03}" for number in range(370)]
         limit = limits.CustomerLimit(tokens_per_s=10.0**6)
         node = limits.CustomerLimits.from_config(
@@ -229,7 +234,7 @@
         reported = [demand.customer for demand in node.demand(0.0)]
         self.assertEqual(reported, names[:-17:-1])
 
-    def test_new_configuration_changes_the_rate(self):
+    def test_new_configuration_changes_the_rate_limit(self):
         node = self._limits(limits.CustomerLimit(requests_per_s=1.0))
         new = limits.CustomerLimit(requests_per_s=100.0)
         node.set_limits({_CUSTOMER: new}, 0.0)
