--- a/src/mulberrywharf/policy/__init__.py
+++ b/src/mulberrywharf/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on typed views; nothing here opens a socket or sleeps."""
+"""Policies: decisions on typed data, without network access or sleeping."""
--- a/src/mulberrywharf/policy/crash_suspects.py
+++ b/src/mulberrywharf/policy/crash_suspects.py
@@ -1,13 +1,13 @@
-"""Which requests are suspected of ending the servers that run them.
+"""Tracks which requests are suspected of crashing the servers that run them.
 
-A request may end each server that runs it, such as a prompt that an engine
-can't take. Repeated by its caller, it takes one server after the other away
-from everybody else. From outside it looks like any request that happened to be
-there: all that a server was working on breaks off together.
+A request may crash every server that runs it, such as a prompt that an engine
+cannot process. If its caller repeats it, one server after another becomes
+unavailable to all other requests. A single crash does not show which request
+caused it, because all requests in progress on the server fail together.
 
-What tells it apart is that it is there each time. A request that ever ended
-whole is none. One without any output is more likely the cause than one whose
-answer was under way.
+The cause is identified by being in progress at every crash. A request that
+completed is not the cause. A request without any output is a more likely cause
+than one that was already producing its answer.
 """
 
 import collections
@@ -15,25 +15,25 @@
 from typing import NamedTuple
 
 ENDS_LIMIT_COUNT = 3
-"""Servers that may end under a request before it is blocked, whatever else
-they were working on."""
+"""Number of servers ending while they run a request at which the request is
+blocked, regardless of the other requests that they were running."""
 
 SURE_ENDS_COUNT = 2
-"""The same for a request that had no output at either and is the only one that
-was at both."""
+"""The same number for a request that had produced no output on these servers,
+if it is the only such request that they have in common."""
 
 KEPT_S = 600.0
-"""A request is suspected for so long behind the last end: a new version of its
-service may take it."""
+"""Time after the last server end for which a request stays suspected. It
+expires because a new version of the service may be able to run the request."""
 
 COMPLETED_KEPT_S = 10.0
-"""A request that ended whole is not suspected for so long. Without it, one
-that many callers send would be blocked when all servers of a service end
-together."""
+"""Time after its completion for which a request is not suspected. Without this,
+a request that many callers send would be blocked when all servers of a service
+end together."""
 
 RECENT_END_S = 8.0
-"""How long after a server ended without output the request it was running is
-not sent to the last server of a kind. Servers usually restart within
+"""Time after a server ended without output from a request in which the request
+is not sent to the last server of a kind. Servers usually restart within
 seconds."""
 
 SUSPECTS_LIMIT_COUNT = 1_024
@@ -42,12 +42,12 @@
 
 
 class End(NamedTuple):
-    """The end of a server under a request.
+    """The end of a server while it ran a request.
 
     Attributes:
-        server_key: Names the start of the server that ended.
-        made_output: Whether any of the answer had come.
-        at_s: Monotonic instant of it.
+        server_key: Identifies the start of the server that ended.
+        made_output: Whether any part of the answer had arrived.
+        at_s: Monotonic time of the end.
     """
 
     server_key: int
@@ -56,11 +56,11 @@
 
 
 class CrashSuspects:
-    """Remembers under which requests servers ended.
+    """Records which requests were running when servers ended.
 
-    Requests are named by their fingerprints. What is noted twice counts once,
-    and the order does not matter, so gateways that tell each other what they
-    saw come to the same verdict.
+    Requests are identified by their fingerprints. Recording is idempotent and
+    independent of the order, so gateways that exchange their observations
+    block the same requests.
     """
 
     def __init__(self) -> None:
@@ -72,10 +72,11 @@
         )
 
     def note_end(self, fingerprint: int, end: End) -> bool:
-        """Takes in that a server ended under a request.
+        """Records that a server ended while it ran a request.
 
         Returns:
-            Whether that was not known before.
+            Whether this is new information; False also for a request that
+            completed recently.
         """
         self._drop_expired(end.at_s)
         if fingerprint in self._completed_s:
@@ -93,10 +94,10 @@
         return True
 
     def note_whole(self, fingerprint: int, now_s: float) -> bool:
-        """Takes in that a request ended whole, which clears it.
+        """Records that a request completed, which clears the suspicion.
 
         Returns:
-            Whether it was suspected.
+            Whether the request was suspected.
         """
         self._completed_s[fingerprint] = now_s
         self._completed_s.move_to_end(fingerprint)
@@ -105,16 +106,16 @@
         return self._ends.pop(fingerprint, None) is not None
 
     def ends(self, fingerprint: int, now_s: float) -> tuple[End, ...]:
-        """Returns the ends of servers under a request, the first one first."""
+        """Returns the server ends of a request, in the order first recorded."""
         self._drop_expired(now_s)
         return tuple(self._ends.get(fingerprint, {}).values())
 
     def has_end(self, fingerprint: int, server_key: int) -> bool:
-        """Tells whether the end of a server under a request is known."""
+        """Returns whether the end of a server is recorded for a request."""
         return server_key in self._ends.get(fingerprint, {})
 
     def is_recent_suspect(self, fingerprint: int, now_s: float) -> bool:
-        """Tells whether a server ended under a request without any output.
+        """Returns whether a server recently ended before any output.
 
         Ends that are ``RECENT_END_S`` old or older do not count.
         """
@@ -130,17 +131,19 @@
         )
 
     def is_blocked(self, fingerprint: int, now_s: float) -> bool:
-        """Tells whether a request must not be sent to any server."""
+        """Returns whether a request must not be sent to any server."""
         ends = self.ends(fingerprint, now_s)
         if len(ends) >= ENDS_LIMIT_COUNT:
             return True
-        bare = _ended_without_output(ends)
-        return len(bare) >= SURE_ENDS_COUNT and self._is_only_common_request(
-            fingerprint, bare
+        server_keys = _ended_without_output(ends)
+        return len(
+            server_keys
+        ) >= SURE_ENDS_COUNT and self._is_only_common_request(
+            fingerprint, server_keys
         )
 
     def blocked_for_s(self, fingerprint: int, now_s: float) -> float:
-        """Returns for how long a blocked request stays blocked."""
+        """Returns the remaining time for which a request stays blocked."""
         ends = self.ends(fingerprint, now_s)
         last_s = max((end.at_s for end in ends), default=now_s - KEPT_S)
         return last_s + KEPT_S - now_s
@@ -148,7 +151,11 @@
     def blocked(self, now_s: float) -> list[int]:
         """Returns the fingerprints of all blocked requests."""
         self._drop_expired(now_s)
-        return [one for one in self._ends if self.is_blocked(one, now_s)]
+        return [
+            fingerprint
+            for fingerprint in self._ends
+            if self.is_blocked(fingerprint, now_s)
+        ]
 
     @property
     def is_empty(self) -> bool:
@@ -166,7 +173,7 @@
         )
 
     def _drop_expired(self, now_s: float) -> None:
-        """Drops what is too old; both tables are about in order of time."""
+        """Drops expired entries; both tables are roughly ordered by time."""
         while self._ends:
             oldest = next(iter(self._ends))
             last_s = max(end.at_s for end in self._ends[oldest].values())
@@ -181,5 +188,5 @@
 
 
 def _ended_without_output(ends: Iterable[End]) -> frozenset[int]:
-    """Returns the servers that ended before they made any output."""
+    """Returns the keys of servers that ended before any output."""
     return frozenset(end.server_key for end in ends if not end.made_output)
--- a/src/mulberrywharf/policy/fairness.py
+++ b/src/mulberrywharf/policy/fairness.py
@@ -93,8 +93,8 @@
         heap: Entries (priority, sequence number, ticket).
         waiting_count: Requests that wait; the heap may hold stale entries too.
         weight: Weight of the customer.
-        start: Start tag, the virtual time at which its next request starts.
-        finish: Finish tag, the virtual time at which its last one finishes.
+        start: Start tag: the virtual start time of its next request.
+        finish: Finish tag: the virtual finish time of its last popped request.
     """
 
     __slots__ = ("finish", "heap", "start", "waiting_count", "weight")
@@ -154,7 +154,7 @@
         priority: int = 5,
         expires_s: float = float("inf"),
     ) -> PushResult[Item]:
-        """Queues a request, or refuses it when the queue is full.
+        """Queues a request, or refuses it if it exceeds a limit of the queue.
 
         Args:
             customer: Customer that sent the request.
--- a/src/mulberrywharf/policy/outcome.py
+++ b/src/mulberrywharf/policy/outcome.py
@@ -1,15 +1,16 @@
-"""What a failed exchange means: may it be tried again, and did it run?"""
+"""Classifies failed exchanges: may they be retried, and did the request run?"""
 
 from typing import Literal, NamedTuple
 
 from mulberrywharf import errors
 
 Progress = Literal["nothing-sent", "refused", "sent", "answer-began"]
-"""How far an exchange went before it failed.
+"""How far an exchange got before it failed.
 
-``nothing-sent``: no byte of the request left this process. ``refused``: the
-back end answered in full that it did not run the request. ``sent``: at least
-one byte left and no answer came. ``answer-began``: a part of the answer came.
+``nothing-sent``: No byte of the request left this process. ``refused``: The
+back end's complete answer says that it did not run the request. ``sent``: At
+least one byte left and no answer arrived. ``answer-began``: A part of the
+answer arrived.
 """
 
 
@@ -17,10 +18,10 @@
     """What may follow a failed exchange.
 
     Attributes:
-        may_retry: Whether another attempt cannot break a promise.
-        may_resume: Whether a generation may go on elsewhere from the tokens
-            that were already delivered.
-        outcome: What the caller is told if no further attempt is made.
+        may_retry: Whether another attempt is safe.
+        may_resume: Whether another engine may continue the generation after
+            the tokens already delivered.
+        outcome: Outcome reported to the caller if no further attempt is made.
     """
 
     may_retry: bool
@@ -29,20 +30,22 @@
 
 
 def judge(progress: Progress, *, is_idempotent: bool) -> Verdict:
-    """Judges one failed exchange.
+    """Classifies one failed exchange.
 
-    A request that is not idempotent is never sent again once a byte of it
-    has left: the back end may have run it although no answer came, and a
-    second run would, for one, pay a server twice.
+    Once a byte of a request that is not idempotent has left, it is sent again
+    only if the back end refused it. Otherwise the back end may have run it
+    although no answer arrived, and a second run could, for example, make a
+    payment twice.
 
     Args:
-        progress: How far the exchange went.
-        is_idempotent: Whether running the request twice is harmless.
+        progress: How far the exchange got.
+        is_idempotent: Whether the request may safely run twice.
     """
     did_not_run = progress in ("nothing-sent", "refused")
     if did_not_run:
         return Verdict(may_retry=True, may_resume=False, outcome="not-run")
-    # The caller has a part of the answer, so a fresh attempt would repeat it.
+    # The caller already has a part of the answer; a new attempt would send it
+    # again.
     has_answer_part = progress == "answer-began"
     return Verdict(
         may_retry=is_idempotent and not has_answer_part,
@@ -52,7 +55,7 @@
 
 
 def combine(earlier: errors.Outcome, later: errors.Outcome) -> errors.Outcome:
-    """Returns the outcome of two attempts: not run only if neither ran."""
+    """Combines two outcomes: not run only if neither attempt ran."""
     if earlier == "not-run" and later == "not-run":
         return "not-run"
     return "unknown"
--- a/src/mulberrywharf/policy/repeat_budget.py
+++ b/src/mulberrywharf/policy/repeat_budget.py
@@ -1,9 +1,10 @@
-"""How many requests a node may send to a second server of a service.
+"""Budget of the requests that a node may repeat at a second server.
 
-All nodes share one budget: in any window, repeats of a service may be a share
-of the requests for it, and some more. No message is needed to keep it: each
-node spends the share of what it sees itself, so the sum keeps the whole, and
-its part of the fixed allowance.
+All nodes share one budget per service: in any window, repeats may be a fraction
+of the requests for the service, plus a fixed allowance. Nodes need no messages
+to keep within it. Each node spends only the fraction of the requests that it
+sees itself and its equal part of the allowance, so the sum is within the
+budget.
 """
 
 import collections
@@ -11,22 +12,22 @@
 from typing import NamedTuple
 
 WINDOW_BUCKETS_COUNT = 10
-"""Parts of the window that are counted apart; a finer count costs memory and
-gains at most a tenth of the budget."""
+"""Number of buckets of the sliding window. More buckets cost memory and gain at
+most a tenth of the budget."""
 
 USABLE_SHARE = 0.8
-"""Part of the share that is spent. The operators' window slides and counts at
-the servers; requests that arrive there a moment later than here would else
-exceed it by a few."""
+"""Fraction of ``ratio`` that is spent. The operators count at the servers, in a
+sliding window, and requests arrive there slightly later than they are counted
+here. Without this margin, repeats could exceed the budget by a few."""
 
 
 class RepeatBudgetSettings(NamedTuple):
-    """Bounds on repeats.
+    """Limits on repeats.
 
     Attributes:
-        ratio: Repeats for each request, over all nodes.
-        window_s: Length of the window in which both are counted.
-        allowance_count: Repeats beyond that in each window, over all nodes.
+        ratio: Maximum repeats per request, over all nodes.
+        window_s: Length of the sliding window for both counts.
+        allowance_count: Additional repeats in each window, over all nodes.
     """
 
     ratio: float = 0.2
@@ -35,7 +36,7 @@
 
 
 class _Window:
-    """Counts of one service in the parts of the sliding window."""
+    """Counts of one service, by bucket of the sliding window."""
 
     def __init__(self) -> None:
         self.requests: collections.Counter[int] = collections.Counter()
@@ -48,15 +49,15 @@
 
 
 class RepeatBudget:
-    """The repeats that one node may still send, by service."""
+    """Budget of one node's repeats, by service."""
 
     def __init__(
         self, settings: RepeatBudgetSettings, nodes_count: Callable[[], int]
     ):
-        """Makes a budget that is not spent.
+        """Makes a budget of which nothing is spent.
 
         Args:
-            settings: Its bounds.
+            settings: Limits on repeats.
             nodes_count: Returns how many nodes share the allowance.
         """
         self._settings = settings
@@ -65,19 +66,19 @@
         self._windows: dict[str, _Window] = {}
 
     def configure(self, settings: RepeatBudgetSettings) -> None:
-        """Changes the bounds; what was counted stays where the window does."""
+        """Changes the limits; a new window length resets the counts."""
         if settings.window_s != self._settings.window_s:
             self._windows.clear()
         self._settings = settings
         self._bucket_s = settings.window_s / WINDOW_BUCKETS_COUNT
 
     def note_request(self, service: str, now_s: float) -> None:
-        """Counts a request of a caller for the service."""
+        """Counts a caller's request for the service."""
         window, bucket = self._window(service, now_s)
         window.requests[bucket] += 1
 
     def take(self, service: str, now_s: float) -> bool:
-        """Takes one repeat; False if the budget of the window is spent."""
+        """Takes one repeat; returns False if the window's budget is spent."""
         window, bucket = self._window(service, now_s)
         settings = self._settings
         allowed = (
--- a/src/mulberrywharf/policy/retry_budget.py
+++ b/src/mulberrywharf/policy/retry_budget.py
@@ -1,10 +1,11 @@
-"""Decides whether a failed request is tried again, and when.
-
-When a part of the fleet fails, retries multiply the load on what is left.
-Every first attempt therefore earns a small part of a retry for its customer
-and for the whole node; a retry must be paid from both. A small floor lets
-retries happen at low load. Waits are drawn at random from zero to a bound
-that doubles (full jitter), so that callers do not come back in step.
+"""Decides whether and when a failed request is retried.
+
+When a part of the fleet fails, retries multiply the load on the rest. Each
+first attempt therefore adds a fraction of a retry to the budget of its customer
+and to the budget of the node, and a retry is taken from both. A small
+additional rate allows retries at low load. Backoff delays are random between
+zero and an exponentially growing bound (full jitter), so that requests that
+failed together are not retried at the same time.
 """
 
 import collections
@@ -16,19 +17,20 @@
 
 
 class RetrySettings(NamedTuple):
-    """Bounds of retries.
+    """Limits on retries.
 
     Attributes:
-        retry_share: Retries earned by each first attempt.
-        floor_per_s: Retries that the whole node earns each second besides.
-        customer_floor_per_s: The same for each customer.
-        burst_count: Most retries saved up by the whole node.
-        customer_burst_count: Most retries saved up by a customer.
-        attempts_limit_count: Most attempts of one request.
-        initial_backoff_s: Bound of the first wait.
-        backoff_limit_s: Bound of any wait.
-        customers_limit_count: Customers remembered; the one not seen for
-            longest goes first.
+        retry_share: Retries that each first attempt adds to the budgets.
+        floor_per_s: Retries per second that the node's budget gains in any
+            case.
+        customer_floor_per_s: The same for the budget of each customer.
+        burst_count: Maximum retries in the node's budget.
+        customer_burst_count: Maximum retries in a customer's budget.
+        attempts_limit_count: Maximum attempts of one request.
+        initial_backoff_s: Upper bound of the first backoff delay.
+        backoff_limit_s: Upper bound of any backoff delay.
+        customers_limit_count: Maximum customers whose budget is kept; the
+            least recently used one is evicted.
     """
 
     retry_share: float = 0.1
@@ -46,14 +48,14 @@
     """A request whose last attempt failed.
 
     Attributes:
-        customer: Whose request it is.
+        customer: Customer that sent the request.
         attempt_count: Attempts made so far, at least 1.
-        progress: How far the last attempt went.
-        is_idempotent: Whether running it twice is harmless.
-        time_left_s: Until the caller's deadline.
-        expected_s: What another attempt would take at least.
-        outcome: Outcome of all attempts before the last.
-        retry_after_s: Wait that the back end asked for, or 0.
+        progress: How far the last attempt got.
+        is_idempotent: Whether the request may safely run twice.
+        time_left_s: Time until the caller's deadline.
+        expected_s: Minimum duration of another attempt.
+        outcome: Combined outcome of all attempts before the last.
+        retry_after_s: Delay that the back end asked for, or 0.
     """
 
     customer: str
@@ -67,11 +69,11 @@
 
 
 class Retry(NamedTuple):
-    """Try again after a wait.
+    """The request should be retried after a delay.
 
     Attributes:
-        after_s: How long to wait first.
-        is_resume: Whether to go on from the tokens already delivered.
+        after_s: Delay before the retry.
+        is_resume: Whether to continue after the tokens already delivered.
     """
 
     after_s: float
@@ -79,17 +81,17 @@
 
 
 class GiveUp(NamedTuple):
-    """Answer the caller now.
+    """The request should fail now.
 
     Attributes:
-        error: What to answer.
+        error: Error returned to the caller.
     """
 
     error: errors.RequestError
 
 
 class RetryBudget:
-    """The retry budgets of one node."""
+    """The retry budgets of one node and of its customers."""
 
     def __init__(self, settings: RetrySettings, now_s: float):
         self._settings = settings
@@ -104,16 +106,16 @@
     def from_config(
         cls, now_s: float, settings: RetrySettings | None = None
     ) -> "RetryBudget":
-        """Makes full budgets, with the default bounds when none given."""
+        """Makes full budgets; uses default settings when None."""
         return cls(settings or RetrySettings(), now_s)
 
     @property
     def customers_count(self) -> int:
-        """Customers whose budget is remembered."""
+        """Number of customers whose budget is kept."""
         return len(self._customer_buckets)
 
     def on_first_attempt(self, customer: str, now_s: float) -> None:
-        """Earns for a request that is tried for the first time."""
+        """Adds the retries that a request's first attempt earns."""
         earned = self._settings.retry_share
         for bucket in (
             self._node_bucket,
@@ -125,7 +127,10 @@
     def decide(
         self, attempt: FailedAttempt, rng: random.Random, now_s: float
     ) -> Retry | GiveUp:
-        """Decides what follows a failed attempt; a retry is paid at once."""
+        """Decides what follows a failed attempt.
+
+        A retry is taken from the budgets immediately.
+        """
         verdict = outcome.judge(
             attempt.progress, is_idempotent=attempt.is_idempotent
         )
@@ -147,7 +152,7 @@
         if after_s + attempt.expected_s >= attempt.time_left_s:
             return GiveUp(
                 errors.DeadlineExceededError(
-                    "no attempt fits before the deadline",
+                    "another attempt would not finish before the deadline",
                     outcome=outcome_so_far,
                 )
             )
--- a/src/mulberrywharf/policy/server_choice.py
+++ b/src/mulberrywharf/policy/server_choice.py
@@ -1,8 +1,9 @@
-"""Chooses the server of a plain service.
+"""Chooses the server for a request to a plain service.
 
-The load it answers: a few servers with few slots each, whose callers expect
-an answer within some five times the work it takes, some servers of which turn
-slow or fail a part of their requests while they report themselves healthy.
+Made for services with a few servers of a few slots each, whose callers expect
+an answer within about five times the processing time. Some of the servers
+become slow or fail a part of their requests while they report that they are
+healthy.
 """
 
 import random
@@ -12,18 +13,19 @@
 from mulberrywharf import fleet
 
 OTHER_ZONE_COST = 0.15
-"""In shares of a server's slots: the own zone is left once it is that much
-fuller. A hop to another zone takes about 1 ms of some 20 ms of work, and its
-bytes are paid for."""
+"""Cost of a server in another zone; 1 is the cost of all slots in use. A server
+in this node's own zone is preferred until it is fuller by this fraction of its
+slots. A hop to another zone adds about 1 ms to about 20 ms of work, and its
+traffic is billed."""
 
 FAILURE_COST = 2.0
-"""In shares of slots for a server that fails everything. One that fails a
-tenth more than its peers is left when it is a fifth fuller, so that noise in
-the failures of a healthy service moves little load."""
+"""Cost of a server that fails all requests; 1 is the cost of all slots in use.
+A failure share that is 0.1 higher costs as much as another fifth of the slots
+in use, so that random failures of a healthy service shift little load."""
 
 SUSPECT_COST = 10.0
-"""More than any load: a server that did not answer gets work only when every
-other one did not answer either."""
+"""Exceeds the cost of any load: a server that did not answer gets requests only
+if no other server answered either."""
 
 
 class Candidate(NamedTuple):
@@ -31,12 +33,13 @@
 
     Attributes:
         server: The server.
-        own_count: Requests that this node has there.
-        others_count: Requests that other nodes are believed to have there.
-        failure_share: Share of its recent answers that were failures.
-        pace: Its recent answer time against that of its peers, 1 for equal.
-        is_suspected: Whether it did not answer a moment ago.
-        is_near: Whether it stands in the node's availability zone.
+        own_count: This node's requests in flight at the server.
+        others_count: Estimated requests in flight there from other nodes.
+        failure_share: Fraction of its recent answers that were failures.
+        pace: Its recent answer time relative to its peers; 1 if equal, more if
+            it is slower.
+        is_suspected: Whether it recently did not answer.
+        is_near: Whether it is in this node's availability zone.
     """
 
     server: fleet.Server
@@ -49,7 +52,7 @@
 
 
 def cost(candidate: Candidate) -> float:
-    """Returns what sending one more request there costs, in shares of slots."""
+    """Returns the cost of one more request; 1 is that of all slots in use."""
     busy_count = candidate.own_count + candidate.others_count + 1
     occupied_share = busy_count / max(1, candidate.server.slots_count)
     return (
@@ -63,12 +66,15 @@
 def choose(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Candidate | None:
-    """Returns the cheapest candidate, one of the equals at random.
+    """Returns the candidate of the lowest cost; ties are broken at random.
 
     Args:
         candidates: Servers that the request was not sent to yet.
-        rng: Breaks ties, so that nodes in step do not choose alike.
+        rng: Breaks ties, so that nodes that choose at the same time do not all
+            choose the same server.
     """
     if not candidates:
         return None
-    return min(candidates, key=lambda one: (cost(one), rng.random()))
+    return min(
+        candidates, key=lambda candidate: (cost(candidate), rng.random())
+    )
--- a/src/mulberrywharf/policy/suspicion.py
+++ b/src/mulberrywharf/policy/suspicion.py
@@ -1,11 +1,11 @@
-"""Which VMs are believed to be alive, from what several observers say.
-
-One observer that no longer hears a VM may have lost only its own link, so a
-VM is suspected only when most of those who observe it agree. And when most of
-the VMs look dead at once, the observer is more likely to be cut off, or the
-list wrong, than the fleet gone: the picture is then distrusted and all are
-kept, since sending work to a dead VM costs a retry while dropping the living
-costs the service.
+"""Failure detection: which VMs are believed to be alive.
+
+An observer that receives no heartbeats of a VM may only have lost its own link
+to it, so a VM is suspected only when most of its observers suspect it. When
+most VMs seem dead at the same time, it is more likely that this node is
+partitioned or that the VM list is wrong than that the fleet has failed. The
+result is then distrusted and all VMs are kept: sending work to a dead VM costs
+a retry, while dropping live VMs costs the service.
 """
 
 import collections
@@ -16,13 +16,13 @@
 
 
 class SuspicionSettings(NamedTuple):
-    """Bounds of suspicion.
+    """Thresholds of failure detection.
 
     Attributes:
-        observation_lifetime_s: Observations older than this do not count.
-        quorum_share: Suspected when more than this part of its observers
-            suspect it.
-        distrust_share: The picture is distrusted when more than this part
+        observation_lifetime_s: Age above which observations are ignored.
+        quorum_share: A VM is suspected when more than this fraction of its
+            observers suspect it.
+        distrust_share: The result is distrusted when more than this fraction
             of the VMs is suspected.
     """
 
@@ -32,13 +32,13 @@
 
 
 class Observation(NamedTuple):
-    """What one observer says of one VM.
+    """One observer's report on one VM.
 
     Attributes:
-        observer_id: Who says it.
-        vm_id: Of whom.
-        is_suspected: Whether the observer no longer hears it.
-        observed_s: When, on the clock of the one who judges.
+        observer_id: VM that reports.
+        vm_id: VM that is reported on.
+        is_suspected: Whether the observer no longer receives its heartbeats.
+        observed_s: Time of the observation, on the evaluating node's clock.
     """
 
     observer_id: str
@@ -48,14 +48,14 @@
 
 
 class Membership(NamedTuple):
-    """The VMs as they are believed to be.
+    """The believed state of the VMs.
 
     Attributes:
         live: VMs that may get new work.
-        suspected: VMs that most observers no longer hear.
-        leaving: VMs that finish what they have and get no new work.
-        distrusted: True when the picture was set aside; ``live`` then holds
-            the suspected ones too.
+        suspected: VMs that most observers no longer receive heartbeats from.
+        leaving: VMs that finish their current work and get no new work.
+        distrusted: Whether the suspicions are ignored because too many VMs are
+            suspected; ``live`` then includes the suspected ones.
     """
 
     live: frozenset[str]
@@ -70,14 +70,14 @@
     now_s: float,
     settings: SuspicionSettings | None = None,
 ) -> Membership:
-    """Judges which VMs are alive.
+    """Determines which VMs are believed to be alive.
 
     Args:
-        observations: The last word of each observer on each VM, in any
-            order; of several words of one observer the newest counts.
-        vms: The VMs in question, as the VM list has them.
-        now_s: The present.
-        settings: Bounds; the defaults when None.
+        observations: Observations of each VM, in any order. Of several by the
+            same observer, the newest counts.
+        vms: The VMs to evaluate, from the VM list.
+        now_s: Current time.
+        settings: Thresholds; the defaults if None.
     """
     settings = settings or SuspicionSettings()
     leaving = frozenset(vm.vm_id for vm in vms if vm.state == "leaving")
@@ -102,26 +102,28 @@
     now_s: float,
     settings: SuspicionSettings,
 ) -> dict[str, dict[str, Observation]]:
-    """Returns the newest fresh word on each VM by each observer."""
+    """Returns each observer's newest unexpired observation, by VM."""
     newest: dict[str, dict[str, Observation]] = collections.defaultdict(dict)
     for observation in observations:
         age_s = now_s - observation.observed_s
         if age_s > settings.observation_lifetime_s:
             continue
-        # Nobody is a witness of his own life or death.
+        # A VM's observation of itself does not count.
         if observation.observer_id == observation.vm_id:
             continue
-        words = newest[observation.vm_id]
-        before = words.get(observation.observer_id)
-        if before is None or before.observed_s <= observation.observed_s:
-            words[observation.observer_id] = observation
+        by_observer = newest[observation.vm_id]
+        previous = by_observer.get(observation.observer_id)
+        if previous is None or previous.observed_s <= observation.observed_s:
+            by_observer[observation.observer_id] = observation
     return newest
 
 
 def _is_suspected(
-    words: dict[str, Observation], settings: SuspicionSettings
+    by_observer: dict[str, Observation], settings: SuspicionSettings
 ) -> bool:
-    if not words:
+    if not by_observer:
         return False
-    against_count = sum(word.is_suspected for word in words.values())
-    return against_count > settings.quorum_share * len(words)
+    suspecting_count = sum(
+        observation.is_suspected for observation in by_observer.values()
+    )
+    return suspecting_count > settings.quorum_share * len(by_observer)
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are blocked for the ends of servers under them."""
+"""Tests of which requests are blocked because servers ended running them."""
 
 import itertools
 import unittest
@@ -22,7 +22,7 @@
     def blocked(self, now_s: float = 1.0) -> list[int]:
         return self.suspects.blocked(now_s)
 
-    def test_an_end_without_output_makes_a_request_suspected(self) -> None:
+    def test_request_is_a_recent_suspect_only_without_output(self) -> None:
         self.suspects.note_end(CULPRIT, end(10))
         self.suspects.note_end(OTHER, end(10, made_output=True))
         self.assertTrue(self.suspects.is_recent_suspect(CULPRIT, 0.0))
@@ -34,11 +34,11 @@
         )
         self.assertEqual(self.suspects.ended_servers(), {10})
 
-    def test_one_end_blocks_nobody(self) -> None:
+    def test_one_end_blocks_no_request(self) -> None:
         self.suspects.note_end(CULPRIT, end(10))
         self.assertEqual(self.blocked(), [])
 
-    def test_who_was_at_both_alone_is_blocked(self) -> None:
+    def test_only_request_on_both_ended_servers_is_blocked(self) -> None:
         for fingerprint, server_key in [
             (CULPRIT, 10),
             (OTHER, 10),
@@ -48,7 +48,9 @@
             self.suspects.note_end(fingerprint, end(server_key))
         self.assertEqual(self.blocked(), [CULPRIT])
 
-    def test_two_that_were_at_both_are_not_told_apart(self) -> None:
+    def test_two_common_requests_are_not_blocked_until_one_completes(
+        self,
+    ) -> None:
         for fingerprint, server_key in itertools.product(
             (CULPRIT, OTHER), (10, 11)
         ):
@@ -57,7 +59,7 @@
         self.suspects.note_whole(OTHER, 0.5)
         self.assertEqual(self.blocked(), [CULPRIT])
 
-    def test_output_speaks_for_a_request_up_to_the_third_end(self) -> None:
+    def test_request_with_output_is_blocked_only_at_the_third_end(self) -> None:
         for server_key in (10, 11, 12):
             self.assertEqual(self.blocked(), [])
             self.suspects.note_end(CULPRIT, end(server_key, made_output=True))
@@ -68,20 +70,20 @@
         self.assertFalse(self.suspects.note_end(CULPRIT, end(10, 0.2)))
         self.assertEqual(self.blocked(), [])
 
-    def test_what_is_heard_in_any_order_gives_one_verdict(self) -> None:
-        heard = [
+    def test_blocking_does_not_depend_on_the_order_of_reports(self) -> None:
+        reports = [
             (CULPRIT, end(10)),
             (CULPRIT, end(11)),
             (OTHER, end(10)),
             (OTHER, end(11, made_output=True)),
         ]
-        for order in itertools.permutations(heard):
+        for order in itertools.permutations(reports):
             suspects = crash_suspects.CrashSuspects()
-            for fingerprint, one in order:
-                suspects.note_end(fingerprint, one)
+            for fingerprint, server_end in order:
+                suspects.note_end(fingerprint, server_end)
             self.assertEqual(suspects.blocked(1.0), [CULPRIT])
 
-    def test_it_is_blocked_for_a_time(self) -> None:
+    def test_blocking_expires(self) -> None:
         for server_key, at_s in ((10, 0.0), (11, 5.0)):
             self.suspects.note_end(CULPRIT, end(server_key, at_s))
         self.assertEqual(self.suspects.blocked_for_s(CULPRIT, 65.0), 540.0)
@@ -91,7 +93,7 @@
 
 
 class ClearedTest(unittest.TestCase):
-    def test_a_request_of_many_callers_outlives_the_end_of_all_servers(
+    def test_completed_request_is_not_blocked_when_all_servers_end(
         self,
     ) -> None:
         suspects = crash_suspects.CrashSuspects()
@@ -100,7 +102,7 @@
             suspects.note_end(OTHER, end(server_key, 1.0))
         self.assertEqual(suspects.blocked(1.0), [])
 
-    def test_it_is_suspected_again_some_time_after_it_ended_whole(
+    def test_request_can_be_blocked_again_some_time_after_it_completed(
         self,
     ) -> None:
         suspects = crash_suspects.CrashSuspects()
@@ -111,7 +113,7 @@
 
 
 class BoundedTest(unittest.TestCase):
-    def test_the_oldest_makes_room(self) -> None:
+    def test_oldest_suspect_is_evicted_when_full(self) -> None:
         suspects = crash_suspects.CrashSuspects()
         limit_count = crash_suspects.SUSPECTS_LIMIT_COUNT
         for fingerprint in range(limit_count + 5):
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -1,4 +1,4 @@
-"""What may follow a failed exchange, case by case."""
+"""Tests of what may follow a failed exchange."""
 
 import itertools
 import typing
@@ -20,7 +20,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    def test_every_case(self):
+    def test_every_progress_with_and_without_idempotency(self):
         cases = itertools.product(
             typing.get_args(outcome.Progress), (True, False)
         )
@@ -29,7 +29,7 @@
                 verdict = outcome.judge(progress, is_idempotent=is_idempotent)
                 self.assertEqual(verdict, _EXPECTED[progress, is_idempotent])
 
-    def test_combined_outcome_is_not_run_only_if_no_attempt_ran(self):
+    def test_combined_outcome_is_not_run_only_if_neither_attempt_ran(self):
         cases = {
             ("not-run", "not-run"): "not-run",
             ("not-run", "unknown"): "unknown",
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed request is tried again."""
+"""Tests of whether and when a failed request is retried."""
 
 import random
 import unittest
@@ -41,11 +41,11 @@
         decision = _decide(_budget(), _attempt())
         self.assertIsInstance(decision, retry_budget.Retry)
 
-    def test_begun_answer_is_resumed(self):
+    def test_partial_answer_is_resumed(self):
         decision = _decide(_budget(), _attempt(progress="answer-began"))
         self.assertTrue(decision.is_resume)
 
-    def test_given_up_at_once(self):
+    def test_request_fails_without_retry(self):
         cases = {
             "may have run": (
                 {"is_idempotent": False},
@@ -83,7 +83,7 @@
                 self.assertIsInstance(decision.error, error_type)
                 self.assertEqual(decision.error.outcome, outcome)
 
-    def test_not_idempotent_request_is_retried_only_if_it_did_not_run(self):
+    def test_non_idempotent_request_is_retried_if_it_did_not_run(self):
         for progress in ("nothing-sent", "refused"):
             with self.subTest(progress):
                 attempt = _attempt(progress=progress, is_idempotent=False)
@@ -91,7 +91,7 @@
                     _decide(_budget(), attempt), retry_budget.Retry
                 )
 
-    def test_wait_is_jittered_within_a_doubling_bound(self):
+    def test_backoff_is_jittered_within_a_doubling_bound(self):
         settings_ = retry_budget.RetrySettings(attempts_limit_count=20)
         rng = random.Random(1)
         for attempt_count, bound_s in ((1, 0.05), (2, 0.1), (4, 0.4), (9, 2)):
@@ -107,12 +107,12 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_outage_does_not_multiply_the_load(self):
-        """Load doubles just when engines are lost.
+    def test_retries_do_not_multiply_the_load_during_an_outage(self):
+        """Guards against retries multiplying the load during an outage.
 
-        Sequence: every attempt fails for a while. Cause: each failed request
-        is sent again, and again. The budget holds retries to a tenth of the
-        first attempts and the saved-up burst.
+        Every attempt fails, and each failed request could be sent again
+        several times. The budget limits retries to a tenth of the first
+        attempts plus the burst.
         """
         budget = _budget(floor_per_s=0.0, customer_floor_per_s=0.0)
         retries = 0
@@ -123,14 +123,14 @@
         self.assertLessEqual(retries, 100 + 20)
         self.assertGreaterEqual(retries, 90)
 
-    def test_one_customer_cannot_spend_the_retries_of_all(self):
+    def test_one_customer_cannot_spend_the_retries_of_others(self):
         budget = _budget()
         for _ in range(50):
             _decide(budget, _attempt(customer="flooding"))
         decision = _decide(budget, _attempt(customer="other"))
         self.assertIsInstance(decision, retry_budget.Retry)
 
-    def test_floor_allows_retries_again_after_a_while(self):
+    def test_spent_budget_refills_without_first_attempts(self):
         budget = _budget()
         for _ in range(10):
             spent = _decide(budget, _attempt())
@@ -138,7 +138,7 @@
         decision = _decide(budget, _attempt(), now_s=10.0)
         self.assertIsInstance(decision, retry_budget.Retry)
 
-    def test_customers_remembered_are_bounded(self):
+    def test_customers_in_memory_are_bounded(self):
         budget = _budget(customers_limit_count=10)
         for number in range(100):
             budget.on_first_attempt(f"customer-{number}", 0.0)
@@ -146,7 +146,7 @@
 
     @given(st.lists(st.booleans(), max_size=300))
     @settings(derandomize=True, deadline=None)
-    def test_retries_never_exceed_what_was_earned(self, fails):
+    def test_retries_never_exceed_the_earned_share_and_the_burst(self, fails):
         budget = _budget(floor_per_s=0.0, customer_floor_per_s=0.0)
         retries = 0
         for count, fail in enumerate(fails, start=1):
