--- a/src/mulberrywharf/policy/crash_suspects.py
+++ b/src/mulberrywharf/policy/crash_suspects.py
@@ -115,7 +115,7 @@
         return server_key in self._ends.get(fingerprint, {})
 
     def is_recent_suspect(self, fingerprint: int, now_s: float) -> bool:
-        """Returns whether a server recently ended before any output.
+        """Returns whether a server recently ended before the request's output.
 
         Ends that are ``RECENT_END_S`` old or older do not count.
         """
@@ -136,9 +136,7 @@
         if len(ends) >= ENDS_LIMIT_COUNT:
             return True
         server_keys = _ended_without_output(ends)
-        return len(
-            server_keys
-        ) >= SURE_ENDS_COUNT and self._is_only_common_request(
+        return len(server_keys) >= SURE_ENDS_COUNT and self._is_sole_suspect(
             fingerprint, server_keys
         )
 
@@ -162,9 +160,10 @@
         """Whether no request is suspected."""
         return not self._ends
 
-    def _is_only_common_request(
+    def _is_sole_suspect(
         self, fingerprint: int, server_keys: frozenset[int]
     ) -> bool:
+        """Returns whether no other request is as suspect on these servers."""
         return not any(
             len(_ended_without_output(ends.values()) & server_keys)
             >= SURE_ENDS_COUNT
--- a/src/mulberrywharf/policy/shares.py
+++ b/src/mulberrywharf/policy/shares.py
@@ -4,13 +4,13 @@
 ``DemandReport``: its demand, and a digest of the set of nodes that it believes
 to be live. Nodes that reported the same digest and received each other's
 reports form a group. The group gets limit * (its nodes / all nodes in the VM
-list) and divides this by demand. A node that lacks a report from a node of its
-live set takes only an equal part, limit / all nodes.
+list) and divides this by demand. A node takes only an equal part, limit / all
+nodes, if it lacks a report with its own digest from any node of its live set.
 
 This bounds the sum of all parts. A node publishes one digest per round, so
 groups are disjoint, and their parts add up to at most the limit. Each of the m
-nodes that lack a report takes at most limit / all nodes, so the sum is at most
-limit * (1 + m / all nodes). It does not exceed the limit when all reports
+nodes that lack such a report takes at most limit / all nodes, so the sum is at
+most limit * (1 + m / all nodes). It does not exceed the limit when all reports
 arrive or when a partition splits the nodes into disjoint groups.
 """
 
