--- a/src/mulberrywharf/policy/choice_scores.py
+++ b/src/mulberrywharf/policy/choice_scores.py
@@ -1,4 +1,4 @@
-"""What each way to run a request is estimated to cost, in seconds."""
+"""Estimates the cost, in seconds, of running a request on given engines."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -12,63 +12,69 @@
     """Weights of the choice.
 
     Attributes:
-        age_constant_s: Age at which a report is believed by 1/e.
-        stale_after_s: Engines with an older report come last.
+        report_decay_constant_s: Age at which the weight of a report has
+            fallen to 1/e.
+        stale_after_s: Engines with an older report are tried last.
         zone_cost_s: Cost of leaving the preferred availability zone.
         failure_cost_s: Cost of each recent failure of an engine.
-        slow_cost_s: Cost of an engine for each time that it is slower than
-            the others, beside its longer estimates.
-        home_sample_count: Engines looked at in the preferred zone.
-        away_sample_count: Engines looked at elsewhere.
-        holder_sample_count: Engines looked at for their cached prefix.
-        handover_cost_s: Fixed cost of handing over a KV cache.
-        handover_s_per_token: Its cost for each prompt token.
-        decode_role_prefill_factor: How much dearer a second of prefill is on
-            an engine in the decode role, whose other answers it stalls.
-        following_tokens_weight: Weight of the time after the first token.
+        slow_cost_s: Cost of a slow engine for each unit by which its slow
+            factor exceeds 1.0, in addition to its longer time estimates.
+        preferred_zone_sample_count: Random engines scored in the preferred
+            zone.
+        other_zones_sample_count: Random engines scored in other zones.
+        cached_prefix_sample_count: Engines scored because they cache the
+            longest prefix of the prompt.
+        handover_cost_s: Fixed cost of transferring a KV cache to another
+            engine.
+        handover_s_per_token: Cost of that transfer for each prompt token.
+        decode_role_prefill_factor: Cost of one second of prefill on an engine
+            in the decode role, as a multiple of its cost elsewhere. The
+            prefill delays the other answers of that engine.
+        decode_time_weight: Weight of the time after the first token.
     """
 
-    age_constant_s: float = 1.0
+    report_decay_constant_s: float = 1.0
     stale_after_s: float = 15.0
     zone_cost_s: float = 0.05
     failure_cost_s: float = 1.0
     slow_cost_s: float = 0.5
-    home_sample_count: int = 3
-    away_sample_count: int = 2
-    holder_sample_count: int = 2
+    preferred_zone_sample_count: int = 3
+    other_zones_sample_count: int = 2
+    cached_prefix_sample_count: int = 2
     handover_cost_s: float = 0.02
     handover_s_per_token: float = 0.000_01
     decode_role_prefill_factor: float = 3.0
-    following_tokens_weight: float = 0.3
+    decode_time_weight: float = 0.3
 
 
-class Scored(NamedTuple):
-    """One way to run the request and what it costs.
+class ScoredChoice(NamedTuple):
+    """One candidate for running the request, with its cost.
 
     Attributes:
-        cost_s: Estimated time with all costs added; less is better.
-        choice: The way.
+        cost_s: Estimated time plus all penalties, in seconds; lower is better.
+        choice: The candidate.
     """
 
     cost_s: float
     choice: Choice
 
 
-class Situation(NamedTuple):
-    """What all the scores of one choice share.
+class ScoringContext(NamedTuple):
+    """Inputs that all candidates of one choice share.
 
     Attributes:
-        request: What is to run.
-        cached_block_counts: Leading blocks held, by engine id.
-        mean: The mean that old reports fade into.
+        request: The request to place.
+        cached_block_counts: Leading prompt blocks that an engine is assumed
+            to cache, by engine ID.
+        fleet_mean: Mean load, which replaces a report as the report ages.
         zone: The preferred availability zone.
-        slow_factors: How many times slower than the others, by engine id.
+        slow_factors: Slowdown relative to the median engine, by engine ID.
         settings: The weights.
     """
 
     request: RequestShape
     cached_block_counts: dict[str, int]
-    mean: estimates.FleetMean
+    fleet_mean: estimates.FleetMean
     zone: str
     slow_factors: Mapping[str, float]
     settings: ChoiceSettings
@@ -79,23 +85,23 @@
     return "mixed" if view.report is None else view.report.role
 
 
-def _cached_tokens(view: fleet.EngineView, situation: Situation) -> int:
-    block_count = situation.cached_block_counts.get(view.vm.vm_id, 0)
+def _cached_tokens(view: fleet.EngineView, context: ScoringContext) -> int:
+    block_count = context.cached_block_counts.get(view.vm.vm_id, 0)
     cached_tokens = block_count * prefix_index.BLOCK_TOKENS
-    return min(cached_tokens, situation.request.prompt_tokens)
+    return min(cached_tokens, context.request.prompt_tokens)
 
 
 def _estimate(
-    view: fleet.EngineView, situation: Situation
+    view: fleet.EngineView, context: ScoringContext
 ) -> estimates.EngineEstimate:
-    cached_tokens = _cached_tokens(view, situation)
+    cached_tokens = _cached_tokens(view, context)
     estimated = estimates.estimate(
         view,
-        situation.request.prompt_tokens - cached_tokens,
-        situation.mean,
-        situation.settings.age_constant_s,
+        context.request.prompt_tokens - cached_tokens,
+        context.fleet_mean,
+        context.settings.report_decay_constant_s,
     )
-    slow_factor = situation.slow_factors.get(view.vm.vm_id, 1.0)
+    slow_factor = context.slow_factors.get(view.vm.vm_id, 1.0)
     return estimates.EngineEstimate(
         wait_s=estimated.wait_s * slow_factor,
         prefill_s=estimated.prefill_s * slow_factor,
@@ -103,70 +109,77 @@
     )
 
 
-def _standing_cost_s(view: fleet.EngineView, situation: Situation) -> float:
-    settings = situation.settings
+def _penalty_cost_s(view: fleet.EngineView, context: ScoringContext) -> float:
+    settings = context.settings
     cost_s = view.failures_recent_count * settings.failure_cost_s
-    slow_factor = situation.slow_factors.get(view.vm.vm_id, 1.0)
+    slow_factor = context.slow_factors.get(view.vm.vm_id, 1.0)
     cost_s += (slow_factor - 1.0) * settings.slow_cost_s
-    if view.vm.availability_zone != situation.zone:
+    if view.vm.availability_zone != context.zone:
         cost_s += settings.zone_cost_s
     return cost_s
 
 
-def first_part_s(view: fleet.EngineView, situation: Situation) -> float:
-    """Returns the cost up to the end of the prefill, to compare engines."""
-    estimated = _estimate(view, situation)
-    first_s = estimated.wait_s + estimated.prefill_s
-    return first_s + _standing_cost_s(view, situation)
+def prefill_cost_s(view: fleet.EngineView, context: ScoringContext) -> float:
+    """Returns the cost up to the end of the prefill, penalties included."""
+    estimated = _estimate(view, context)
+    first_token_s = estimated.wait_s + estimated.prefill_s
+    return first_token_s + _penalty_cost_s(view, context)
 
 
-def _following_cost_s(between_tokens_s: float, situation: Situation) -> float:
-    following_s = situation.request.expected_output_tokens * between_tokens_s
-    return following_s * situation.settings.following_tokens_weight
+def _decode_cost_s(between_tokens_s: float, context: ScoringContext) -> float:
+    decode_s = context.request.expected_output_tokens * between_tokens_s
+    return decode_s * context.settings.decode_time_weight
 
 
-def score_whole(view: fleet.EngineView, situation: Situation) -> Scored:
-    """Scores one engine that prefills and generates."""
-    estimated = _estimate(view, situation)
+def score_single_engine(
+    view: fleet.EngineView, context: ScoringContext
+) -> ScoredChoice:
+    """Scores one engine that does both the prefill and the decode."""
+    estimated = _estimate(view, context)
     first_token_s = estimated.wait_s + estimated.prefill_s
-    cost_s = first_token_s + _standing_cost_s(view, situation)
+    cost_s = first_token_s + _penalty_cost_s(view, context)
     if role_of(view) == "decode":
-        factor = situation.settings.decode_role_prefill_factor
+        factor = context.settings.decode_role_prefill_factor
         cost_s += estimated.prefill_s * (factor - 1.0)
-    cost_s += _following_cost_s(estimated.between_tokens_s, situation)
+    cost_s += _decode_cost_s(estimated.between_tokens_s, context)
     choice = Choice(
         prefill=view.vm,
         decode=view.vm,
         first_token_s=first_token_s,
         between_tokens_s=estimated.between_tokens_s,
-        cached_tokens=_cached_tokens(view, situation),
+        cached_tokens=_cached_tokens(view, context),
     )
-    return Scored(cost_s, choice)
+    return ScoredChoice(cost_s, choice)
 
 
 def score_split(
-    first: fleet.EngineView,
-    second: fleet.EngineView,
-    situation: Situation,
-) -> Scored:
-    """Scores a prefill on one engine and a handover to another."""
-    settings = situation.settings
-    request = situation.request
-    before = _estimate(first, situation)
-    after = _estimate(second, situation)
+    prefill_view: fleet.EngineView,
+    decode_view: fleet.EngineView,
+    context: ScoringContext,
+) -> ScoredChoice:
+    """Scores a prefill on one engine and the decode on another.
+
+    The cost includes the transfer of the KV cache.
+    """
+    settings = context.settings
+    request = context.request
+    prefill_estimate = _estimate(prefill_view, context)
+    decode_estimate = _estimate(decode_view, context)
     handover_s = settings.handover_cost_s
     handover_s += request.prompt_tokens * settings.handover_s_per_token
-    first_token_s = before.wait_s + before.prefill_s + handover_s
-    first_token_s += after.wait_s
+    first_token_s = (
+        prefill_estimate.wait_s + prefill_estimate.prefill_s + handover_s
+    )
+    first_token_s += decode_estimate.wait_s
     cost_s = first_token_s
-    cost_s += _standing_cost_s(first, situation)
-    cost_s += _standing_cost_s(second, situation)
-    cost_s += _following_cost_s(after.between_tokens_s, situation)
+    cost_s += _penalty_cost_s(prefill_view, context)
+    cost_s += _penalty_cost_s(decode_view, context)
+    cost_s += _decode_cost_s(decode_estimate.between_tokens_s, context)
     choice = Choice(
-        prefill=first.vm,
-        decode=second.vm,
+        prefill=prefill_view.vm,
+        decode=decode_view.vm,
         first_token_s=first_token_s,
-        between_tokens_s=after.between_tokens_s,
-        cached_tokens=_cached_tokens(first, situation),
+        between_tokens_s=decode_estimate.between_tokens_s,
+        cached_tokens=_cached_tokens(prefill_view, context),
     )
-    return Scored(cost_s, choice)
+    return ScoredChoice(cost_s, choice)
--- a/src/mulberrywharf/policy/engine_choice.py
+++ b/src/mulberrywharf/policy/engine_choice.py
@@ -1,9 +1,11 @@
-"""Chooses the engine, or the two engines, that a request runs on.
-
-Each router decides alone on old reports. If all took the engine that looks
-best they would all take the same one, so only a few are looked at: three at
-random in the preferred availability zone, two elsewhere, and those that hold
-the longest beginning of the prompt. The best of these by estimated time wins.
+"""Chooses the engine, or the pair of engines, that a request runs on.
+
+Each router decides independently from load reports that lag. If every router
+chose the engine with the best estimate, all would choose the same one. Each
+router therefore scores only a sample: three random engines in the preferred
+availability zone, two random engines in other zones, and the two engines that
+cache the longest prefix of the prompt. The candidate with the lowest estimated
+cost wins.
 """
 
 import random
@@ -35,51 +37,52 @@
 
     Args:
         views: All engines that the node knows.
-        request: What is to run.
-        index: Beliefs about the engines' prefix caches.
+        request: The request to place.
+        index: Estimated contents of the engines' prefix caches.
         rng: Source of the random samples.
-        now_s: The present, on the clock of the index.
+        now_s: Current time, on the clock of the index.
         prefer_zone: Zone that a rule prefers; empty for the request's own.
         excluded_engine_ids: Engines that this request already failed on.
-        slow_factors: How many times slower than it says an engine was
-            found to be, see ``pace.PaceMeter``; those left out are normal.
+        slow_factors: Measured slowdown of slow engines relative to the
+            median engine, by engine ID; engines that are left out count as
+            1.0.
         settings: Weights; the defaults when None.
 
     Returns:
-        The choice, or that no engine can serve the request now.
+        The choice, or an error if no engine can serve the request now.
     """
     settings = settings or ChoiceSettings()
-    usable = [
+    eligible = [
         view
         for view in views
         if view.vm.vm_id not in excluded_engine_ids and serves(view, request)
     ]
-    if not usable:
-        return Err(_no_engine(request))
-    fresh = [view for view in usable if _is_fresh(view, settings)]
-    situation = choice_scores.Situation(
+    if not eligible:
+        return Err(_no_engine_error(request))
+    fresh = [view for view in eligible if _is_fresh(view, settings)]
+    context = choice_scores.ScoringContext(
         request=request,
         cached_block_counts=index.cached_block_counts(
             request.prompt_block_hashes, now_s
         ),
-        mean=estimates.fleet_mean(fresh),
+        fleet_mean=estimates.fleet_mean(fresh),
         zone=prefer_zone or request.availability_zone,
         slow_factors=slow_factors or {},
         settings=settings,
     )
-    # Old reports only when there is no newer one: an engine that has been
-    # silent may be gone, yet trying it beats refusing for certain.
-    scored = _score_ways(fresh, situation, rng)
-    scored = scored or _score_ways(usable, situation, rng)
+    # Engines without a fresh report are tried only if no engine has one. Such
+    # an engine may be gone, but trying it is better than refusing the request.
+    scored = _score_candidates(fresh, context, rng)
+    scored = scored or _score_candidates(eligible, context, rng)
     if not scored:
-        return Err(_no_engine(request))
-    return Ok(min(scored, key=lambda way: way.cost_s).choice)
+        return Err(_no_engine_error(request))
+    return Ok(min(scored, key=lambda candidate: candidate.cost_s).choice)
 
 
 def serves(view: fleet.EngineView, request: RequestShape) -> bool:
-    """Returns whether new work of this shape may go to the engine.
+    """Returns whether new requests of this shape may go to the engine.
 
-    An engine without a report may serve it; it is only tried last.
+    An engine without a report may serve it, but ``choose`` tries it last.
     """
     if view.drained or view.vm.state != "live":
         return False
@@ -96,65 +99,72 @@
     return has_report and view.report_age_s <= settings.stale_after_s
 
 
-def _score_ways(
+def _score_candidates(
     views: Sequence[fleet.EngineView],
-    situation: choice_scores.Situation,
+    context: choice_scores.ScoringContext,
     rng: random.Random,
-) -> list[choice_scores.Scored]:
+) -> list[choice_scores.ScoredChoice]:
     prefill_views = [v for v in views if choice_scores.role_of(v) == "prefill"]
-    whole_views = [v for v in views if choice_scores.role_of(v) != "prefill"]
+    single_views = [v for v in views if choice_scores.role_of(v) != "prefill"]
     decode_views = [v for v in views if choice_scores.role_of(v) == "decode"]
-    whole = _sample(whole_views, situation, rng)
-    scored = [choice_scores.score_whole(view, situation) for view in whole]
+    single_sample = _sample(single_views, context, rng)
+    scored = [
+        choice_scores.score_single_engine(view, context)
+        for view in single_sample
+    ]
     if not prefill_views or not decode_views:
         return scored
-    first = min(
-        _sample(prefill_views, situation, rng),
-        key=lambda view: choice_scores.first_part_s(view, situation),
+    prefill_view = min(
+        _sample(prefill_views, context, rng),
+        key=lambda view: choice_scores.prefill_cost_s(view, context),
     )
-    second = _sample(decode_views, situation, rng)
+    decode_sample = _sample(decode_views, context, rng)
     scored += [
-        choice_scores.score_split(first, view, situation) for view in second
+        choice_scores.score_split(prefill_view, view, context)
+        for view in decode_sample
     ]
     return scored
 
 
 def _sample(
     views: Sequence[fleet.EngineView],
-    situation: choice_scores.Situation,
+    context: choice_scores.ScoringContext,
     rng: random.Random,
 ) -> list[fleet.EngineView]:
-    settings = situation.settings
-    preferred = [v for v in views if v.vm.availability_zone == situation.zone]
-    away = [v for v in views if v.vm.availability_zone != situation.zone]
+    settings = context.settings
+    preferred = [v for v in views if v.vm.availability_zone == context.zone]
+    elsewhere = [v for v in views if v.vm.availability_zone != context.zone]
     if not preferred:
-        preferred, away = away, preferred
-    sampled = _some(preferred, settings.home_sample_count, rng)
-    sampled += _some(away, settings.away_sample_count, rng)
-    sampled += _best_holders(views, situation, rng)
+        preferred, elsewhere = elsewhere, preferred
+    sampled = _sample_up_to(
+        preferred, settings.preferred_zone_sample_count, rng
+    )
+    sampled += _sample_up_to(elsewhere, settings.other_zones_sample_count, rng)
+    sampled += _with_longest_cached_prefix(views, context, rng)
     return list({view.vm.vm_id: view for view in sampled}.values())
 
 
-def _some(
+def _sample_up_to(
     views: Sequence[fleet.EngineView], count: int, rng: random.Random
 ) -> list[fleet.EngineView]:
     return rng.sample(views, min(count, len(views)))
 
 
-def _best_holders(
+def _with_longest_cached_prefix(
     views: Iterable[fleet.EngineView],
-    situation: choice_scores.Situation,
+    context: choice_scores.ScoringContext,
     rng: random.Random,
 ) -> list[fleet.EngineView]:
-    counts = situation.cached_block_counts
+    counts = context.cached_block_counts
     holders = [view for view in views if view.vm.vm_id in counts]
-    # Shuffled first, so that routers do not all take the first of equals.
+    # The sort is stable. Shuffling first keeps routers from all choosing the
+    # same one of several equal engines.
     rng.shuffle(holders)
     holders.sort(key=lambda view: -counts[view.vm.vm_id])
-    return holders[: situation.settings.holder_sample_count]
+    return holders[: context.settings.cached_prefix_sample_count]
 
 
-def _no_engine(request: RequestShape) -> errors.NoEngineError:
+def _no_engine_error(request: RequestShape) -> errors.NoEngineError:
     return errors.NoEngineError(
         f"no engine serves model {request.model!r} now", retry_after_s=1.0
     )
--- a/src/mulberrywharf/policy/estimates.py
+++ b/src/mulberrywharf/policy/estimates.py
@@ -1,9 +1,9 @@
-"""What an engine would take for a request, from an old report of it.
+"""Estimates how long an engine takes for a request, from an aging report.
 
-A report of the engine's queue is believed less the older it is: what it said
-fades into the mean of the fleet, since a queue that was long or short seconds
-ago has most likely moved towards the others. What this node sent itself after
-the report is known exactly and added in full.
+The weight of a load report decays with its age, and the mean of the fleet
+takes over: a queue that was unusually long or short some seconds ago has most
+likely moved toward the mean. The prompt tokens that this node has sent to the
+engine since the report are known exactly and are added in full.
 """
 
 import math
@@ -17,13 +17,14 @@
 
 
 class FleetMean(NamedTuple):
-    """The mean of the engines that might serve a request.
+    """Mean load and speed of the engines that can serve a request.
 
     Attributes:
-        wait_s: Mean time to prefill what waits at an engine.
-        request_count: Mean requests at an engine, waiting or running.
+        wait_s: Mean time that an engine needs to prefill its waiting prompts.
+        request_count: Mean number of requests at an engine, waiting or
+            running.
         prefill_tokens_per_s: Mean prefill speed.
-        decode_tokens_per_s: Mean decode speed of a whole batch.
+        decode_tokens_per_s: Mean decode speed over the whole batch.
     """
 
     wait_s: float = 0.0
@@ -33,12 +34,12 @@
 
 
 class EngineEstimate(NamedTuple):
-    """What one engine would take.
+    """Estimated times of one request at one engine.
 
     Attributes:
-        wait_s: Until its steps reach the new prompt.
-        prefill_s: For the part of the prompt that it does not hold.
-        between_tokens_s: Between two tokens once it generates.
+        wait_s: Time until the engine starts to prefill the prompt.
+        prefill_s: Time to prefill the part of the prompt that is not cached.
+        between_tokens_s: Time between two output tokens.
     """
 
     wait_s: float
@@ -63,15 +64,16 @@
     view: fleet.EngineView,
     uncached_tokens: int,
     mean: FleetMean,
-    age_constant_s: float,
+    report_decay_constant_s: float,
 ) -> EngineEstimate:
-    """Estimates what the engine would take for a request.
+    """Estimates how long the engine takes for a request.
 
     Args:
         view: The engine as this node sees it.
-        uncached_tokens: Prompt tokens it would have to prefill.
-        mean: What an old report fades into.
-        age_constant_s: Age at which a report is believed by 1/e.
+        uncached_tokens: Prompt tokens that the engine has to prefill.
+        mean: Mean of the fleet, which replaces the report as it ages.
+        report_decay_constant_s: Age at which the weight of a report has
+            fallen to 1/e.
     """
     report = view.report
     if report is None:
@@ -82,9 +84,15 @@
     else:
         prefill_rate = _prefill_rate(report)
         decode_rate = _decode_rate(report)
-        trust = math.exp(-max(0.0, view.report_age_s) / age_constant_s)
-        wait_s = _fade(_reported_wait_s(report), mean.wait_s, trust)
-        request_count = _fade(_request_count(report), mean.request_count, trust)
+        report_weight = math.exp(
+            -max(0.0, view.report_age_s) / report_decay_constant_s
+        )
+        wait_s = _weighted_mean(
+            _reported_wait_s(report), mean.wait_s, report_weight
+        )
+        request_count = _weighted_mean(
+            _request_count(report), mean.request_count, report_weight
+        )
     wait_s += view.own_prompt_tokens_since / prefill_rate
     request_count = max(request_count, view.own_in_flight_count)
     return EngineEstimate(
@@ -94,8 +102,8 @@
     )
 
 
-def _fade(reported: float, mean: float, trust: float) -> float:
-    return trust * reported + (1.0 - trust) * mean
+def _weighted_mean(reported: float, mean: float, report_weight: float) -> float:
+    return report_weight * reported + (1.0 - report_weight) * mean
 
 
 def _prefill_rate(report: fleet.LoadReport) -> float:
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the engine that a request runs on."""
+"""Tests the choice of the engine that a request runs on."""
 
 import collections
 import random
@@ -46,7 +46,7 @@
 
 
 class EligibilityTest(unittest.TestCase):
-    def test_engine_that_must_get_no_work_is_never_chosen(self):
+    def test_unavailable_engine_is_never_chosen(self):
         cases: dict[str, dict[str, Any]] = {
             "draining": {"state": "draining"},
             "changing": {"state": "changing"},
@@ -58,15 +58,15 @@
         }
         for name, fields in cases.items():
             with self.subTest(name):
-                barred = builders_fleet.view("barred", **fields)
-                alone = _choose([barred])
+                unavailable = builders_fleet.view("barred", **fields)
+                alone = _choose([unavailable])
                 self.assertIsInstance(alone.unwrap_err(), errors.NoEngineError)
-                # Even when the other looks far worse.
+                # It is not chosen even if the alternative has a long queue.
                 other = builders_fleet.view(
                     "other", waiting_prompt_tokens=10**7
                 )
                 for seed in range(5):
-                    choice = _choose([barred, other], seed=seed).unwrap()
+                    choice = _choose([unavailable, other], seed=seed).unwrap()
                     self.assertEqual(choice.decode.vm_id, "other")
 
     def test_adapter_must_be_loaded(self):
@@ -77,12 +77,12 @@
         choice = _choose(views, _request(adapter="venues")).unwrap()
         self.assertEqual(choice.prefill.vm_id, "adapted")
 
-    def test_engine_that_the_request_failed_on_is_left_out(self):
+    def test_excluded_engine_is_not_chosen(self):
         views = [builders_fleet.view("a"), builders_fleet.view("b")]
         choice = _choose(views, excluded_engine_ids={"a"}).unwrap()
         self.assertEqual(choice.decode.vm_id, "b")
 
-    def test_engine_without_fresh_report_comes_last(self):
+    def test_engine_without_fresh_report_is_tried_last(self):
         silent = builders_fleet.view("silent", has_report=False)
         old = builders_fleet.view("old", report_age_s=60.0)
         loaded = builders_fleet.view("loaded", waiting_prompt_tokens=50_000)
@@ -91,7 +91,7 @@
             self.assertEqual(choice.decode.vm_id, "loaded")
         self.assertEqual(_choose([silent]).unwrap().decode.vm_id, "silent")
 
-    def test_refusal_is_not_run_and_says_when_to_return(self):
+    def test_refusal_has_not_run_outcome_and_retry_after(self):
         error = _choose([]).unwrap_err()
         self.assertEqual(error.outcome, "not-run")
         self.assertGreater(error.retry_after_s, 0)
@@ -106,11 +106,11 @@
                 choice = _choose(views, seed=seed, **options).unwrap()
                 self.assertEqual(choice.decode.vm_id, better.vm.vm_id)
 
-    def test_better_of_two(self):
+    def test_engine_with_lower_cost_is_chosen(self):
         view = builders_fleet.view
         cases: dict[str, fleet.EngineView] = {
             "waiting prompts": view("worse", waiting_prompt_tokens=20_000),
-            "own work since": view("worse", own_prompt_tokens_since=20_000),
+            "own prompts since": view("worse", own_prompt_tokens_since=20_000),
             "batch": view("worse", running_count=60),
             "own in flight": view("worse", own_in_flight_count=60),
             "slow prefill": view("worse", prefill_tokens_per_s=500.0),
@@ -121,23 +121,23 @@
             with self.subTest(name):
                 self._assert_prefers(view("better"), worse)
 
-    def test_zone_is_left_when_it_is_much_worse(self):
+    def test_other_zone_is_chosen_if_preferred_zone_is_much_slower(self):
         home = builders_fleet.view("home", waiting_prompt_tokens=50_000)
         away = builders_fleet.view("away", zone=builders_fleet.OTHER_ZONE)
         self._assert_prefers(away, home)
 
-    def test_preferred_zone_of_a_rule_wins_over_own_zone(self):
+    def test_zone_preferred_by_rule_overrides_own_zone(self):
         home = builders_fleet.view("home")
         away = builders_fleet.view("away", zone=builders_fleet.OTHER_ZONE)
         self._assert_prefers(away, home, prefer_zone=builders_fleet.OTHER_ZONE)
 
-    def test_engine_found_slow_is_avoided(self):
+    def test_engine_measured_slow_is_avoided(self):
         views = [builders_fleet.view("slow"), builders_fleet.view("normal")]
         for seed in range(5):
             choice = _choose(views, seed=seed, slow_factors={"slow": 4.0})
             self.assertEqual(choice.unwrap().decode.vm_id, "normal")
 
-    def test_cached_prefix_wins_over_a_small_difference_in_wait(self):
+    def test_cached_prefix_outweighs_small_difference_in_wait(self):
         prompt = " ".join(f"w{i}" for i in range(6_400))
         hashes = prefix_index.prompt_block_hashes(prompt)
         index = prefix_index.PrefixIndex.from_config()
@@ -149,23 +149,21 @@
         self.assertEqual(choice.prefill.vm_id, "holder")
         self.assertEqual(choice.cached_tokens, 6_400)
 
-    def test_old_report_fades_into_the_mean(self):
-        """Many nodes pile onto the engine that was idle long ago.
+    def test_weight_of_report_decays_with_age(self):
+        """Guards against routers overloading an engine with an old idle report.
 
-        Sequence: one engine's report says idle but is 10 s old; another's
-        fresh report says slightly busy, a third is busy. Cause: an old
-        report believed in full looks best to everyone until it is renewed.
+        If the weight of a report did not decay, an engine whose 10 s old
+        report says idle would look better to every router than a slightly
+        busy engine with a fresh report, until its next report arrives.
         """
         old = builders_fleet.view("old", report_age_s=10.0)
         busy = builders_fleet.view("busy", waiting_prompt_tokens=90_000)
         fresh = builders_fleet.view(
             "fresh", report_age_s=0.0, waiting_prompt_tokens=5_000
         )
-        look_at_all = engine_choice.ChoiceSettings(home_sample_count=3)
+        sample_all = engine_choice.ChoiceSettings(preferred_zone_sample_count=3)
         for seed in range(5):
-            result = _choose(
-                [old, busy, fresh], seed=seed, settings=look_at_all
-            )
+            result = _choose([old, busy, fresh], seed=seed, settings=sample_all)
             self.assertEqual(result.unwrap().decode.vm_id, "fresh")
 
 
@@ -176,20 +174,20 @@
             builders_fleet.view("second", role="decode", **decode_fields),
         ]
 
-    def test_long_prompt_is_split(self):
+    def test_long_prompt_is_split_between_engines(self):
         request = _request(prompt_tokens=8_000)
         choice = _choose(self._views(), request).unwrap()
         self.assertTrue(choice.is_split)
         self.assertEqual(choice.prefill.vm_id, "first")
         self.assertEqual(choice.decode.vm_id, "second")
 
-    def test_short_prompt_does_not_pay_for_a_handover(self):
+    def test_short_prompt_is_not_split(self):
         request = _request(prompt_tokens=30)
         choice = _choose(self._views(), request).unwrap()
         self.assertFalse(choice.is_split)
         self.assertEqual(choice.decode.vm_id, "second")
 
-    def test_prompt_that_the_decode_engine_holds_is_not_split(self):
+    def test_prompt_cached_by_decode_engine_is_not_split(self):
         prompt = " ".join(["w"] * 6_400)
         hashes = prefix_index.prompt_block_hashes(prompt)
         index = prefix_index.PrefixIndex.from_config()
@@ -198,17 +196,18 @@
         choice = _choose(self._views(), request, index=index).unwrap()
         self.assertFalse(choice.is_split)
 
-    def test_prefill_engine_never_generates(self):
+    def test_prefill_engine_never_decodes(self):
         only_prefill = [builders_fleet.view("first", role="prefill")]
         self.assertTrue(_choose(only_prefill).is_err())
 
 
-class HerdTest(unittest.TestCase):
-    def test_equal_engines_share_the_work_of_routers_that_see_the_same(self):
-        """All routers pick the same engine until the next report.
+class ThunderingHerdTest(unittest.TestCase):
+    def test_routers_with_the_same_reports_spread_over_engines(self):
+        """Guards against all routers choosing the same engine.
 
-        Sequence: ten engines, one slightly less loaded, many routers decide
-        on one and the same report. Cause: each takes the very best.
+        Many routers decide on the same reports, and one of ten engines is
+        slightly less loaded. If each router took the engine with the best
+        estimate, all would send to that one until the next report.
         """
         views = [
             builders_fleet.view(f"e{i}", waiting_prompt_tokens=200)
@@ -238,7 +237,7 @@
         st.integers(0, 100),
     )
     @settings(derandomize=True, deadline=None)
-    def test_chosen_engines_may_serve(self, rows, seed):
+    def test_chosen_engines_can_serve(self, rows, seed):
         views = [
             builders_fleet.view(
                 f"e{i}",
@@ -254,8 +253,8 @@
         request = _request()
         result = _choose(views, request, seed=seed)
         if result.is_err():
-            able = [v for v in views if engine_choice.serves(v, request)]
-            self.assertTrue(all(v.report.role == "prefill" for v in able))
+            serving = [v for v in views if engine_choice.serves(v, request)]
+            self.assertTrue(all(v.report.role == "prefill" for v in serving))
             return
         choice = result.unwrap()
         for vm in (choice.prefill, choice.decode):
