--- a/src/mulberrywharf/policy/baselines.py
+++ b/src/mulberrywharf/policy/baselines.py
@@ -1,7 +1,7 @@
-"""Simple choices of engine that the bench compares ours with.
+"""Simple engine choices that the benchmarks compare ``engine_choice`` with.
 
-Each has the signature of ``engine_choice.choose``. They leave out engines
-that must not get work, and look at nothing else that they do not name.
+Each has the signature of ``engine_choice.choose``. They leave out engines that
+cannot serve the request, and otherwise use only their own criterion.
 """
 
 import random
@@ -13,12 +13,14 @@
 from mulberrywharf import errors, fleet
 from mulberrywharf.policy import engine_choice, prefix_index
 
-Pick = Callable[[Sequence[fleet.EngineView], random.Random], fleet.EngineView]
-"""Picks one of the engines that serve the request; there is at least one."""
+EngineSelector = Callable[
+    [Sequence[fleet.EngineView], random.Random], fleet.EngineView
+]
+"""Selects one engine from a non-empty list of eligible engines."""
 
 
 class Chooser(Protocol):
-    """Any way to choose an engine."""
+    """A function that chooses an engine for a request."""
 
     def __call__(
         self,
@@ -36,10 +38,10 @@
 
 
 class Baseline:
-    """Chooses by one simple criterion among the engines that serve."""
+    """Chooses by one simple criterion among the eligible engines."""
 
-    def __init__(self, pick: Pick):
-        self._pick = pick
+    def __init__(self, select: EngineSelector):
+        self._select = select
 
     def __call__(
         self,
@@ -52,49 +54,49 @@
         prefer_zone: str = "",
         excluded_engine_ids: Collection[str] = (),
     ) -> Result[engine_choice.Choice, errors.NoEngineError]:
-        """Chooses an engine that does the whole request."""
-        usable = _usable(views, request, excluded_engine_ids)
-        if not usable:
+        """Chooses one engine for both prefill and decode."""
+        eligible = _eligible(views, request, excluded_engine_ids)
+        if not eligible:
             return Err(errors.NoEngineError("no engine"))
-        return Ok(_whole(self._pick(usable, rng)))
+        return Ok(_single_engine_choice(self._select(eligible, rng)))
 
 
 class RoundRobin(Baseline):
-    """Chooses the engines in turn."""
+    """Chooses the engines in rotation."""
 
     def __init__(self) -> None:
-        super().__init__(self._pick_next)
+        super().__init__(self._select_next)
         self._turn = 0
 
-    def _pick_next(
-        self, usable: Sequence[fleet.EngineView], rng: random.Random
+    def _select_next(
+        self, eligible: Sequence[fleet.EngineView], rng: random.Random
     ) -> fleet.EngineView:
         del rng
         self._turn += 1
-        return usable[self._turn % len(usable)]
+        return eligible[self._turn % len(eligible)]
 
 
-def _pick_random(
-    usable: Sequence[fleet.EngineView], rng: random.Random
+def _select_random(
+    eligible: Sequence[fleet.EngineView], rng: random.Random
 ) -> fleet.EngineView:
-    return rng.choice(usable)
+    return rng.choice(eligible)
 
 
-def _pick_least_reported(
-    usable: Sequence[fleet.EngineView], rng: random.Random
+def _select_least_reported(
+    eligible: Sequence[fleet.EngineView], rng: random.Random
 ) -> fleet.EngineView:
     del rng
-    return min(usable, key=_reported_count)
+    return min(eligible, key=_reported_count)
 
 
-choose_random: Chooser = Baseline(_pick_random)
-"""Chooses any engine that serves the request."""
+choose_random: Chooser = Baseline(_select_random)
+"""Chooses a random engine that can serve the request."""
 
-choose_least_reported: Chooser = Baseline(_pick_least_reported)
-"""Chooses the engine whose last report names the fewest requests."""
+choose_least_reported: Chooser = Baseline(_select_least_reported)
+"""Chooses the engine whose last report counts the fewest requests."""
 
 
-def _usable(
+def _eligible(
     views: Sequence[fleet.EngineView],
     request: engine_choice.RequestShape,
     excluded_engine_ids: Collection[str],
@@ -114,7 +116,7 @@
     return view.report.waiting_count + view.report.running_count
 
 
-def _whole(view: fleet.EngineView) -> engine_choice.Choice:
+def _single_engine_choice(view: fleet.EngineView) -> engine_choice.Choice:
     return engine_choice.Choice(
         prefill=view.vm,
         decode=view.vm,
--- a/src/mulberrywharf/policy/prefix_index.py
+++ b/src/mulberrywharf/policy/prefix_index.py
@@ -1,9 +1,9 @@
-"""Which engine is believed to hold which blocks of prompts.
+"""Tracks which prompt blocks each engine is assumed to cache.
 
-Engines publish cache events late and with gaps, so every entry is a belief
-that ages. After a gap an eviction may have been missed: what was known of that
-engine before the gap is believed only for a short while longer. Memory is
-bounded; the block used least recently goes first.
+Engines publish cache events late and with gaps, so entries are estimates that
+expire. After a gap, an eviction may have been missed; entries of that engine
+from before the gap then expire early. Memory is bounded: the least recently
+used block is dropped first.
 """
 
 import collections
@@ -13,15 +13,16 @@
 import xxhash
 
 BLOCK_TOKENS = 64
-"""Prompt tokens (words split on white space) in one block."""
+"""Prompt tokens (words separated by white space) in one block."""
 
 
 class CacheEvent(NamedTuple):
     """One change of an engine's prefix cache, as the engine published it.
 
     Attributes:
-        sequence: Rises by one with each event of the engine.
-        kind: What happened to the block.
+        sequence: Sequence number, one higher than that of the engine's
+            previous event.
+        kind: Whether the block was stored or evicted.
         block_hash: Hash of the prompt's text up to the end of the block.
     """
 
@@ -31,12 +32,14 @@
 
 
 class PrefixSettings(NamedTuple):
-    """Bounds of the index.
+    """Limits of the index.
 
     Attributes:
-        entries_limit_count: Most pairs of block and engine held.
-        lifetime_s: How long an entry is believed without being renewed.
-        gap_lifetime_s: How long entries from before a gap are believed.
+        entries_limit_count: Maximum number of (block, engine) entries.
+        lifetime_s: Time after which an entry that was not confirmed again
+            expires.
+        gap_lifetime_s: How long an engine's entries from before a gap in its
+            events remain valid after the gap.
     """
 
     entries_limit_count: int = 100_000
@@ -44,8 +47,16 @@
     gap_lifetime_s: float = 5.0
 
 
-class _Feed:
-    """What is known of one engine's stream of events."""
+class _EventStream:
+    """State of one engine's cache event stream.
+
+    Attributes:
+        last_sequence: Sequence number of the last event, None before the
+            first one.
+        gap_s: Time of the last gap in the sequence numbers.
+        forgotten_s: Time of the engine's last restart; older entries are
+            invalid.
+    """
 
     __slots__ = ("forgotten_s", "gap_s", "last_sequence")
 
@@ -56,11 +67,11 @@
 
 
 def prompt_block_hashes(prompt: str) -> tuple[str, ...]:
-    """Returns the hash of each whole block of the prompt.
+    """Returns the hash of each full block of the prompt.
 
     The hash of a block is the xxh64 hex digest of the prompt's words up to
     the block's end, joined by single spaces, so equal hashes mean equal
-    beginnings. An incomplete last block has none.
+    prefixes. An incomplete last block has no hash.
     """
     words = prompt.split()
     digest = xxhash.xxh64()
@@ -74,35 +85,35 @@
 
 
 class PrefixIndex:
-    """Beliefs about the engines' prefix caches, bounded and ageing."""
+    """Estimated contents of the engines' prefix caches, bounded in size."""
 
     def __init__(self, settings: PrefixSettings):
         self._settings = settings
-        # block -> engine id -> when the entry was last confirmed.
+        # block hash -> engine ID -> time at which the entry was last confirmed.
         self._holders: collections.OrderedDict[int, dict[str, float]] = (
             collections.OrderedDict()
         )
-        self._feeds: dict[str, _Feed] = {}
+        self._event_streams: dict[str, _EventStream] = {}
         self._entry_count = 0
 
     @classmethod
     def from_config(
         cls, settings: PrefixSettings | None = None
     ) -> "PrefixIndex":
-        """Makes an empty index, with the default bounds when none given."""
+        """Creates an empty index, with the default limits if none are given."""
         return cls(settings or PrefixSettings())
 
     @property
     def entry_count(self) -> int:
-        """Pairs of block and engine held now."""
+        """Number of (block, engine) entries."""
         return self._entry_count
 
     def last_sequence(self, engine_id: str) -> int:
-        """Returns the last sequence seen of the engine, 0 if none."""
-        feed = self._feeds.get(engine_id)
-        if feed is None or feed.last_sequence is None:
+        """Returns the engine's last known sequence number, 0 if none."""
+        stream = self._event_streams.get(engine_id)
+        if stream is None or stream.last_sequence is None:
             return 0
-        return feed.last_sequence
+        return stream.last_sequence
 
     def apply(
         self,
@@ -111,42 +122,44 @@
         last_sequence: int,
         now_s: float,
     ) -> None:
-        """Takes in one batch of events.
+        """Applies one batch of events.
 
         Args:
             engine_id: The engine that published them.
-            events: Those that arrived, in order; some may be missing.
-            last_sequence: The engine's last sequence; a jump past the last
-                event is a gap too, a number that went back a restart.
-            now_s: The present.
+            events: The events that arrived, in order; some may be missing.
+            last_sequence: The engine's last sequence number. A number past
+                the last event also means a gap. A number lower than in an
+                earlier batch means that the engine restarted.
+            now_s: Current time.
         """
-        feed = self._feeds.setdefault(engine_id, _Feed())
-        if feed.last_sequence is not None and (
-            last_sequence < feed.last_sequence
+        stream = self._event_streams.setdefault(engine_id, _EventStream())
+        if stream.last_sequence is not None and (
+            last_sequence < stream.last_sequence
         ):
-            # A restarted engine counts anew and has an empty cache.
-            feed.forgotten_s = now_s
-            feed.last_sequence = 0
+            # A restarted engine numbers its events from 1 again, and its
+            # cache is empty.
+            stream.forgotten_s = now_s
+            stream.last_sequence = 0
         for event in events:
-            self._take_event(engine_id, feed, event, now_s)
-        if feed.last_sequence is None or last_sequence > feed.last_sequence:
-            if feed.last_sequence is not None:
-                feed.gap_s = now_s
-            feed.last_sequence = last_sequence
+            self._apply_event(engine_id, stream, event, now_s)
+        if stream.last_sequence is None or last_sequence > stream.last_sequence:
+            if stream.last_sequence is not None:
+                stream.gap_s = now_s
+            stream.last_sequence = last_sequence
 
     def note_sent(
         self, engine_id: str, block_hashes: Sequence[str], now_s: float
     ) -> None:
-        """Records that a prompt was prefilled at the engine.
+        """Records that this node sent a prompt to the engine for prefill.
 
-        Events come late; a prompt that we sent ourselves is known at once.
+        This makes the blocks known before the engine's events arrive.
         """
         for block_hash in block_hashes:
             self._store(engine_id, int(block_hash, 16), now_s)
 
     def forget(self, engine_id: str) -> None:
-        """Drops all that is known of an engine that went or changed."""
-        self._feeds.pop(engine_id, None)
+        """Drops all state of an engine that was removed or replaced."""
+        self._event_streams.pop(engine_id, None)
         empty = []
         for block, holders in self._holders.items():
             if holders.pop(engine_id, None) is not None:
@@ -159,9 +172,9 @@
     def cached_block_counts(
         self, block_hashes: Sequence[str], now_s: float
     ) -> dict[str, int]:
-        """Returns how many leading blocks each engine is believed to hold.
+        """Returns how many leading blocks each engine is assumed to cache.
 
-        Engines that hold none are left out.
+        Engines that cache none are left out.
         """
         counts: dict[str, int] = {}
         for depth, block_hash in enumerate(block_hashes):
@@ -169,41 +182,45 @@
             holders = self._holders.get(block)
             if not holders:
                 break
-            any_left = False
+            any_match = False
             for engine_id, confirmed_s in holders.items():
                 if counts.get(engine_id, 0) != depth:
                     continue
-                if self._is_believed(engine_id, confirmed_s, now_s):
+                if self._is_current(engine_id, confirmed_s, now_s):
                     counts[engine_id] = depth + 1
-                    any_left = True
-            if not any_left:
+                    any_match = True
+            if not any_match:
                 break
             self._holders.move_to_end(block)
         return counts
 
-    def _is_believed(
+    def _is_current(
         self, engine_id: str, confirmed_s: float, now_s: float
     ) -> bool:
         if now_s - confirmed_s > self._settings.lifetime_s:
             return False
-        feed = self._feeds.get(engine_id)
-        if feed is None:
+        stream = self._event_streams.get(engine_id)
+        if stream is None:
             return True
-        if confirmed_s < feed.forgotten_s:
+        if confirmed_s < stream.forgotten_s:
             return False
-        if confirmed_s >= feed.gap_s:
+        if confirmed_s >= stream.gap_s:
             return True
-        return now_s - feed.gap_s <= self._settings.gap_lifetime_s
+        return now_s - stream.gap_s <= self._settings.gap_lifetime_s
 
-    def _take_event(
-        self, engine_id: str, feed: _Feed, event: CacheEvent, now_s: float
+    def _apply_event(
+        self,
+        engine_id: str,
+        stream: _EventStream,
+        event: CacheEvent,
+        now_s: float,
     ) -> None:
-        if feed.last_sequence is not None:
-            if event.sequence <= feed.last_sequence:
+        if stream.last_sequence is not None:
+            if event.sequence <= stream.last_sequence:
                 return
-            if event.sequence > feed.last_sequence + 1:
-                feed.gap_s = now_s
-        feed.last_sequence = event.sequence
+            if event.sequence > stream.last_sequence + 1:
+                stream.gap_s = now_s
+        stream.last_sequence = event.sequence
         block = int(event.block_hash, 16)
         if event.kind == "stored":
             self._store(engine_id, block, now_s)
--- a/tests/test_prefix_index.py
+++ b/tests/test_prefix_index.py
@@ -1,4 +1,4 @@
-"""Beliefs about the engines' prefix caches."""
+"""Tests the index of the engines' prefix caches."""
 
 import unittest
 
@@ -27,40 +27,40 @@
 
 
 class BlockHashTest(unittest.TestCase):
-    def test_hash_is_of_all_text_up_to_the_blocks_end(self):
+    def test_block_hash_covers_all_text_up_to_block_end(self):
         self.assertEqual(len(_HASHES), 4)
         words = _PROMPT.split()
         for number, block_hash in enumerate(_HASHES, start=1):
             text = " ".join(words[: 64 * number])
             self.assertEqual(block_hash, xxhash.xxh64_hexdigest(text.encode()))
 
-    def test_same_blocks_after_another_beginning_differ(self):
+    def test_block_hashes_depend_on_preceding_text(self):
         other = prefix_index.prompt_block_hashes("other " + _PROMPT)
         self.assertFalse(set(other) & set(_HASHES))
 
-    def test_short_prompt_has_no_block(self):
+    def test_prompt_shorter_than_a_block_has_no_hash(self):
         self.assertEqual(prefix_index.prompt_block_hashes("a b c"), ())
 
 
-class BeliefTest(unittest.TestCase):
+class PrefixIndexTest(unittest.TestCase):
     def _count(
         self, index: prefix_index.PrefixIndex, now_s: float = 0.0
     ) -> int:
         return index.cached_block_counts(_HASHES, now_s).get("engine-1", 0)
 
-    def test_leading_blocks_count(self):
+    def test_only_leading_blocks_are_counted(self):
         index = _index()
         events = [_stored(1, 0), _stored(2, 1), _stored(3, 3)]
         index.apply("engine-1", events, 3, 0.0)
         self.assertEqual(self._count(index), 2)
 
-    def test_eviction_is_believed(self):
+    def test_evicted_block_is_not_counted(self):
         index = _index()
         events = [_stored(1, 0), _stored(2, 1), _evicted(3, 1)]
         index.apply("engine-1", events, 3, 0.0)
         self.assertEqual(self._count(index), 1)
 
-    def test_engines_are_told_apart(self):
+    def test_engines_are_counted_separately(self):
         index = _index()
         index.note_sent("engine-1", _HASHES, 0.0)
         index.note_sent("engine-2", _HASHES[:2], 0.0)
@@ -69,11 +69,12 @@
             {"engine-1": 4, "engine-2": 2},
         )
 
-    def test_gap_ages_out_what_was_known_before_it(self):
-        """Requests follow a prefix that the engine evicted long ago.
+    def test_entries_from_before_a_gap_expire_early(self):
+        """Guards against routing to a prefix that the engine has evicted.
 
-        Sequence: a block is stored, its eviction event is lost, later events
-        arrive. Cause: the gap in the sequence was taken for nothing.
+        A block is stored, its eviction event is lost and later events arrive.
+        If the gap in the sequence numbers were ignored, the block would still
+        count as cached.
         """
         for name, events, last_sequence in (
             ("between events", [_stored(4, 1)], 4),
@@ -86,24 +87,25 @@
                 self.assertGreaterEqual(self._count(index, 14.0), 1)
                 self.assertEqual(self._count(index, 16.0), 0)
 
-    def test_what_came_after_the_gap_is_believed(self):
+    def test_entries_from_after_a_gap_are_kept(self):
         index = _index(gap_lifetime_s=5.0)
         index.apply("engine-1", [_stored(1, 0)], 1, 0.0)
         index.apply("engine-1", [], 4, 10.0)
         index.apply("engine-1", [_stored(5, 0)], 5, 11.0)
         self.assertEqual(self._count(index, 100.0), 1)
 
-    def test_first_sequence_heard_is_no_gap(self):
+    def test_first_sequence_number_is_no_gap(self):
         index = _index()
         index.note_sent("engine-1", _HASHES, 0.0)
         index.apply("engine-1", [_stored(700, 0)], 700, 1.0)
         self.assertEqual(self._count(index, 100.0), 4)
 
-    def test_restarted_engine_holds_nothing(self):
-        """Requests follow a cache that died with the engine.
+    def test_restart_clears_entries_of_engine(self):
+        """Guards against routing to a cache that was lost in a restart.
 
-        Sequence: the engine restarts and numbers its events anew. Cause: the
-        lower sequence was taken for a repeat and ignored.
+        The engine restarts and numbers its events from 1 again. If the lower
+        sequence number were taken for a duplicate and ignored, blocks from
+        before the restart would still count as cached.
         """
         index = _index()
         index.apply("engine-1", [_stored(9, 0), _stored(10, 1)], 10, 0.0)
@@ -113,13 +115,13 @@
         self.assertEqual(self._count(index, 2.0), 1)
         self.assertEqual(index.last_sequence("engine-1"), 1)
 
-    def test_entries_expire(self):
+    def test_entries_expire_after_lifetime(self):
         index = _index(lifetime_s=300.0)
         index.note_sent("engine-1", _HASHES, 0.0)
         self.assertEqual(self._count(index, 299.0), 4)
         self.assertEqual(self._count(index, 301.0), 0)
 
-    def test_forgotten_engine_holds_nothing(self):
+    def test_forget_drops_entries_of_one_engine(self):
         index = _index()
         index.note_sent("engine-1", _HASHES, 0.0)
         index.note_sent("engine-2", _HASHES, 0.0)
@@ -129,11 +131,11 @@
         )
         self.assertEqual(index.entry_count, 4)
 
-    def test_least_recently_used_block_goes_first(self):
+    def test_least_recently_used_block_is_dropped_first(self):
         index = _index(entries_limit_count=4)
         index.note_sent("engine-1", _HASHES[:1], 0.0)
         index.note_sent("engine-1", ["1", "2", "3"], 0.0)
-        self.assertEqual(self._count(index), 1)  # renews its use
+        self.assertEqual(self._count(index), 1)  # marks it as recently used
         index.note_sent("engine-1", ["4"], 0.0)
         self.assertEqual(self._count(index), 1)
         self.assertEqual(index.cached_block_counts(["1"], 0.0), {})
@@ -150,7 +152,7 @@
         )
     )
     @settings(derandomize=True, deadline=None)
-    def test_memory_is_bounded_whatever_arrives(self, rows):
+    def test_entry_count_stays_within_limit(self, rows):
         index = _index(entries_limit_count=12)
         for engine_id, sequence, kind, block in rows:
             event = prefix_index.CacheEvent(sequence, kind, f"{block:x}")
