--- a/src/mulberrywharf/policy/planner_baselines.py
+++ b/src/mulberrywharf/policy/planner_baselines.py
@@ -1,4 +1,4 @@
-"""Planners to compare with: one that never changes, one that always does."""
+"""Baseline role planners: one never changes roles, one always does."""
 
 from mulberrywharf.policy import role_planner
 
@@ -8,8 +8,8 @@
     options: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> role_planner.Plan:
-    """Keeps the split that the fleet was started with."""
-    return role_planner.Stay("the split is fixed")
+    """Keeps the role split that the fleet was started with."""
+    return role_planner.Stay("the role split is fixed")
 
 
 def plan_eager(
@@ -17,10 +17,10 @@
     options: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> role_planner.Plan:
-    """Takes any change that the latest report makes look better.
+    """Makes any change that the latest reports predict to be better.
 
-    It has the same prediction, but neither hysteresis nor dwell nor budget,
-    gives a change no price and doesn't ask how old its reports are.
+    It uses the same prediction, but almost no hysteresis, no dwell time, no
+    budget and no cost of changes, and it ignores the age of reports.
     """
     eager = options._replace(
         role_change_weight=0.0,
--- a/src/mulberrywharf/policy/planner_types.py
+++ b/src/mulberrywharf/policy/planner_types.py
@@ -1,7 +1,6 @@
-"""What the role planner takes and gives: the zone, the weights, the decision.
+"""Types of the role planner: the zone, the settings and the decision.
 
-``policy.role_planner`` names all of these too; modules that only pass them on
-may take them from there.
+``policy.role_planner`` re-exports these names for its callers.
 """
 
 from typing import NamedTuple
@@ -11,37 +10,41 @@
 ROLES: tuple[fleet.Role, ...] = ("prefill", "decode", "mixed")
 
 MIXED_EFFICIENCY = 0.7
-"""Assumed speed of a mixed engine against a dedicated one."""
+"""Assumed speed of a mixed engine relative to a dedicated engine."""
 
 _DEFAULT_AWAY_S = 8.0
 
 
 class PlannerSettings(NamedTuple):
-    """What the planner weighs.
+    """Weights and limits of the planner.
 
     Attributes:
-        goodput_weight: Weight of one second of the zone's whole goodput.
-        role_change_weight: Weight of one role change, each of which counts
-            as ``change_price_s`` seconds of goodput.
-        change_price_s: See there.
-        min_gain_s: Predicted gain below which a change isn't made even when
-            changes are free: predictions exceed the real gain by about as much.
-        away_s: How long a role change takes an engine away.
-        horizon_s: How long a mix is trusted to last.
-        dwell_s: How long an engine keeps a role that it was given.
-        budget_count: Most free changes within ``budget_window_s``.
-        budget_window_s: Length of the sliding window of the budget.
-        hysteresis_share: Goodput that a change must win at least.
-        headroom: Capacity over demand from which on waiting is short.
-        mixed_efficiency: Speed of a mixed engine against a dedicated one;
-            prefill steps delay its decode steps.
-        stale_after_s: Age from which on a report is not acted on.
-        clock_margin_s: Allowed error between clocks.
+        goodput_weight: Weight of one second of the zone's full goodput.
+        role_change_weight: Weight of the cost of a role change.
+        change_cost_s: Cost of a role change, in seconds of the zone's full
+            goodput.
+        min_gain_s: Predicted gain, in seconds of full goodput, that a change
+            must exceed even if its cost has weight 0. Predictions exceed the
+            actual gain by about this much.
+        away_s: Time for which a role change makes an engine unavailable.
+        horizon_s: Time for which the mix of prompt and output tokens is
+            assumed to last.
+        dwell_s: Minimum time that an engine keeps a role.
+        budget_count: Maximum number of role changes within
+            ``budget_window_s`` while the rules fix no split.
+        budget_window_s: Length of the budget's sliding window.
+        hysteresis_share: Minimum increase of the served share of the demand
+            that a change must be predicted to bring.
+        headroom: Ratio of capacity to demand at which waits become short.
+        mixed_efficiency: Speed of a mixed engine relative to a dedicated
+            engine; its prefill steps delay its decode steps.
+        stale_after_s: Age above which reports and demand are not acted on.
+        clock_margin_s: Allowed difference between clocks.
     """
 
     goodput_weight: float = 1.0
     role_change_weight: float = 1.0
-    change_price_s: float = 5.0
+    change_cost_s: float = 5.0
     min_gain_s: float = 12.0
     away_s: float = _DEFAULT_AWAY_S
     horizon_s: float = 150.0
@@ -56,7 +59,7 @@
 
     @classmethod
     def from_config(cls, config: settings.Settings) -> "PlannerSettings":
-        """Reads the deployment's weights; the rest keeps its default."""
+        """Reads the deployment's settings; the others keep their defaults."""
         controller = config.get("controller", {})
         return cls(
             goodput_weight=controller.get("goodput_weight", 1.0),
@@ -72,15 +75,15 @@
     """One engine as the planner sees it.
 
     Attributes:
-        engine_id: The engine.
-        role: Its role.
-        usable: Whether it serves and may be changed.
-        prefill_tokens_per_s: Its speed when it only prefills.
-        decode_tokens_per_s: Its speed when it only decodes.
-        running_count: Requests that a drain would have to wait for.
-        report_age_s: Age of all this.
-        reported_unix_s: When the engine took the figures.
-        last_change_unix_s: When its last change ended, or 0.
+        engine_id: ID of the engine.
+        role: Current role.
+        usable: Whether the engine may serve requests and change its role.
+        prefill_tokens_per_s: Prefill speed when it only prefills.
+        decode_tokens_per_s: Decode speed when it only decodes.
+        running_count: Running requests, which a drain has to wait for.
+        report_age_s: Age of the engine's report.
+        reported_unix_s: Time at which the engine measured the report.
+        last_change_unix_s: Time of the engine's last role change, 0 if none.
     """
 
     engine_id: str
@@ -95,12 +98,12 @@
 
 
 class Demand(NamedTuple):
-    """What callers ask of the zone.
+    """Token rates that callers request from the zone.
 
     Attributes:
-        prompt_tokens_per_s: Prompt tokens that arrive.
-        output_tokens_per_s: Output tokens that are wanted.
-        age_s: How old the figures are.
+        prompt_tokens_per_s: Rate of prompt tokens that arrive.
+        output_tokens_per_s: Rate of output tokens that are to be generated.
+        age_s: Age of the rates.
     """
 
     prompt_tokens_per_s: float
@@ -109,7 +112,7 @@
 
 
 class RoleCounts(NamedTuple):
-    """A split that the rules fix."""
+    """Number of engines of each role, as fixed by the rules."""
 
     prefill_count: int
     decode_count: int
@@ -117,14 +120,17 @@
 
 
 class PlannerView(NamedTuple):
-    """The zone at one instant.
+    """State of the zone at one instant.
 
     Attributes:
         engines: All engines that the zone may use.
-        demand: None while nothing was measured.
-        target: The split that the rules fix, or None to plan freely.
-        in_change_count: Engines that drain for or are in a change.
-        change_ends_unix_s: When recent free changes ended, for the budget.
+        demand: The measured demand, None before the first measurement.
+        target: The role split that the rules fix, None if they fix none.
+        in_change_count: Engines that are being changed, or drained for a
+            change.
+        change_ends_unix_s: End times of recent role changes that the planner
+            chose while the rules fixed no split; they count against the
+            budget.
     """
 
     engines: tuple[PlannerEngine, ...]
@@ -135,13 +141,13 @@
 
 
 class RoleChange(NamedTuple):
-    """One engine is to change its role.
+    """Decision to change the role of one engine.
 
     Attributes:
-        engine_id: The engine.
+        engine_id: ID of the engine.
         role: Its next role.
-        reason: Why, for operators.
-        gain_s: Predicted gain in seconds of the zone's goodput.
+        reason: Reason shown to operators.
+        gain_s: Predicted gain, in seconds of the zone's full goodput.
     """
 
     engine_id: str
@@ -151,14 +157,14 @@
 
 
 class Stay(NamedTuple):
-    """No engine changes its role now.
+    """Decision to change no role now.
 
     Attributes:
-        reason: Why, for operators.
+        reason: Reason shown to operators.
     """
 
     reason: str
 
 
 Plan = RoleChange | Stay
-"""What ``role_planner.plan`` decides."""
+"""Decision of ``role_planner.plan``."""
--- a/src/mulberrywharf/policy/role_planner.py
+++ b/src/mulberrywharf/policy/role_planner.py
@@ -1,9 +1,10 @@
-"""Which engine should change its role next, if any.
+"""Plans which engine, if any, changes its role next.
 
-A change takes an engine away for seconds and pays back only while the mix of
-prompt and output tokens stays as it is. The planner predicts both over a
-horizon and weighs them as the deployment's settings say. Where the rules fix
-the split, the planner only chooses the engine and paces the changes.
+A role change makes an engine unavailable for some seconds and pays off only
+while the mix of prompt and output tokens stays the same. The planner predicts
+the loss and the gain over a horizon and weighs them by the deployment's
+settings. If the rules fix the role split, the planner only chooses the engine
+and allows one change at a time.
 """
 
 import functools
@@ -48,44 +49,45 @@
     """Decides on the next role change.
 
     Args:
-        view: The zone.
-        options: What to weigh.
-        now_unix_s: Wall clock.
+        view: State of the zone.
+        options: Weights and limits.
+        now_unix_s: Current wall clock time.
     """
     if view.in_change_count > 0:
-        return Stay("an engine of the zone is in a change")
+        return Stay("an engine in the zone is already being changed")
     if view.target is not None:
-        return _toward_target(view.engines, view.target)
-    held = _held_back(view, options, now_unix_s)
-    if held is not None:
-        return held
-    return _best_gain(view, options, now_unix_s)
+        return _plan_for_target(view.engines, view.target)
+    wait = _reason_to_wait(view, options, now_unix_s)
+    if wait is not None:
+        return wait
+    return _plan_best_change(view, options, now_unix_s)
 
 
-def _toward_target(
+def _plan_for_target(
     engines: Sequence[PlannerEngine], target: RoleCounts
 ) -> Plan:
-    """Picks the engine whose change costs callers least.
+    """Plans a change toward a split that the rules fix.
 
-    The rules fix the split; neither the gain nor the dwell time is considered.
+    Chooses the engine with the fewest running requests, whose drain affects
+    callers least. Neither the gain nor the dwell time is considered.
     """
     surplus = surplus_by_role(engines, target)
     wanted_role = min(ROLES, key=lambda role: surplus[role])
     movable = [e for e in engines if e.usable and surplus[e.role] > 0]
     if surplus[wanted_role] >= 0 or not movable:
-        return Stay("the split is as the rules say")
+        return Stay("the role split matches the rules")
     engine = min(movable, key=lambda e: (e.running_count, e.engine_id))
     return RoleChange(
         engine.engine_id,
         wanted_role,
-        f"the rules ask for {_describe(target)}",
+        f"the rules ask for {_describe_target(target)}",
     )
 
 
 def surplus_by_role(
     engines: Sequence[PlannerEngine], target: RoleCounts
 ) -> dict[fleet.Role, int]:
-    """Returns how many engines each role has over the target."""
+    """Returns how many more engines than the target each role has."""
     return {
         role: _count(engines, role) - wanted
         for role, wanted in zip(ROLES, target, strict=True)
@@ -96,42 +98,42 @@
     return sum(1 for engine in engines if engine.role == role)
 
 
-def _describe(target: RoleCounts) -> str:
+def _describe_target(target: RoleCounts) -> str:
     return (
         f"{target.prefill_count} prefill, {target.decode_count} decode, "
         f"{target.mixed_count} mixed"
     )
 
 
-def _held_back(
+def _reason_to_wait(
     view: PlannerView, options: PlannerSettings, now_unix_s: float
 ) -> Stay | None:
-    """Names what forbids any free change now, if anything does."""
+    """Returns why no change may be planned now, or None if one may."""
     if view.demand is None or view.demand.age_s > options.stale_after_s:
         return Stay("the demand is unknown or too old")
     window_start_s = now_unix_s - options.budget_window_s
     recent = [t for t in view.change_ends_unix_s if t > window_start_s]
     if len(recent) >= options.budget_count:
-        return Stay("the budget of changes is spent")
-    # Reports lag. One that was taken before the last change ended still
-    # shows the old split; planning on it would order the same change again.
+        return Stay("the role change budget is spent")
+    # Reports lag. A report from before the end of the last change still shows
+    # the old split, so planning on it would order the same change again.
     last_end_s = max(view.change_ends_unix_s, default=0.0)
     fresh_from_s = last_end_s + options.clock_margin_s
     if any(
         e.usable and e.reported_unix_s <= fresh_from_s for e in view.engines
     ):
-        return Stay("reports from after the last change are awaited")
+        return Stay("waiting for engine reports from after the last change")
     return None
 
 
-def _best_gain(
+def _plan_best_change(
     view: PlannerView, options: PlannerSettings, now_unix_s: float
 ) -> Plan:
     assert view.demand is not None
     usable = [e for e in view.engines if e.usable]
     before = served_share(usable, view.demand, options)
     best: RoleChange | None = None
-    for engine in _one_of_each_role(usable, options, now_unix_s):
+    for engine in _candidate_of_each_role(usable, options, now_unix_s):
         others = [e for e in usable if e is not engine]
         during = served_share(others, view.demand, options)
         for role in ROLES:
@@ -147,33 +149,36 @@
                 best = RoleChange(
                     engine.engine_id,
                     role,
-                    f"served share {before:.2f} to {after:.2f} predicted",
+                    f"predicted served share {before:.2f} to {after:.2f}",
                     gain_s,
                 )
     if best is None:
-        return Stay("no change wins enough goodput")
-    cost = options.role_change_weight * options.change_price_s
-    worth = options.goodput_weight * best.gain_s
-    if worth <= cost or best.gain_s <= options.min_gain_s:
+        return Stay("no role change gains enough goodput")
+    cost = options.role_change_weight * options.change_cost_s
+    benefit = options.goodput_weight * best.gain_s
+    if benefit <= cost or best.gain_s <= options.min_gain_s:
         return Stay(
             f"a predicted gain of {best.gain_s:.1f} s is not worth a change"
         )
     return best
 
 
-def _one_of_each_role(
+def _candidate_of_each_role(
     engines: Sequence[PlannerEngine],
     options: PlannerSettings,
     now_unix_s: float,
 ) -> list[PlannerEngine]:
-    """Returns the least busy engine of each role that has dwelt in it."""
-    chosen: dict[fleet.Role, PlannerEngine] = {}
+    """Returns, for each role, the least busy engine that may leave it.
+
+    An engine may leave its role after the dwell time if its report is fresh.
+    """
+    candidates: dict[fleet.Role, PlannerEngine] = {}
     for engine in sorted(engines, key=lambda e: e.running_count):
-        dwelt_s = now_unix_s - engine.last_change_unix_s
+        time_in_role_s = now_unix_s - engine.last_change_unix_s
         fresh = engine.report_age_s <= options.stale_after_s
-        if fresh and dwelt_s >= options.dwell_s:
-            chosen.setdefault(engine.role, engine)
-    return list(chosen.values())
+        if fresh and time_in_role_s >= options.dwell_s:
+            candidates.setdefault(engine.role, engine)
+    return list(candidates.values())
 
 
 def _gain_s(
@@ -183,10 +188,10 @@
     demand: Demand,
     options: PlannerSettings,
 ) -> float:
-    """Returns the goodput won less that lost, in seconds of all demand.
+    """Returns the predicted net gain, in seconds of the zone's full goodput.
 
-    An old report shortens the horizon: the mix has lasted that long
-    already without being seen.
+    The age of the demand shortens the horizon, because the current mix has
+    already lasted that long.
     """
     horizon_s = max(0.0, options.horizon_s - demand.age_s - options.away_s)
     return (after - before) * horizon_s - (before - during) * options.away_s
@@ -194,7 +199,7 @@
 
 @functools.singledispatch
 def describe(decision: object) -> str:
-    """Says in a line what was decided and why."""
+    """Returns one line with the decision and its reason."""
     raise TypeError(f"not a plan: {decision!r}")
 
 
--- a/tests/test_role_planner.py
+++ b/tests/test_role_planner.py
@@ -1,4 +1,4 @@
-"""The role planner weighs goodput against changes, on an old picture."""
+"""Tests the role planner, which weighs goodput against role changes."""
 
 import unittest
 
@@ -37,7 +37,7 @@
     return role_planner.plan(view, _OPTIONS._replace(**options), _NOW_S)
 
 
-def _after(
+def _with_change(
     view: role_planner.PlannerView, change: role_planner.RoleChange
 ) -> role_planner.PlannerView:
     engines = tuple(
@@ -49,13 +49,13 @@
     return view._replace(engines=engines)
 
 
-class FreePlanTest(unittest.TestCase):
-    def test_a_mix_swing_moves_an_engine(self):
+class PlanWithoutTargetTest(unittest.TestCase):
+    def test_change_of_token_mix_changes_a_role(self):
         plan = _plan(_view())
         self.assertIsInstance(plan, role_planner.RoleChange)
         self.assertNotEqual(plan.role, "decode")
 
-    def test_what_holds_it_back(self):
+    def test_no_change_is_planned(self):
         old = tuple(
             e._replace(reported_unix_s=_NOW_S - 30.0) for e in _view().engines
         )
@@ -63,16 +63,16 @@
             e._replace(last_change_unix_s=_NOW_S - 5.0) for e in _view().engines
         )
         cases = (
-            ("one at a time", _view(in_change_count=1), {}),
-            ("no demand known", _view(demand=None), {}),
+            ("another engine is being changed", _view(in_change_count=1), {}),
+            ("demand is unknown", _view(demand=None), {}),
             (
-                "demand too old",
+                "demand is too old",
                 _view(demand=_PROMPT_HEAVY._replace(age_s=60.0)),
                 {},
             ),
             ("dwell", _view(engines=dwelling), {}),
             (
-                "reports older than the last change",
+                "reports are older than the last change",
                 _view(engines=old, change_ends_unix_s=(_NOW_S - 20.0,)),
                 {},
             ),
@@ -81,10 +81,10 @@
                 _view(change_ends_unix_s=(_NOW_S - 99.0, _NOW_S - 98.0)),
                 {"budget_count": 2},
             ),
-            ("price of a change", _view(), {"role_change_weight": 1e6}),
-            ("goodput doesn't count", _view(), {"goodput_weight": 0.0}),
+            ("cost of a change", _view(), {"role_change_weight": 1e6}),
+            ("goodput has no weight", _view(), {"goodput_weight": 0.0}),
             (
-                "all is served",
+                "all demand is served",
                 _view(demand=role_planner.Demand(100.0, 100.0, 1.0)),
                 {},
             ),
@@ -94,21 +94,21 @@
                 plan = _plan(view, **options)
                 self.assertIsInstance(plan, role_planner.Stay, plan)
 
-    def test_it_settles(self):
+    def test_planner_stops_changing_roles(self):
         view = _view("pdddd")
         for _ in range(10):
             plan = _plan(view)
             if isinstance(plan, role_planner.Stay):
                 return
-            view = _after(view, plan)
-        self.fail("still changing after ten changes")
+            view = _with_change(view, plan)
+        self.fail("the planner still changes roles after ten changes")
 
-    def test_the_last_engine_of_a_phase_stays(self):
+    def test_last_prefill_or_decode_engine_may_only_become_mixed(self):
         plan = _plan(_view("pd"))
         if isinstance(plan, role_planner.RoleChange):
             self.assertEqual(plan.role, "mixed")
 
-    def test_the_eager_baseline_ignores_price_and_age(self):
+    def test_eager_baseline_ignores_cost_and_age(self):
         view = _view(demand=_PROMPT_HEAVY._replace(age_s=60.0))
         options = _OPTIONS._replace(role_change_weight=1e6)
         eager = planner_baselines.plan_eager(view, options, _NOW_S)
@@ -117,19 +117,19 @@
         self.assertIsInstance(static, role_planner.Stay)
 
 
-class TargetTest(unittest.TestCase):
-    def test_it_reaches_the_split_that_the_rules_fix(self):
+class PlanWithTargetTest(unittest.TestCase):
+    def test_planner_reaches_split_fixed_by_rules(self):
         target = role_planner.RoleCounts(3, 1, 1)
         view = _view("ddddd", demand=None, target=target)
         for _ in range(4):
             plan = _plan(view)
             assert isinstance(plan, role_planner.RoleChange)
-            view = _after(view, plan)
+            view = _with_change(view, plan)
         self.assertIsInstance(_plan(view), role_planner.Stay)
         surplus = role_planner.surplus_by_role(view.engines, target)
         self.assertEqual(set(surplus.values()), {0})
 
-    def test_the_least_busy_engine_goes_first(self):
+    def test_least_busy_engine_changes_first(self):
         engines = (
             _engine(0, "decode", running_count=9),
             _engine(1, "decode", running_count=2),
