--- a/src/mulberrywharf/requests/generation.py
+++ b/src/mulberrywharf/requests/generation.py
@@ -1,8 +1,8 @@
-"""One generation, from its admission to the last token of its answer.
+"""Runs one generation, from its admission to the last token of its answer.
 
-The path is straight: the customer's limit, a place at an engine, the stream,
-and, when the engine is lost, another place and the rest of the answer. What
-is decided on the way is decided by ``policy``.
+A generation passes the customer's limit, gets a slot at an engine and streams
+its tokens. If the engine is lost, it gets another slot, and the rest of the
+answer is generated there. The ``policy`` package makes the decisions.
 """
 
 import random
@@ -55,11 +55,11 @@
 
 
 class EngineTimeouts(NamedTuple):
-    """Bounds of the exchanges with engines.
+    """Timeouts of exchanges with engines.
 
     Attributes:
-        connect_s: For a new connection.
-        idle_s: Silence after which a stream counts as broken.
+        connect_s: Timeout of a new connection.
+        idle_s: Time without data after which a stream counts as broken.
     """
 
     connect_s: float = streams.DEFAULT_CONNECT_TIMEOUT_S
@@ -69,7 +69,7 @@
     def from_config(
         cls, config: settings.EnginesSettings | None
     ) -> "EngineTimeouts":
-        """Reads the ``engines`` part of the settings."""
+        """Reads the ``engines`` section of the settings."""
         engines: Any = config or {}
         return cls(
             engines.get("connect_timeout_s", cls().connect_s),
@@ -111,42 +111,50 @@
     def generate(
         self, wanted: request.CompletionRequest
     ) -> Iterator[streams.TokenBatch]:
-        """Yields the answer; the last batch says that it is whole.
+        """Yields the answer; the last batch marks it as complete.
 
         Raises:
-            RequestError: The answer is refused or cannot be made whole.
+            RequestError: The request was refused, or its answer cannot be
+                completed.
         """
         self._crashes.check(wanted.caller)
         now_s = self._clock.monotonic_s()
-        ask = self._ask(wanted)
-        self._rates.count(ask.customer, wanted.model, now_s)
+        slot_request = self._slot_request(wanted)
+        self._rates.count(slot_request.customer, wanted.model, now_s)
         expected_tokens = (
-            wanted.prompt_tokens + ask.shape.expected_output_tokens
+            wanted.prompt_tokens + slot_request.shape.expected_output_tokens
         )
-        taken = self._limits.take(ask.customer, expected_tokens, now_s)
+        taken = self._limits.take(slot_request.customer, expected_tokens, now_s)
         if isinstance(taken, Err):
             raise taken.err_value
-        self._retries.on_first_attempt(ask.customer, now_s)
+        self._retries.on_first_attempt(slot_request.customer, now_s)
         attempts = _Attempts(
-            wanted, ask, self._reader, self._places, self._crashes
+            wanted, slot_request, self._reader, self._places, self._crashes
         )
-        answer = self._answer(wanted, ask, attempts)
+        answer = self._make_stream(wanted, slot_request, attempts)
         try:
-            yield from self._timed(answer, attempts, wanted.model, now_s)
+            yield from self._record_timing(
+                answer, attempts, wanted.model, now_s
+            )
             self._crashes.ended_whole(wanted.caller)
             self._lengths.learn(wanted.model, answer.delivered_count)
         finally:
             attempts.close()
             used_tokens = wanted.prompt_tokens + answer.delivered_count
-            self._limits.settle(ask.customer, expected_tokens, used_tokens)
+            self._limits.settle(
+                slot_request.customer, expected_tokens, used_tokens
+            )
             _tokens_total.add({"model": wanted.model}, answer.delivered_count)
 
-    def _ask(self, wanted: request.CompletionRequest) -> places.Ask:
+    def _slot_request(
+        self, wanted: request.CompletionRequest
+    ) -> places.SlotRequest:
         caller = wanted.caller
         standings = self._standings()
-        own = standings.of(caller.customer)
-        # A caller may step back behind its customer's standing, not ahead.
-        priority = max(own.priority, caller.priority or 0)
+        customer_standing = standings.of(caller.customer)
+        # A caller may lower the customer's priority for a request (a higher
+        # number), but not raise it.
+        priority = max(customer_standing.priority, caller.priority or 0)
         shape = engine_choice.RequestShape(
             model=wanted.model,
             adapter=wanted.adapter,
@@ -158,26 +166,26 @@
             priority=priority,
             availability_zone=self._availability_zone,
         )
-        return places.Ask(
+        return places.SlotRequest(
             shape=shape,
             customer=caller.customer,
-            weight=own.weight,
+            weight=customer_standing.weight,
             deadline_s=caller.deadline_s,
             first_token_target_s=standings.first_token_target_s,
             between_tokens_target_s=standings.between_tokens_target_s,
             prefer_zone=standings.prefer_zone,
         )
 
-    def _answer(
+    def _make_stream(
         self,
         wanted: request.CompletionRequest,
-        ask: places.Ask,
+        slot_request: places.SlotRequest,
         attempts: "_Attempts",
     ) -> resume.ResumingStream:
         def decide(
             failed: resume.FailedTry,
         ) -> retry_budget.Retry | retry_budget.GiveUp:
-            return self._decide(wanted, ask, failed)
+            return self._decide(wanted, slot_request, failed)
 
         return resume.ResumingStream(
             attempts.generation,
@@ -189,7 +197,7 @@
             connect_timeout_s=self._timeouts.connect_s,
         )
 
-    def _timed(
+    def _record_timing(
         self,
         answer: resume.ResumingStream,
         attempts: "_Attempts",
@@ -208,12 +216,12 @@
                 )
                 _first_tokens_total.inc({"model": model})
             yield batch
-            attempts.on_passed_on(now_s, self._clock.monotonic_s())
+            attempts.on_delivered(now_s, self._clock.monotonic_s())
 
     def _decide(
         self,
         wanted: request.CompletionRequest,
-        ask: places.Ask,
+        slot_request: places.SlotRequest,
         failed: resume.FailedTry,
     ) -> retry_budget.Retry | retry_budget.GiveUp:
         _attempts_failed_total.inc({"reason": failed.error.code})
@@ -221,7 +229,7 @@
             self._places.on_refused(failed.engine_id)
         view = self._reader.view(failed.engine_id)
         if view is not None:
-            _note_end(
+            _note_possible_crash(
                 self._crashes,
                 wanted,
                 view.vm,
@@ -235,16 +243,15 @@
         now_s = self._clock.monotonic_s()
         return self._retries.decide(
             retry_budget.FailedAttempt(
-                customer=ask.customer,
+                customer=slot_request.customer,
                 attempt_count=failed.attempt_count,
                 progress=failed.progress,
-                # A generation has no effect beyond its answer, unless the
-                # caller says otherwise.
+                # A generation has no side effects unless the caller says so.
                 is_idempotent=wanted.caller.idempotent is not False,
-                time_left_s=ask.deadline_s - now_s,
+                time_left_s=slot_request.deadline_s - now_s,
                 outcome=failed.outcome,
-                # Not the failed engine's Retry-After: the next attempt goes
-                # to another engine.
+                # The failed engine's Retry-After is left out because the next
+                # attempt goes to another engine.
             ),
             self._rng,
             now_s,
@@ -252,17 +259,17 @@
 
 
 class _Attempts:
-    """The places of one generation, one after the other.
+    """The attempts of one generation, each with its slot at an engine.
 
-    It is what ``ResumingStream`` asks for engines and tells of begin and end;
-    the place at the decoding engine is held from its choice on, so that the
-    time of a KV handover counts.
+    ``ResumingStream`` gets its engines from this class and reports the begin
+    and end of each attempt to it. The slot at the decode engine is held from
+    the choice of the engine on, so it also covers the KV cache transfer.
     """
 
     def __init__(
         self,
         wanted: request.CompletionRequest,
-        ask: places.Ask,
+        slot_request: places.SlotRequest,
         reader: loads.LoadReader,
         engine_places: places.EnginePlaces,
         crashes: crash_watch.CrashWatch,
@@ -274,91 +281,99 @@
             _engine_body(wanted),
             run_ids.make(wanted.caller.request_id),
             wanted.prompt_tokens,
-            ask.shape.priority,
+            slot_request.shape.priority,
         )
-        self._ask = ask
+        self._slot_request = slot_request
         self._reader = reader
         self._places = engine_places
-        self._place: places.Place | None = None
+        self._slot: places.EngineSlot | None = None
         self._sent_s = 0.0
         self._has_token = False
         self._pace = answer_pace.AnswerPace()
 
     def close(self) -> None:
-        """Gives back a place that was taken and not used."""
-        if self._place is not None:
-            self._place.release(failed=False)
-            self._place = None
+        """Releases a slot that was allocated but not used."""
+        if self._slot is not None:
+            self._slot.release(failed=False)
+            self._slot = None
 
     def next_engine(
         self, excluded_engine_ids: frozenset[str]
     ) -> Result[fleet.EngineView, errors.RequestError]:
-        """Takes a place and returns its decoding engine."""
+        """Allocates a slot and returns its decode engine."""
         self.close()
         try:
             if self._has_token:
-                place = self._places.take_for_resume(
-                    self._ask, excluded_engine_ids
+                slot = self._places.acquire_for_resume(
+                    self._slot_request, excluded_engine_ids
                 )
             else:
-                place = self._places.take(self._ask, excluded_engine_ids)
+                slot = self._places.acquire(
+                    self._slot_request, excluded_engine_ids
+                )
         except errors.RequestError as error:
             return Err(error)
-        self._place = place
-        view = self._reader.view(place.choice.decode.vm_id)
+        self._slot = slot
+        view = self._reader.view(slot.choice.decode.vm_id)
         if view is None:
-            return Err(errors.NoEngineError("the engine left just now"))
+            return Err(
+                errors.NoEngineError("the chosen engine has just been removed")
+            )
         return Ok(view)
 
     def prepare(self, view: fleet.EngineView) -> resume.Prepared:
-        """Has the prompt prefilled elsewhere if the place says so."""
-        place = self._place
-        if place is None or not place.choice.is_split:
+        """Has another engine prefill the prompt if the slot is split."""
+        slot = self._slot
+        if slot is None or not slot.choice.is_split:
             return resume.Prepared(
                 self.generation.body, self.generation.prompt_tokens
             )
-        reader = place.choice.prefill
+        prefill_vm = slot.choice.prefill
         return handover.prepare(
-            reader,
+            prefill_vm,
             self.generation,
             self._reader,
-            on_failed=lambda error: _note_end(
-                self._crashes, self._wanted, reader, error, made_output=False
+            on_failed=lambda error: _note_possible_crash(
+                self._crashes,
+                self._wanted,
+                prefill_vm,
+                error,
+                made_output=False,
             ),
         )
 
     def begin(self, engine_id: str, prompt_tokens: int) -> None:
-        """Notes when the request goes to the engine of the place."""
+        """Records the time at which the request is sent to the engine."""
         self._sent_s = self._places.now_s()
         self._pace = answer_pace.AnswerPace()
 
     def end(self, engine_id: str, failed: bool) -> None:
-        """Gives the place back."""
-        if self._place is not None:
-            self._tell_pace(self._pace.at_end())
-            self._place.release(failed=failed)
-            self._place = None
+        """Reports the pace of the attempt and releases its slot."""
+        if self._slot is not None:
+            self._report_pace(self._pace.finish())
+            self._slot.release(failed=failed)
+            self._slot = None
 
     def on_tokens(self, count: int, now_s: float) -> None:
-        """Notes that tokens arrived."""
-        self._tell_pace(self._pace.on_tokens(count, now_s))
+        """Records that tokens arrived from the engine."""
+        self._report_pace(self._pace.on_tokens(count, now_s))
 
-    def on_passed_on(self, arrived_s: float, now_s: float) -> None:
-        """Notes that the caller took what had arrived."""
-        self._pace.on_passed_on(arrived_s, now_s)
+    def on_delivered(self, arrived_s: float, now_s: float) -> None:
+        """Records that the caller accepted the tokens that had arrived."""
+        self._pace.on_delivered(arrived_s, now_s)
 
-    def _tell_pace(self, between_tokens_s: float | None) -> None:
-        if self._place is not None and between_tokens_s is not None:
-            self._place.on_pace(between_tokens_s)
+    def _report_pace(self, between_tokens_s: float | None) -> None:
+        if self._slot is not None and between_tokens_s is not None:
+            self._slot.on_pace(between_tokens_s)
 
     def on_first_token(self, now_s: float) -> None:
-        """Tells the place how long the first token took."""
+        """Reports the time to the first token to the slot."""
         self._has_token = True
-        if self._place is not None:
-            self._place.on_first_token(now_s - self._sent_s)
+        if self._slot is not None:
+            self._slot.on_first_token(now_s - self._sent_s)
 
 
-def _note_end(
+def _note_possible_crash(
     crashes: crash_watch.CrashWatch,
     wanted: request.CompletionRequest,
     vm: fleet.VmRecord,
@@ -366,7 +381,7 @@
     *,
     made_output: bool,
 ) -> None:
-    """Notes that an engine broke off, if it may be its end."""
+    """Reports a failed exchange that may have been caused by a crash."""
     if crash_watch.may_be_crash(error):
         start = fleet.ServerStart(vm.vm_id)
         run = crash_watch.Run(wanted.caller, start, vm.address)
--- a/src/mulberrywharf/requests/places.py
+++ b/src/mulberrywharf/requests/places.py
@@ -1,8 +1,9 @@
-"""Places at engines: who gets one now, who waits, who is refused at once.
+"""Allocates request slots at engines.
 
-The decisions are those of ``policy``; this module keeps the state that they
-need (each engine's adaptive limit, one fair queue for each model) and the
-greenlets that wait.
+A request gets a slot at once, waits in a queue, or is refused at once. The
+``policy`` package makes these decisions. This module keeps the state that they
+need: an adaptive concurrency limit for each engine, a fair queue for each
+model, and the greenlets that wait.
 """
 
 import random
@@ -24,8 +25,8 @@
     prefix_index,
 )
 
-_HAND_OUT_INTERVAL_S = 0.25
-_LEAST_RETRY_S = 1.0
+_DISPATCH_INTERVAL_S = 0.25
+_MIN_RETRY_AFTER_S = 1.0
 
 _admissions_total = metrics.counter(
     "mulberry_admissions_total",
@@ -36,16 +37,16 @@
 )
 
 
-class Ask(NamedTuple):
-    """One generation that needs a place.
+class SlotRequest(NamedTuple):
+    """A generation that needs a slot.
 
     Attributes:
-        shape: What decides where it runs well.
-        customer: Whose it is.
-        weight: The customer's weight against others.
-        deadline_s: Monotonic instant of the caller's deadline.
-        first_token_target_s: Target of the first token, or None.
-        between_tokens_target_s: Target between tokens, or None.
+        shape: Properties of the request that the choice of engine depends on.
+        customer: Customer that the request belongs to.
+        weight: The customer's weight in the fair queue.
+        deadline_s: The caller's deadline, in monotonic time.
+        first_token_target_s: Target time to the first token, or None.
+        between_tokens_target_s: Target time between output tokens, or None.
         prefer_zone: Zone that the rules prefer, or empty.
     """
 
@@ -58,60 +59,61 @@
     prefer_zone: str = ""
 
 
-class Place:
-    """A place that was given; ``release`` it exactly once.
+class EngineSlot:
+    """A slot that was allocated to a request; must be released once.
 
     Attributes:
-        choice: The engines to use.
+        choice: The engines that the request runs on.
     """
 
     def __init__(
         self,
         owner: "EnginePlaces",
         choice: engine_choice.Choice,
-        tokens: int,
+        prefill_tokens: int,
         between_tokens_target_s: float | None,
     ):
         self.choice = choice
         self._owner = owner
-        self._tokens = tokens
+        self._prefill_tokens = prefill_tokens
         self._between_tokens_target_s = between_tokens_target_s
         self._released = False
 
     def on_first_token(self, delay_s: float) -> None:
-        """Tells how long the first token took since the request left."""
-        self._owner.on_first_token(self.choice, delay_s, self._tokens)
+        """Reports the time from sending the request to its first token."""
+        self._owner.on_first_token(self.choice, delay_s, self._prefill_tokens)
 
     def on_pace(self, between_tokens_s: float) -> None:
-        """Tells the mean time between tokens, as the engine made them."""
+        """Reports the mean time in which the engine generated a token."""
         self._owner.on_pace(
             self.choice, between_tokens_s, self._between_tokens_target_s
         )
 
     def release(self, *, failed: bool) -> None:
-        """Gives the place back."""
+        """Returns the slot; further calls do nothing."""
         if not self._released:
             self._released = True
             self._owner.release(self.choice, failed)
 
 
-class _Lane:
-    """The requests for one model that wait.
+class _ModelQueue:
+    """The waiting requests for one model.
 
     Attributes:
-        queue: Who waits, each with what wakes it.
-        handed_count: Handed out by the queue and not yet at an engine.
+        waiting: The queued requests, each with the event that wakes it.
+        dispatched_count: Requests that left the queue to take a slot and have
+            not taken it yet.
     """
 
     def __init__(self) -> None:
-        self.queue: fairness.FairQueue[gevent.event.AsyncResult] = (
+        self.waiting: fairness.FairQueue[gevent.event.AsyncResult] = (
             fairness.FairQueue.from_config()
         )
-        self.handed_count = 0
+        self.dispatched_count = 0
 
 
 class EnginePlaces:
-    """Gives out places at engines."""
+    """Allocates slots at engines and queues requests that have to wait."""
 
     def __init__(
         self,
@@ -129,77 +131,89 @@
         self._admission = admission_settings or admission.AdmissionSettings()
         self._limits: dict[str, concurrency.ConcurrencyLimit] = {}
         self._paces = pace.PaceMeter.from_config()
-        self._lanes: dict[str, _Lane] = {}
+        self._model_queues: dict[str, _ModelQueue] = {}
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins to hand out places that open by themselves."""
-        self._greenlet = gevent.spawn(self._hand_out_on)
+        """Starts the greenlet that dispatches waiting requests periodically."""
+        self._greenlet = gevent.spawn(self._dispatch_periodically)
 
     def close(self) -> None:
-        """Ends that; whoever still waits runs into its own time limit."""
+        """Stops that greenlet; requests that still wait time out."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     def now_s(self) -> float:
-        """Returns the monotonic time that delays are measured on."""
+        """Returns the current monotonic time."""
         return self._clock.monotonic_s()
 
     def queued_count(self) -> int:
-        """Returns how many requests wait, for operators."""
-        return sum(len(lane.queue) for lane in self._lanes.values())
+        """Returns the number of waiting requests."""
+        return sum(
+            len(model_queue.waiting)
+            for model_queue in self._model_queues.values()
+        )
 
-    def take(
-        self, ask: Ask, excluded_engine_ids: Collection[str] = ()
-    ) -> Place:
-        """Waits for a place, no longer than it can be of use.
+    def acquire(
+        self,
+        slot_request: SlotRequest,
+        excluded_engine_ids: Collection[str] = (),
+    ) -> EngineSlot:
+        """Allocates a slot, waiting while the request can still be in time.
 
         Raises:
-            RequestError: Nothing ran; with when to come back.
+            RequestError: The request was refused and did not run; the error
+                says when to retry.
         """
-        lane = self._lane(ask.shape.model)
-        handed = False
+        model_queue = self._model_queue(slot_request.shape.model)
+        dispatched = False
         while True:
-            views = self._usable(ask.shape, excluded_engine_ids)
-            open_views = [view for view in views if self._has_slot(view)]
-            has_slot = bool(open_views) and (handed or self._is_free(lane))
-            if handed:
-                lane.handed_count -= 1
-            choice = self._choose(ask, open_views or views)
-            decision = self._decide(ask, choice, lane, has_slot, views)
+            views = self._eligible(slot_request.shape, excluded_engine_ids)
+            views_with_slot = [view for view in views if self._has_slot(view)]
+            has_slot = bool(views_with_slot) and (
+                dispatched or self._has_no_waiters(model_queue)
+            )
+            if dispatched:
+                model_queue.dispatched_count -= 1
+            choice = self._choose(slot_request, views_with_slot or views)
+            decision = self._decide(
+                slot_request, choice, model_queue, has_slot, views
+            )
             if isinstance(decision, admission.Shed):
-                self._count(ask, "shed")
+                self._count_admission(slot_request, "shed")
                 raise decision.error
             if isinstance(decision, admission.Admit):
-                self._count(ask, "admitted")
-                return self._place(ask, choice)
-            self._wait(ask, lane, decision.limit_s)
-            handed = True
+                self._count_admission(slot_request, "admitted")
+                return self._reserve(slot_request, choice)
+            self._wait(slot_request, model_queue, decision.limit_s)
+            dispatched = True
 
-    def take_for_resume(
-        self, ask: Ask, excluded_engine_ids: Collection[str]
-    ) -> Place:
-        """Returns a place for an answer that has begun.
+    def acquire_for_resume(
+        self, slot_request: SlotRequest, excluded_engine_ids: Collection[str]
+    ) -> EngineSlot:
+        """Allocates a slot for an answer that has already begun.
 
-        It does not queue: the caller already reads, and engines keep their
-        own queue for what goes over their limit.
+        The request does not wait in the queue, because its caller is already
+        receiving the answer. Engines queue requests above their limit.
 
         Raises:
             NoEngineError: No other engine serves the model.
         """
-        views = self._usable(ask.shape, excluded_engine_ids)
-        open_views = [view for view in views if self._has_slot(view)]
-        return self._place(ask, self._choose(ask, open_views or views))
+        views = self._eligible(slot_request.shape, excluded_engine_ids)
+        views_with_slot = [view for view in views if self._has_slot(view)]
+        return self._reserve(
+            slot_request, self._choose(slot_request, views_with_slot or views)
+        )
 
     def on_first_token(
-        self, choice: engine_choice.Choice, delay_s: float, tokens: int
+        self, choice: engine_choice.Choice, delay_s: float, prefill_tokens: int
     ) -> None:
-        """Adapts the decoding engine's limit to a measured delay."""
+        """Adapts the decode engine's limit to a measured first token delay."""
         view = self._reader.view(choice.decode.vm_id)
         if view is None or view.report is None:
             return
         rate = view.report.prefill_tokens_per_s
-        idle_delay_s = tokens / rate if rate > 0 else 0.0
+        idle_delay_s = prefill_tokens / rate if rate > 0 else 0.0
         self._limit(choice.decode.vm_id).on_first_token(
             delay_s, idle_delay_s, view.own_in_flight_count
         )
@@ -210,12 +224,12 @@
         between_tokens_s: float,
         target_s: float | None,
     ) -> None:
-        """Learns how fast the decoding engine makes an answer.
+        """Records the decode engine's speed and adapts its limit.
 
         Args:
-            choice: Where the answer is made.
-            between_tokens_s: Mean time between its tokens.
-            target_s: What that should be, or None for no matter.
+            choice: The engines that generate the answer.
+            between_tokens_s: Mean time between the output tokens.
+            target_s: Target for that time, or None for no target.
         """
         engine_id = choice.decode.vm_id
         view = self._reader.view(engine_id)
@@ -228,19 +242,19 @@
             )
 
     def on_refused(self, engine_id: str) -> None:
-        """Cuts the limit of an engine that was full."""
+        """Lowers the limit of an engine that refused a request as full."""
         self._limit(engine_id).on_refused(self._clock.monotonic_s())
 
     def release(self, choice: engine_choice.Choice, failed: bool) -> None:
-        """Takes a place back and hands it to whoever is next."""
+        """Frees a slot and dispatches waiting requests."""
         self._reader.end(choice.decode.vm_id, failed)
-        self._hand_out_all()
+        self._dispatch_all()
 
     # --- state ------------------------------------------------------------
 
-    def _lane(self, model: str) -> _Lane:
-        # Models come from the configuration, so there are few lanes.
-        return self._lanes.setdefault(model, _Lane())
+    def _model_queue(self, model: str) -> _ModelQueue:
+        # Models come from the configuration, so there are few queues.
+        return self._model_queues.setdefault(model, _ModelQueue())
 
     def _limit(self, engine_id: str) -> concurrency.ConcurrencyLimit:
         limit = self._limits.get(engine_id)
@@ -253,11 +267,11 @@
         limit = self._limit(view.vm.vm_id)
         return limit.has_slot(view.own_in_flight_count)
 
-    def _is_free(self, lane: _Lane) -> bool:
-        """Whether a newcomer overtakes nobody."""
-        return not len(lane.queue) and not lane.handed_count
+    def _has_no_waiters(self, model_queue: _ModelQueue) -> bool:
+        """Whether a new request would overtake no waiting request."""
+        return not len(model_queue.waiting) and not model_queue.dispatched_count
 
-    def _usable(
+    def _eligible(
         self,
         shape: engine_choice.RequestShape,
         excluded_engine_ids: Collection[str],
@@ -269,142 +283,166 @@
             and engine_choice.serves(view, shape)
         ]
 
-    def _place(self, ask: Ask, choice: engine_choice.Choice) -> Place:
-        new_tokens = ask.shape.prompt_tokens - choice.cached_tokens
+    def _reserve(
+        self, slot_request: SlotRequest, choice: engine_choice.Choice
+    ) -> EngineSlot:
+        uncached_tokens = (
+            slot_request.shape.prompt_tokens - choice.cached_tokens
+        )
         self._index.note_sent(
-            choice.prefill.vm_id, ask.shape.prompt_block_hashes, self.now_s()
+            choice.prefill.vm_id,
+            slot_request.shape.prompt_block_hashes,
+            self.now_s(),
         )
         self._reader.begin(
-            choice.decode.vm_id, 0 if choice.is_split else new_tokens
+            choice.decode.vm_id, 0 if choice.is_split else uncached_tokens
         )
-        target_s = ask.between_tokens_target_s
-        return Place(self, choice, max(0, new_tokens), target_s)
+        target_s = slot_request.between_tokens_target_s
+        return EngineSlot(self, choice, max(0, uncached_tokens), target_s)
 
     # --- decisions --------------------------------------------------------
 
     def _choose(
-        self, ask: Ask, views: list[fleet.EngineView]
+        self, slot_request: SlotRequest, views: list[fleet.EngineView]
     ) -> engine_choice.Choice:
         now_s = self._clock.monotonic_s()
         chosen = engine_choice.choose(
             views,
-            ask.shape,
+            slot_request.shape,
             self._index,
             self._rng,
             now_s=now_s,
-            prefer_zone=ask.prefer_zone,
+            prefer_zone=slot_request.prefer_zone,
             slow_factors=self._paces.slow_factors(now_s),
         )
         if isinstance(chosen, Err):
-            self._count(ask, "no-engine")
+            self._count_admission(slot_request, "no-engine")
             raise chosen.err_value
         return chosen.ok_value
 
     def _decide(
         self,
-        ask: Ask,
+        slot_request: SlotRequest,
         choice: engine_choice.Choice,
-        lane: _Lane,
+        model_queue: _ModelQueue,
         has_slot: bool,
         views: list[fleet.EngineView],
     ) -> admission.Admit | admission.Wait | admission.Shed:
         demand = admission.Demand(
-            time_left_s=ask.deadline_s - self._clock.monotonic_s(),
-            priority=ask.shape.priority,
-            first_token_target_s=ask.first_token_target_s,
+            time_left_s=slot_request.deadline_s - self._clock.monotonic_s(),
+            priority=slot_request.shape.priority,
+            first_token_target_s=slot_request.first_token_target_s,
         )
-        total_s = choice.total_s(ask.shape.expected_output_tokens)
+        total_s = choice.total_s(slot_request.shape.expected_output_tokens)
         slots_count = sum(
             self._limit(view.vm.vm_id).limit_count for view in views
         )
-        ahead_count = len(lane.queue) + lane.handed_count + 1
+        ahead_count = (
+            len(model_queue.waiting) + model_queue.dispatched_count + 1
+        )
         outlook = admission.Outlook(
             first_token_s=choice.first_token_s,
             total_s=total_s,
-            # Each slot comes free once in the time that a request takes.
+            # Each slot becomes free once per duration of a request.
             queue_wait_s=ahead_count * total_s / max(1, slots_count),
-            queued_count=len(lane.queue),
+            queued_count=len(model_queue.waiting),
             has_slot=has_slot,
         )
         return admission.decide(demand, outlook, self._admission)
 
-    def _count(self, ask: Ask, result: str) -> None:
-        _admissions_total.inc({"model": ask.shape.model, "result": result})
+    def _count_admission(self, slot_request: SlotRequest, result: str) -> None:
+        _admissions_total.inc(
+            {"model": slot_request.shape.model, "result": result}
+        )
 
     # --- waiting ----------------------------------------------------------
 
-    def _wait(self, ask: Ask, lane: _Lane, limit_s: float) -> None:
-        """Returns once the fair queue hands this request a place.
+    def _wait(
+        self,
+        slot_request: SlotRequest,
+        model_queue: _ModelQueue,
+        limit_s: float,
+    ) -> None:
+        """Waits until the fair queue dispatches this request.
 
         Raises:
-            OverloadedError: It lost its place in the queue, or time ran out.
+            OverloadedError: The queue was full, the request was displaced
+                from it, or the time limit passed.
         """
-        woken = gevent.event.AsyncResult()
-        shape = ask.shape
-        queued = lane.queue.push(
-            ask.customer,
-            woken,
+        wakeup = gevent.event.AsyncResult()
+        shape = slot_request.shape
+        queued = model_queue.waiting.push(
+            slot_request.customer,
+            wakeup,
             cost=shape.prompt_tokens + shape.expected_output_tokens,
-            weight=ask.weight,
+            weight=slot_request.weight,
             priority=shape.priority,
             expires_s=self._clock.monotonic_s() + limit_s,
         )
         if queued.displaced is not None:
             queued.displaced.item.set(False)
         if queued.ticket is None:
-            self._count(ask, "queue-full")
+            self._count_admission(slot_request, "queue-full")
             raise _overloaded("the queue is full", limit_s)
-        self._show_queue(shape.model, lane)
+        self._update_queue_gauge(shape.model, model_queue)
         try:
-            is_handed = woken.get(timeout=limit_s)
+            is_dispatched = wakeup.get(timeout=limit_s)
         except gevent.Timeout:
-            is_handed = woken.ready() and woken.get_nowait()
-            if not is_handed:
-                lane.queue.remove(queued.ticket)
-                self._count(ask, "waited-in-vain")
-                raise _overloaded("no engine came free", limit_s) from None
+            is_dispatched = wakeup.ready() and wakeup.get_nowait()
+            if not is_dispatched:
+                model_queue.waiting.remove(queued.ticket)
+                self._count_admission(slot_request, "waited-in-vain")
+                raise _overloaded(
+                    "no engine became free in time", limit_s
+                ) from None
         except BaseException:
-            # The caller is gone. What was handed to it goes to the next.
-            lane.queue.remove(queued.ticket)
-            if woken.ready() and woken.get_nowait():
-                lane.handed_count -= 1
-                self._hand_out(shape.model, lane)
+            # The caller disconnected. If the request was dispatched already,
+            # another one is dispatched in its place.
+            model_queue.waiting.remove(queued.ticket)
+            if wakeup.ready() and wakeup.get_nowait():
+                model_queue.dispatched_count -= 1
+                self._dispatch(shape.model, model_queue)
             raise
         finally:
-            self._show_queue(shape.model, lane)
-        if not is_handed:
-            self._count(ask, "displaced")
-            raise _overloaded("others of its customer came first", limit_s)
+            self._update_queue_gauge(shape.model, model_queue)
+        if not is_dispatched:
+            self._count_admission(slot_request, "displaced")
+            raise _overloaded(
+                "the request was displaced from the full queue because its "
+                "customer has the most waiting requests",
+                limit_s,
+            )
 
-    def _show_queue(self, model: str, lane: _Lane) -> None:
-        _queued_gauge.set({"model": model}, len(lane.queue))
+    def _update_queue_gauge(self, model: str, model_queue: _ModelQueue) -> None:
+        _queued_gauge.set({"model": model}, len(model_queue.waiting))
 
-    def _hand_out_on(self) -> None:
-        # Engines come back, and limits grow, without any request ending.
+    def _dispatch_periodically(self) -> None:
+        # Slots also become free without a request ending: engines recover and
+        # limits grow.
         while True:
-            gevent.sleep(_HAND_OUT_INTERVAL_S)
-            self._forget_gone()
-            self._hand_out_all()
+            gevent.sleep(_DISPATCH_INTERVAL_S)
+            self._forget_removed_engines()
+            self._dispatch_all()
 
-    def _forget_gone(self) -> None:
-        known = {view.vm.vm_id for view in self._reader.views()}
-        for engine_id in self._limits.keys() - known:
+    def _forget_removed_engines(self) -> None:
+        known_ids = {view.vm.vm_id for view in self._reader.views()}
+        for engine_id in self._limits.keys() - known_ids:
             del self._limits[engine_id]
             self._paces.forget(engine_id)
 
-    def _hand_out_all(self) -> None:
-        for model, lane in list(self._lanes.items()):
-            if len(lane.queue):
-                self._hand_out(model, lane)
+    def _dispatch_all(self) -> None:
+        for model, model_queue in list(self._model_queues.items()):
+            if len(model_queue.waiting):
+                self._dispatch(model, model_queue)
 
-    def _hand_out(self, model: str, lane: _Lane) -> None:
+    def _dispatch(self, model: str, model_queue: _ModelQueue) -> None:
         shape = engine_choice.RequestShape(model)
-        free_count = self._free_count(shape) - lane.handed_count
+        free_count = self._free_count(shape) - model_queue.dispatched_count
         while free_count > 0:
-            ticket = lane.queue.pop(self._clock.monotonic_s())
+            ticket = model_queue.waiting.pop(self._clock.monotonic_s())
             if ticket is None:
                 return
-            lane.handed_count += 1
+            model_queue.dispatched_count += 1
             free_count -= 1
             ticket.item.set(True)
 
@@ -415,11 +453,11 @@
                 self._limit(view.vm.vm_id).limit_count
                 - view.own_in_flight_count,
             )
-            for view in self._usable(shape, ())
+            for view in self._eligible(shape, ())
         )
 
 
 def _overloaded(message: str, limit_s: float) -> errors.OverloadedError:
     return errors.OverloadedError(
-        message, retry_after_s=max(_LEAST_RETRY_S, limit_s)
+        message, retry_after_s=max(_MIN_RETRY_AFTER_S, limit_s)
     )
--- a/tests/test_answer_pace.py
+++ b/tests/test_answer_pace.py
@@ -1,4 +1,4 @@
-"""How fast an engine makes an answer, whoever reads it."""
+"""Tests the measurement of an engine's time between tokens."""
 
 import unittest
 from typing import Any
@@ -6,58 +6,60 @@
 from mulberrywharf.requests import answer_pace
 
 
-def _play(
+def _reported_paces(
     count: int, step_s: float, *, held_up_s: float = 0.0, together: int = 1
 ) -> list[float]:
-    """Returns the paces told for an answer of regular tokens."""
-    made = answer_pace.AnswerPace()
-    told = []
+    """Returns the reported paces of an answer with evenly spaced tokens.
+
+    The caller takes ``held_up_s`` to accept each group of tokens.
+    """
+    pace = answer_pace.AnswerPace()
+    reported = []
     now_s = 100.0
     for _ in range(count // together):
-        told.append(made.on_tokens(together, now_s))
-        made.on_passed_on(now_s, now_s + held_up_s)
+        reported.append(pace.on_tokens(together, now_s))
+        pace.on_delivered(now_s, now_s + held_up_s)
         now_s += max(step_s * together, held_up_s)
-    told.append(made.at_end())
-    return [pace_s for pace_s in told if pace_s is not None]
+    reported.append(pace.finish())
+    return [pace_s for pace_s in reported if pace_s is not None]
 
 
 class AnswerPaceTest(unittest.TestCase):
-    def test_told_once(self) -> None:
+    def test_pace_is_reported_once(self) -> None:
         cases: dict[str, dict[str, Any]] = {
-            "a long answer, early": {"count": 200},
-            "a short answer, at its end": {"count": 10},
+            "long answer, reported early": {"count": 200},
+            "short answer, reported at its end": {"count": 10},
             "tokens that arrive together": {"count": 200, "together": 4},
-            "a caller that reads at once": {"count": 200, "held_up_s": 5e-4},
+            "caller that reads at once": {"count": 200, "held_up_s": 5e-4},
         }
         for name, case in cases.items():
             with self.subTest(name):
-                told = _play(step_s=0.01, **case)
-                self.assertEqual(len(told), 1)
-                self.assertAlmostEqual(told[0], 0.01)
+                reported = _reported_paces(step_s=0.01, **case)
+                self.assertEqual(len(reported), 1)
+                self.assertAlmostEqual(reported[0], 0.01)
 
-    def test_is_early(self) -> None:
-        made = answer_pace.AnswerPace()
-        self.assertIsNone(made.on_tokens(1, 0.0))
-        self.assertIsNone(made.on_tokens(4, 0.2))
-        told = made.on_tokens(6, 0.4)
-        self.assertAlmostEqual(told or 0.0, 0.04)
-        self.assertIsNone(made.on_tokens(1, 0.5))
-        self.assertIsNone(made.at_end())
+    def test_pace_is_reported_before_the_answer_ends(self) -> None:
+        pace = answer_pace.AnswerPace()
+        self.assertIsNone(pace.on_tokens(1, 0.0))
+        self.assertIsNone(pace.on_tokens(4, 0.2))
+        reported = pace.on_tokens(6, 0.4)
+        self.assertAlmostEqual(reported or 0.0, 0.04)
+        self.assertIsNone(pace.on_tokens(1, 0.5))
+        self.assertIsNone(pace.finish())
 
-    def test_slow_caller_tells_nothing(self) -> None:
-        """An engine is avoided because a phone reads slowly.
+    def test_slow_caller_suppresses_report(self) -> None:
+        """Guards against avoiding a fast engine because its caller is slow.
 
-        Symptom: a good engine gets little work.
-        Sequence: a caller takes each token late; the next ones wait in
-        buffers meanwhile.
-        Cause: the time between reads was taken for the engine's.
+        A caller reads each token late, so the next tokens wait in buffers. If
+        the time between reads were taken for the engine's time between
+        tokens, a good engine would get few requests.
         """
-        self.assertEqual(_play(200, 0.01, held_up_s=0.1), [])
+        self.assertEqual(_reported_paces(200, 0.01, held_up_s=0.1), [])
 
-    def test_too_short_to_tell(self) -> None:
+    def test_short_answer_is_not_reported(self) -> None:
         for count in (0, 1, 4):
             with self.subTest(count=count):
-                self.assertEqual(_play(count, 0.01), [])
+                self.assertEqual(_reported_paces(count, 0.01), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Places at engines: who gets one, who waits, who is refused."""
+"""Tests the allocation of slots at engines."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 def _reader(count: int = 1) -> loads.LoadReader:
-    """Returns a reader that was told of ready engines."""
+    """Returns a load reader with reports of ``count`` ready engines."""
     reader = loads.LoadReader.from_config()
     engine_ids = [f"engine-{number}" for number in range(1, count + 1)]
     reader.set_vms(
@@ -43,17 +43,19 @@
         )
 
     def _places(self, reader: loads.LoadReader) -> places.EnginePlaces:
-        made = places.EnginePlaces(
+        engine_places = places.EnginePlaces(
             reader,
             prefix_index.PrefixIndex.from_config(),
             system_clock=clock.SystemClock(),
             rng=random.Random(1),
         )
-        made.start()
-        self.addCleanup(made.close)
-        return made
+        engine_places.start()
+        self.addCleanup(engine_places.close)
+        return engine_places
 
-    def ask(self, customer: str = "a", **changes: Any) -> places.Ask:
+    def slot_request(
+        self, customer: str = "a", **changes: Any
+    ) -> places.SlotRequest:
         shape = engine_choice.RequestShape(
             changes.pop("model", "tagger"),
             prompt_tokens=4,
@@ -61,139 +63,147 @@
             priority=changes.pop("priority", 0),
         )
         deadline_s = self.places.now_s() + changes.pop("time_left_s", 60.0)
-        return places.Ask(shape, customer, 1.0, deadline_s, **changes)
+        return places.SlotRequest(shape, customer, 1.0, deadline_s, **changes)
 
-    def fill(self) -> list[places.Place]:
+    def fill_all_slots(self) -> list[places.EngineSlot]:
         return [
-            self.places.take(self.ask("filler"))
+            self.places.acquire(self.slot_request("filler"))
             for _ in range(self.slots_count)
         ]
 
-    def waiting(self, ask: places.Ask) -> Any:
-        """Begins to wait for a place; returns once it is queued."""
+    def start_waiting(self, slot_request: places.SlotRequest) -> Any:
+        """Returns a greenlet that waits in the queue for a slot."""
         before_count = self.places.queued_count()
-        greenlet = gevent.spawn(self.places.take, ask)
+        greenlet = gevent.spawn(self.places.acquire, slot_request)
         self.addCleanup(greenlet.kill)
         with gevent.Timeout(_WAIT_S):
             while self.places.queued_count() == before_count:
                 gevent.sleep(0)
         return greenlet
 
-    def test_released_place_goes_to_who_waits(self) -> None:
-        taken = self.fill()
-        waiting = self.waiting(self.ask())
+    def test_released_slot_goes_to_waiting_request(self) -> None:
+        taken = self.fill_all_slots()
+        waiting = self.start_waiting(self.slot_request())
         taken[0].release(failed=False)
         self.assertEqual(
             waiting.get(timeout=_WAIT_S).choice.decode.vm_id, _ENGINE
         )
 
-    def test_newcomer_does_not_overtake_who_waits(self) -> None:
-        taken = self.fill()
-        waiting = self.waiting(self.ask())
+    def test_new_request_does_not_overtake_waiting_request(self) -> None:
+        taken = self.fill_all_slots()
+        waiting = self.start_waiting(self.slot_request())
         taken[0].release(failed=False)
-        # The place is handed out, and its new holder has not run yet.
+        # The waiting request was dispatched but its greenlet has not run yet.
         with self.assertRaises(errors.OverloadedError):
-            self.places.take(self.ask(time_left_s=0.3))
+            self.places.acquire(self.slot_request(time_left_s=0.3))
         self.assertTrue(waiting.ready())
 
-    def test_customers_take_turns(self) -> None:
-        taken = self.fill()
-        flood = [self.waiting(self.ask("flood")) for _ in range(4)]
-        other = self.waiting(self.ask("other"))
-        for place in taken[:2]:
-            place.release(failed=False)
+    def test_customers_get_slots_in_turn(self) -> None:
+        taken = self.fill_all_slots()
+        flood = [
+            self.start_waiting(self.slot_request("flood")) for _ in range(4)
+        ]
+        other = self.start_waiting(self.slot_request("other"))
+        for slot in taken[:2]:
+            slot.release(failed=False)
         other.get(timeout=_WAIT_S)
         self.assertEqual(sum(greenlet.ready() for greenlet in flood), 1)
 
-    def test_place_of_a_caller_who_left_goes_on(self) -> None:
-        """A slot is lost with each caller that leaves the queue.
+    def test_slot_of_disconnected_caller_goes_to_next_request(self) -> None:
+        """Guards against losing a slot when a caller disconnects.
 
-        Symptom: engines are idle while requests wait.
-        Sequence: a place is handed to a request whose caller leaves in the
-        same instant.
-        Cause: the place was handed out and never used.
+        A request is dispatched at the same instant as its caller disconnects.
+        If its slot were not passed on, engines would be idle while requests
+        wait.
         """
-        taken = self.fill()
-        leaving = self.waiting(self.ask("a"))
-        staying = self.waiting(self.ask("b"))
-        # The queue hands the place out before the exception is thrown.
+        taken = self.fill_all_slots()
+        leaving = self.start_waiting(self.slot_request("a"))
+        staying = self.start_waiting(self.slot_request("b"))
+        # The request is dispatched before the exception is thrown into it.
         leaving.kill(errors.CallerGoneError("left"), block=False)
         taken[0].release(failed=False)
         self.assertEqual(self.places.queued_count(), 1)
         staying.get(timeout=_WAIT_S)
 
-    def test_waits_no_longer_than_its_deadline(self) -> None:
-        self.fill()
-        ask = self.ask(time_left_s=0.3)
+    def test_request_does_not_wait_past_its_deadline(self) -> None:
+        self.fill_all_slots()
+        slot_request = self.slot_request(time_left_s=0.3)
         with self.assertRaises(errors.OverloadedError) as caught:
-            self.places.take(ask)
+            self.places.acquire(slot_request)
         self.assertEqual(caught.exception.outcome, "not-run")
         self.assertIsNotNone(caught.exception.retry_after_s)
         self.assertEqual(self.places.queued_count(), 0)
 
-    def test_refuses_at_once_what_cannot_be_met(self) -> None:
+    def test_request_that_cannot_be_served_is_refused_at_once(self) -> None:
         cases = {
             "deadline": (
-                self.ask(time_left_s=0.0),
+                self.slot_request(time_left_s=0.0),
                 errors.DeadlineExceededError,
             ),
-            "model": (self.ask(model="unheard-of"), errors.NoEngineError),
+            "model": (
+                self.slot_request(model="unheard-of"),
+                errors.NoEngineError,
+            ),
         }
-        for name, (ask, kind) in cases.items():
+        for name, (slot_request, kind) in cases.items():
             with self.subTest(name), self.assertRaises(kind):
-                self.places.take(ask)
+                self.places.acquire(slot_request)
 
-    def test_resumed_answer_does_not_queue(self) -> None:
+    def test_resumed_answer_does_not_wait_in_queue(self) -> None:
         reader = _reader(2)
-        made = self._places(reader)
+        engine_places = self._places(reader)
         for _ in range(2 * self.slots_count):
-            made.take(self.ask())
-        resumed = made.take_for_resume(self.ask(), {_ENGINE})
+            engine_places.acquire(self.slot_request())
+        resumed = engine_places.acquire_for_resume(
+            self.slot_request(), {_ENGINE}
+        )
         self.assertEqual(resumed.choice.decode.vm_id, "engine-2")
 
-    def test_refusals_shrink_the_engine_s_limit(self) -> None:
+    def test_refusal_lowers_limit_of_engine(self) -> None:
         self.places.on_refused(_ENGINE)
         admitted = 0
         while not self._would_wait():
-            self.places.take(self.ask("filler"))
+            self.places.acquire(self.slot_request("filler"))
             admitted += 1
         self.assertLess(admitted, self.slots_count)
 
-    def test_slow_answers_shrink_the_engine_s_limit(self) -> None:
+    def test_slow_answers_lower_limit_of_engine(self) -> None:
         for target_s, is_smaller in (
             (0.028, True),
             (0.2, False),
             (None, False),
         ):
             with self.subTest(target_s=target_s):
-                made = self._places(self.reader)
-                ask = self.ask(between_tokens_target_s=target_s)
-                place = made.take(ask)
+                engine_places = self._places(self.reader)
+                slot_request = self.slot_request(
+                    between_tokens_target_s=target_s
+                )
+                slot = engine_places.acquire(slot_request)
                 for _ in range(5):
-                    place.on_pace(0.1)
-                place.release(failed=False)
-                limit_count = made._limit(_ENGINE).limit_count
+                    slot.on_pace(0.1)
+                slot.release(failed=False)
+                limit_count = engine_places._limit(_ENGINE).limit_count
                 self.assertEqual(limit_count < self.slots_count, is_smaller)
 
     def test_engine_with_slow_answers_is_avoided(self) -> None:
-        """Answers crawl from one engine that goes on being chosen.
+        """Guards against choosing an engine that is slower than it reports.
 
-        Symptom: one answer in four is slow while reports look alike.
-        Sequence: an accelerator is throttled; reports name usual speeds.
-        Cause: what the router's own answers show was not looked at.
+        The accelerator of one of four engines is throttled, but its reports
+        still state the usual speed. If the router ignored the measured pace
+        of its own answers, one answer in four would be slow.
         """
         reader = _reader(4)
-        made = self._places(reader)
+        engine_places = self._places(reader)
         for _ in range(40):
-            place = made.take(self.ask())
-            is_slow = place.choice.decode.vm_id == _ENGINE
-            place.on_pace(0.1 if is_slow else 0.01)
-            place.release(failed=False)
-        chosen = [made.take(self.ask()) for _ in range(6)]
+            slot = engine_places.acquire(self.slot_request())
+            is_slow = slot.choice.decode.vm_id == _ENGINE
+            slot.on_pace(0.1 if is_slow else 0.01)
+            slot.release(failed=False)
+        chosen = [engine_places.acquire(self.slot_request()) for _ in range(6)]
         self.assertNotIn(_ENGINE, [p.choice.decode.vm_id for p in chosen])
 
-    def test_engine_that_went_is_forgotten(self) -> None:
-        self.places.take(self.ask()).on_pace(0.1)
+    def test_state_of_removed_engine_is_dropped(self) -> None:
+        self.places.acquire(self.slot_request()).on_pace(0.1)
         self.reader.set_vms([])
         with gevent.Timeout(_WAIT_S):
             while self.places._limits or self.places._paces._paces:
@@ -204,10 +214,10 @@
         assert view is not None
         return not self.places._has_slot(view)
 
-    def test_release_counts_once(self) -> None:
-        place = self.places.take(self.ask())
-        place.release(failed=False)
-        place.release(failed=False)
+    def test_second_release_has_no_effect(self) -> None:
+        slot = self.places.acquire(self.slot_request())
+        slot.release(failed=False)
+        slot.release(failed=False)
         view = self.reader.view(_ENGINE)
         assert view is not None
         self.assertEqual(view.own_in_flight_count, 0)
