--- a/src/mulberrywharf/requests/__init__.py
+++ b/src/mulberrywharf/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The path of one request, from its admission to its whole answer."""
+"""Runs requests, from their admission to the end of their answers."""
--- a/src/mulberrywharf/requests/claimed_call.py
+++ b/src/mulberrywharf/requests/claimed_call.py
@@ -1,7 +1,7 @@
 """At-most-once calls: a call with an idempotency key runs under a claim.
 
-A duplicate request, at whatever router, meets the claim of the first one and
-gets its answer instead of running again.
+A duplicate request, at any router, finds the claim of the first request and
+gets that request's answer instead of running again.
 """
 
 import random
@@ -19,10 +19,10 @@
 
 _CLAIM_TIMEOUT_S = 4.0
 _RUN_MARGIN_S = 5.0
-_LEAST_WAIT_S = 0.05
-_CLAIM_AGAIN_LIMIT_S = 0.2
+_MIN_TIMEOUT_S = 0.05
+_CLAIM_RETRY_LIMIT_S = 0.2
 
-Run = Callable[[passthrough.ServiceCall], passthrough.ServiceAnswer]
+RunCall = Callable[[passthrough.ServiceCall], passthrough.ServiceAnswer]
 """Runs a call at a backend server; raises a ``RequestError`` if it fails."""
 
 _duplicates_total = metrics.counter(
@@ -32,7 +32,7 @@
 
 
 class Claims(Protocol):
-    """What a call needs of ``nodes.claim_client.ClaimClient``."""
+    """The claim operations that calls use; see ``nodes.claim_client``."""
 
     def claim(
         self,
@@ -47,30 +47,30 @@
         claims.ClaimGranted | claims.ClaimMet,
         errors.ClaimUnavailableError | errors.KeyReuseError,
     ]:
-        """Asks for the right to run."""
+        """Claims the right to run the request."""
         ...
 
     def wait(
         self, customer: str, key: str, timeout_s: float
     ) -> Result[claims.ClaimMet, errors.ClaimUnavailableError]:
-        """Waits for the end of a run that was met."""
+        """Waits for the end of the run that holds the claim."""
         ...
 
     def complete(
         self, granted: claims.ClaimGranted, status: int, answer: bytes
     ) -> Result[None, errors.ClaimUnavailableError]:
-        """Records the answer of a run."""
+        """Records the answer of the run."""
         ...
 
     def release(
         self, granted: claims.ClaimGranted
     ) -> Result[None, errors.ClaimUnavailableError]:
-        """Frees a claim of which nothing ran."""
+        """Releases a claim under which nothing ran."""
         ...
 
 
 class ClaimedCalls:
-    """Runs calls under claims and answers their duplicates."""
+    """Runs calls under claims and answers duplicate calls."""
 
     def __init__(
         self,
@@ -88,33 +88,36 @@
         self._background = background
         self._clock = system_clock
         self._rng = rng
-        self._kept = kept_answers.AnswerStore()
+        self._answers = kept_answers.AnswerStore()
 
     def run(
-        self, wanted: passthrough.ServiceCall, key: str, run_once: Run
+        self, wanted: passthrough.ServiceCall, key: str, run_once: RunCall
     ) -> passthrough.ServiceAnswer:
-        """Returns the answer of the one run, made now or met.
+        """Returns the answer of the call's only run, now or earlier.
 
         Args:
             wanted: The call.
-            key: Its idempotency key.
-            run_once: Runs it at a backend server, if the claim is granted.
+            key: The idempotency key of the call.
+            run_once: Runs the call at a backend server; used if the claim is
+                granted.
 
         Raises:
-            RequestError: With the outcome that holds for the call.
+            RequestError: The call failed; the error has its outcome.
         """
-        met_before = False
+        found_earlier_claim = False
         while True:
             claimed = self._claim(wanted, key)
             if isinstance(claimed, Err):
-                raise _after_meeting(claimed.err_value, met_before)
+                raise _with_unknown_outcome(
+                    claimed.err_value, found_earlier_claim
+                )
             if isinstance(claimed.ok_value, claims.ClaimGranted):
                 return self._run_granted(wanted, claimed.ok_value, run_once)
-            met_before = True
-            answer = self._answer_of_first(wanted, key, claimed.ok_value)
+            found_earlier_claim = True
+            answer = self._first_answer(wanted, key, claimed.ok_value)
             if answer is not None:
                 return answer
-            gevent.sleep(self._rng.uniform(0.0, _CLAIM_AGAIN_LIMIT_S))
+            gevent.sleep(self._rng.uniform(0.0, _CLAIM_RETRY_LIMIT_S))
 
     def _claim(
         self, wanted: passthrough.ServiceCall, key: str
@@ -137,7 +140,7 @@
         self,
         wanted: passthrough.ServiceCall,
         granted: claims.ClaimGranted,
-        run_once: Run,
+        run_once: RunCall,
     ) -> passthrough.ServiceAnswer:
         try:
             answer = run_once(wanted)
@@ -145,64 +148,77 @@
             if error.outcome == "not-run":
                 self._background.spawn(self._claims.release, granted)
             raise
-        kept = kept_answers.encode(answer)
-        self._kept.put(granted.claim_id, kept)
+        encoded = kept_answers.encode(answer)
+        self._answers.put(granted.claim_id, encoded)
         self._background.spawn(
-            self._claims.complete, granted, answer.status, kept
+            self._claims.complete, granted, answer.status, encoded
         )
         return answer
 
-    def _answer_of_first(
-        self, wanted: passthrough.ServiceCall, key: str, met: claims.ClaimMet
+    def _first_answer(
+        self,
+        wanted: passthrough.ServiceCall,
+        key: str,
+        earlier_claim: claims.ClaimMet,
     ) -> passthrough.ServiceAnswer | None:
-        """Returns the first request's answer, or None if that was not run."""
-        if met.state == "in-progress":
+        """Returns the first request's answer, or None to claim again."""
+        if earlier_claim.state == "in-progress":
             left_s = max(0.0, self._time_left_s(wanted))
             waited = self._claims.wait(wanted.caller.customer, key, left_s)
             if isinstance(waited, Err):
-                # Freed because nothing ran, or its owner is away: the next
-                # claim tells which.
+                # Either the claim was released because nothing ran, or the
+                # owner of the claim's shard is unavailable. The next claim
+                # shows which.
                 return None
-            met = waited.ok_value
-        if met.state == "done":
-            answer = self._kept_answer(wanted, key, met)
+            earlier_claim = waited.ok_value
+        if earlier_claim.state == "done":
+            answer = self._stored_answer(wanted, key, earlier_claim)
             if answer is not None:
                 _duplicates_total.inc({"result": "answered"})
                 return answer
-            raise self._not_told("ran, but its answer is no longer kept")
-        if met.state == "in-progress":
-            raise self._not_told("is still running")
-        raise self._not_told("has no known outcome and is not run again")
+            raise self._unknown_outcome_error(
+                "ran, but its answer is no longer kept"
+            )
+        if earlier_claim.state == "in-progress":
+            raise self._unknown_outcome_error("is still running")
+        raise self._unknown_outcome_error(
+            "has no known outcome and is not run again"
+        )
 
-    def _not_told(self, what: str) -> errors.BackEndLostError:
+    def _unknown_outcome_error(self, what: str) -> errors.BackEndLostError:
         _duplicates_total.inc({"result": "unknown"})
         return errors.BackEndLostError(
             f"the first request with this idempotency key {what}",
             outcome="unknown",
             retry_after_s=1.0,
-            advice="Ask again with the same key; do not use a new one.",
+            advice="Retry with the same idempotency key; do not use a new one.",
         )
 
-    def _kept_answer(
-        self, wanted: passthrough.ServiceCall, key: str, met: claims.ClaimMet
+    def _stored_answer(
+        self,
+        wanted: passthrough.ServiceCall,
+        key: str,
+        earlier_claim: claims.ClaimMet,
     ) -> passthrough.ServiceAnswer | None:
-        if met.answer is not None:
-            return kept_answers.decode(met.status, met.answer)
-        if met.runner_vm_id != self._vm_id:
-            return self._ask_runner(wanted, met.runner_address)
+        if earlier_claim.answer is not None:
+            return kept_answers.decode(
+                earlier_claim.status, earlier_claim.answer
+            )
+        if earlier_claim.runner_vm_id != self._vm_id:
+            return self._fetch_from_runner(wanted, earlier_claim.runner_address)
         claim = claims.claim_id(wanted.caller.customer, key)
-        kept = self._kept.get(claim)
-        if kept is None:
+        encoded = self._answers.get(claim)
+        if encoded is None:
             return None
-        return kept_answers.decode(met.status, kept)
+        return kept_answers.decode(earlier_claim.status, encoded)
 
-    def _ask_runner(
+    def _fetch_from_runner(
         self, wanted: passthrough.ServiceCall, runner: fleet.Address
     ) -> passthrough.ServiceAnswer | None:
-        """Repeats the request at the router that ran it and keeps its answer.
+        """Sends the request again to the router that ran it and has its answer.
 
-        There the duplicate meets the finished claim, so nothing runs; the
-        runner itself never passes it on.
+        That router finds the completed claim, so it runs nothing. It does not
+        forward the request either, because it is the runner itself.
         """
         caller = wanted.caller
         request = client.ServiceRequest(
@@ -212,7 +228,7 @@
             caller.body,
             caller.request_id,
             idempotent=True,
-            timeout_s=max(_LEAST_WAIT_S, self._time_left_s(wanted)),
+            timeout_s=max(_MIN_TIMEOUT_S, self._time_left_s(wanted)),
         )
         sent = self._backend.send(runner, request)
         if isinstance(sent, Err):
@@ -229,11 +245,11 @@
         return wanted.caller.deadline_s - self._clock.monotonic_s()
 
 
-def _after_meeting(
-    error: errors.RequestError, met_before: bool
+def _with_unknown_outcome(
+    error: errors.RequestError, found_earlier_claim: bool
 ) -> errors.RequestError:
-    # This duplicate ran nothing, but the first request may have: "not-run"
-    # would invite the caller to send it again with a new key.
-    if met_before:
+    # This duplicate did not run, but the first request may have run. The
+    # outcome "not-run" would tell the caller that a new key is safe.
+    if found_earlier_claim:
         error.outcome = "unknown"
     return error
--- a/src/mulberrywharf/requests/demand_rates.py
+++ b/src/mulberrywharf/requests/demand_rates.py
@@ -1,18 +1,18 @@
-"""How many requests this router gets, by customer and by model."""
+"""Measures this router's request rates, by customer and by model."""
 
 from typing import NamedTuple
 
 from mulberrywharf.policy import shares
 
-_CONSTANT_S = 10.0
+_TIME_CONSTANT_S = 10.0
 
 
 class Rates(NamedTuple):
-    """Requests each second at one router.
+    """Request rates at one router, in requests per second.
 
     Attributes:
-        customers: By customer; one who is absent sends none.
-        models: By model; one that is absent gets none.
+        customers: Rate of each customer; 0 for customers that are absent.
+        models: Rate of each model; 0 for models that are absent.
     """
 
     customers: dict[str, float]
@@ -20,10 +20,10 @@
 
 
 class DemandRates:
-    """Averages over the last seconds.
+    """Exponentially decaying averages of the request rates.
 
-    Customers and models come from the configuration, so there are few; those
-    that have faded are forgotten.
+    Customers and models come from the configuration, so there are few. A rate
+    that has decayed to zero is removed.
     """
 
     def __init__(self) -> None:
@@ -31,35 +31,38 @@
         self._models: dict[str, shares.DemandMeter] = {}
 
     def count(self, customer: str, model: str, now_s: float) -> None:
-        """Counts one request, refused or not.
+        """Counts one request, whether it is refused or not.
 
         Args:
-            customer: Who sent it.
-            model: What it asked, or empty for a plain service.
+            customer: The customer that sent the request.
+            model: The requested model, or empty for a plain service.
             now_s: Monotonic time.
         """
-        _meter(self._customers, customer, now_s)
+        _count_request(self._customers, customer, now_s)
         if model:
-            _meter(self._models, model, now_s)
+            _count_request(self._models, model, now_s)
 
     def read(self, now_s: float) -> Rates:
-        """Returns the present averages."""
-        return Rates(_read(self._customers, now_s), _read(self._models, now_s))
+        """Returns the current averages."""
+        return Rates(
+            _read_rates(self._customers, now_s),
+            _read_rates(self._models, now_s),
+        )
 
 
-def _meter(
+def _count_request(
     meters: dict[str, shares.DemandMeter], name: str, now_s: float
 ) -> None:
     meter = meters.setdefault(name, shares.DemandMeter(now_s))
-    meter.add(0.0, now_s, _CONSTANT_S)
+    meter.add(0.0, now_s, _TIME_CONSTANT_S)
 
 
-def _read(
+def _read_rates(
     meters: dict[str, shares.DemandMeter], now_s: float
 ) -> dict[str, float]:
     rates = {}
     for name, meter in list(meters.items()):
-        rate = meter.read(name, now_s, _CONSTANT_S).requests_per_s
+        rate = meter.read(name, now_s, _TIME_CONSTANT_S).requests_per_s
         if rate > 0:
             rates[name] = rate
         else:
--- a/src/mulberrywharf/requests/generation.py
+++ b/src/mulberrywharf/requests/generation.py
@@ -137,7 +137,7 @@
                 answer, attempts, wanted.model, now_s
             )
             self._crashes.ended_whole(wanted.caller)
-            self._lengths.learn(wanted.model, answer.delivered_count)
+            self._lengths.record(wanted.model, answer.delivered_count)
         finally:
             attempts.close()
             used_tokens = wanted.prompt_tokens + answer.delivered_count
--- a/src/mulberrywharf/requests/in_flight.py
+++ b/src/mulberrywharf/requests/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts what is under way, so that a planned stop can wait for its end."""
+"""Counts background tasks, so that a planned stop can wait for them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,11 +8,11 @@
 
 
 class InFlight:
-    """Work that goes on after, or beside, the answer to a caller.
+    """Background tasks that run beside or after the answer to a caller.
 
-    The callers' listener counts the requests themselves. What is counted here
-    is unseen by it, such as the recording of an answer under its claim; a
-    stop that did not wait for it would leave claims of unknown outcome.
+    The callers' listener counts the requests. It does not see tasks such as
+    the recording of an answer under its claim. A stop that did not wait for
+    them would leave claims with an unknown outcome.
     """
 
     def __init__(self) -> None:
@@ -22,17 +22,17 @@
 
     @property
     def count(self) -> int:
-        """Pieces of work under way."""
+        """Number of running tasks."""
         return self._count
 
     def spawn(self, work: Callable[..., object], *arguments: Any) -> None:
-        """Runs ``work`` in a greenlet of its own and counts it."""
+        """Runs ``work`` as a task in a new greenlet."""
         self._count += 1
         self._idle.clear()
         gevent.spawn(self._run, work, arguments)
 
     def wait_idle(self) -> None:
-        """Returns once nothing is under way, however long that takes."""
+        """Waits, without a time limit, until no task is running."""
         self._idle.wait()
 
     def _run(
--- a/src/mulberrywharf/requests/kept_answers.py
+++ b/src/mulberrywharf/requests/kept_answers.py
@@ -1,7 +1,8 @@
-"""Answers kept for duplicate requests: how they are written, and a local store.
+"""Encoding and in-memory store of answers that duplicate requests may need.
 
-The owner of a claim keeps short answers with the claim. Long ones stay in the
-memory of the router that ran the request; other routers ask it for them.
+The owner of a claim stores short answers with the claim. Long answers stay in
+the memory of the router that ran the request, and other routers fetch them
+from there.
 """
 
 import collections
@@ -10,24 +11,24 @@
 from mulberrywharf.callers import passthrough
 
 DEFAULT_LIMIT_BYTES = 32_000_000
-_KEPT_FIELDS = frozenset({"content-type", "content-encoding", "location"})
+_STORED_HEADERS = frozenset({"content-type", "content-encoding", "location"})
 
 
 def encode(answer: passthrough.ServiceAnswer) -> bytes:
-    """Writes an answer as one line of header fields and its body."""
-    kept = [field for field in answer.headers if field[0] in _KEPT_FIELDS]
-    return json.dumps(kept).encode() + b"\n" + answer.body
+    """Encodes an answer as one line of header fields and its body."""
+    headers = [field for field in answer.headers if field[0] in _STORED_HEADERS]
+    return json.dumps(headers).encode() + b"\n" + answer.body
 
 
-def decode(status: int, kept: bytes) -> passthrough.ServiceAnswer:
-    """Reads what ``encode`` wrote."""
-    head, _, body = kept.partition(b"\n")
+def decode(status: int, encoded: bytes) -> passthrough.ServiceAnswer:
+    """Decodes an answer that ``encode`` encoded."""
+    head, _, body = encoded.partition(b"\n")
     fields = tuple((str(name), str(value)) for name, value in json.loads(head))
     return passthrough.ServiceAnswer(status, fields, body)
 
 
 class AnswerStore:
-    """The latest answers that this process ran, bounded in bytes."""
+    """The latest answers to requests run by this process, bounded in bytes."""
 
     def __init__(self, limit_bytes: int = DEFAULT_LIMIT_BYTES):
         self._limit_bytes = limit_bytes
@@ -36,16 +37,16 @@
             collections.OrderedDict()
         )
 
-    def put(self, claim: bytes, kept: bytes) -> None:
-        """Keeps an answer; the oldest go when the bound is passed."""
-        if len(kept) > self._limit_bytes:
+    def put(self, claim: bytes, encoded: bytes) -> None:
+        """Stores an answer and drops the oldest ones above the size limit."""
+        if len(encoded) > self._limit_bytes:
             return
-        self._size_bytes += len(kept) - len(self._answers.pop(claim, b""))
-        self._answers[claim] = kept
+        self._size_bytes += len(encoded) - len(self._answers.pop(claim, b""))
+        self._answers[claim] = encoded
         while self._size_bytes > self._limit_bytes:
             _, oldest = self._answers.popitem(last=False)
             self._size_bytes -= len(oldest)
 
     def get(self, claim: bytes) -> bytes | None:
-        """Returns a kept answer."""
+        """Returns the stored answer, or None."""
         return self._answers.get(claim)
--- a/src/mulberrywharf/requests/output_lengths.py
+++ b/src/mulberrywharf/requests/output_lengths.py
@@ -1,29 +1,35 @@
-"""How long answers usually are, model by model."""
+"""Estimates the length of answers, for each model."""
 
-_FIRST_GUESS_TOKENS = 64.0
+_INITIAL_MEAN_TOKENS = 64.0
 _SMOOTHING = 0.05
 
 
 class OutputLengths:
-    """Running means of the answers' lengths, one for each model."""
+    """Exponential moving averages of the answer lengths, one for each model."""
 
     def __init__(self) -> None:
         self._mean_tokens: dict[str, float] = {}
 
     def expected(self, model: str, max_tokens: int | None) -> int:
-        """Returns the expected length of an answer.
+        """Returns the expected length of an answer, in tokens.
 
         Args:
-            model: A model of the configuration, so that names are few.
-            max_tokens: The caller's bound, or None.
+            model: Name of a model in the configuration.
+            max_tokens: The caller's limit on output tokens, or None.
         """
-        mean_tokens = self._mean_tokens.get(model, _FIRST_GUESS_TOKENS)
+        mean_tokens = self._mean_tokens.get(model, _INITIAL_MEAN_TOKENS)
         if max_tokens is not None:
             mean_tokens = min(mean_tokens, max_tokens)
         return max(1, round(mean_tokens))
 
-    def learn(self, model: str, tokens: int) -> None:
-        """Takes in the length of one whole answer."""
-        mean_tokens = self._mean_tokens.get(model, _FIRST_GUESS_TOKENS)
-        moved = mean_tokens + _SMOOTHING * (tokens - mean_tokens)
-        self._mean_tokens[model] = moved
+    def record(self, model: str, tokens: int) -> None:
+        """Adds the length of one complete answer to the average.
+
+        Args:
+            model: Name of a model in the configuration, so that the number of
+                averages is bounded.
+            tokens: Length of the answer.
+        """
+        mean_tokens = self._mean_tokens.get(model, _INITIAL_MEAN_TOKENS)
+        smoothed_tokens = mean_tokens + _SMOOTHING * (tokens - mean_tokens)
+        self._mean_tokens[model] = smoothed_tokens
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -1,7 +1,7 @@
-"""One call to a plain service, from its limits to its whole answer.
+"""Runs one call to a plain service, from its admission to its full answer.
 
-A call that is not idempotent is never sent again once a byte of it left. With
-an idempotency key it runs only under a confirmed claim, see ``claimed_call``.
+A call that is not idempotent is never retried once a byte of it was sent. With
+an idempotency key it runs only under a confirmed claim; see ``claimed_call``.
 """
 
 import random
@@ -21,8 +21,8 @@
     service_exchange,
 )
 
-_LEAST_WAIT_S = 0.05
-_FAILURE_STATUS = 500
+_MIN_TIMEOUT_S = 0.05
+_SERVER_ERROR_STATUS = 500
 
 _attempts_total = metrics.counter(
     "mulberry_service_attempts_total",
@@ -68,10 +68,10 @@
     def call(
         self, wanted: passthrough.ServiceCall
     ) -> passthrough.ServiceAnswer:
-        """Returns the whole answer.
+        """Returns the full answer.
 
         Raises:
-            RequestError: With the outcome that holds for the call.
+            RequestError: The call failed; the error has its outcome.
         """
         self._crashes.check(wanted.caller)
         now_s = self._clock.monotonic_s()
@@ -97,17 +97,17 @@
     def _run(
         self, wanted: passthrough.ServiceCall
     ) -> passthrough.ServiceAnswer:
-        tried: set[str] = set()
+        tried_ids: set[str] = set()
         outcome_so_far: errors.Outcome = "not-run"
         run_id = run_ids.make(wanted.caller.request_id)
         while True:
             chosen = self._servers.choose(
-                wanted.service, self._clock.monotonic_s(), frozenset(tried)
+                wanted.service, self._clock.monotonic_s(), frozenset(tried_ids)
             )
             if isinstance(chosen, Err):
-                raise _no_server(chosen.err_value, outcome_so_far)
+                raise _no_server_error(chosen.err_value, outcome_so_far)
             vm = chosen.ok_value
-            tried.add(vm.vm_id)
+            tried_ids.add(vm.vm_id)
             attempted = self._attempt(wanted, vm, run_id)
             if isinstance(attempted, Ok):
                 return attempted.ok_value
@@ -116,10 +116,10 @@
                     attempted.err_value.message, outcome="unknown"
                 )
             progress = _progress(attempted.err_value)
-            verdict = self._retries.decide(
+            decision = self._retries.decide(
                 retry_budget.FailedAttempt(
                     customer=wanted.caller.customer,
-                    attempt_count=len(tried),
+                    attempt_count=len(tried_ids),
                     progress=progress,
                     is_idempotent=wanted.idempotent,
                     time_left_s=self._time_left_s(wanted),
@@ -128,12 +128,12 @@
                 self._rng,
                 self._clock.monotonic_s(),
             )
-            if isinstance(verdict, retry_budget.GiveUp):
-                raise verdict.error
+            if isinstance(decision, retry_budget.GiveUp):
+                raise decision.error
             outcome_so_far = outcome.combine(
                 outcome_so_far, attempted.err_value.outcome
             )
-            gevent.sleep(verdict.after_s)
+            gevent.sleep(decision.after_s)
 
     def _attempt(
         self,
@@ -142,7 +142,7 @@
         run_id: str,
     ) -> Result[passthrough.ServiceAnswer, errors.EngineError]:
         caller = wanted.caller
-        left_s = max(_LEAST_WAIT_S, self._time_left_s(wanted))
+        left_s = max(_MIN_TIMEOUT_S, self._time_left_s(wanted))
         request = client.ServiceRequest(
             caller.method,
             wanted.path,
@@ -154,18 +154,18 @@
         )
         sent = self._backend.send(vm.address, request)
         if isinstance(sent, Err):
-            return self._failed(wanted, vm, sent.err_value)
+            return self._record_failure(wanted, vm, sent.err_value)
         try:
             answer = service_exchange.read_whole(sent.ok_value)
         except errors.EngineError as error:
-            return self._failed(wanted, vm, error)
+            return self._record_failure(wanted, vm, error)
         self._servers.succeeded(vm.vm_id)
-        if answer.status < _FAILURE_STATUS:
+        if answer.status < _SERVER_ERROR_STATUS:
             self._crashes.ended_whole(wanted.caller)
         _attempts_total.inc({"service": wanted.service, "result": "answered"})
         return Ok(answer)
 
-    def _failed(
+    def _record_failure(
         self,
         wanted: passthrough.ServiceCall,
         vm: fleet.VmRecord,
@@ -181,11 +181,11 @@
         return Err(error)
 
 
-def _no_server(
+def _no_server_error(
     error: errors.RequestError, outcome_so_far: errors.Outcome
 ) -> errors.RequestError:
-    # The service is configured, so a list that names no server of it is a
-    # matter of time, not a mistake of the caller.
+    # The service is configured, so a list without a server for it is a
+    # temporary condition and not a mistake of the caller.
     if isinstance(error, errors.UnknownTargetError):
         error = errors.OverloadedError(
             "no server of the service is known now", retry_after_s=1.0
@@ -195,6 +195,6 @@
 
 
 def _progress(error: errors.EngineError) -> outcome.Progress:
-    # The answer is read whole before any of it is passed on, so a call whose
-    # answer broke off stands where one stands that was only sent.
+    # The answer is read in full before any of it is forwarded. A call whose
+    # answer broke off is therefore treated like one without any answer.
     return "nothing-sent" if error.outcome == "not-run" else "sent"
--- a/src/mulberrywharf/requests/service_exchange.py
+++ b/src/mulberrywharf/requests/service_exchange.py
@@ -1,4 +1,4 @@
-"""The answer of a backend server, read whole before any of it is passed on."""
+"""Reads the full answer of a backend server before any of it is forwarded."""
 
 from mulberrywharf import errors
 from mulberrywharf.backend_servers import client
@@ -11,7 +11,7 @@
     """Reads an answer into memory.
 
     Raises:
-        EngineError: It broke off or is larger than 16 MB.
+        EngineError: The answer broke off or is larger than 16 MB.
     """
     body = bytearray()
     for block in answer.body():
--- a/src/mulberrywharf/requests/standing.py
+++ b/src/mulberrywharf/requests/standing.py
@@ -1,4 +1,4 @@
-"""What the configuration says about customers' standing and the targets."""
+"""Customers' weights, priorities and limits, and the latency targets."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -12,11 +12,11 @@
 
 
 class Standing(NamedTuple):
-    """One customer's standing when the fleet is short.
+    """Weight and priority of one customer while capacity is short.
 
     Attributes:
-        weight: Its share against others.
-        priority: 0 (first) to 9.
+        weight: Weight of the customer in the fair queue.
+        priority: 0 (highest) to 9 (lowest).
     """
 
     weight: float = _DEFAULT_WEIGHT
@@ -24,12 +24,14 @@
 
 
 class Standings(NamedTuple):
-    """What the pipeline reads from one configuration.
+    """Parts of one configuration that generations are scheduled by.
 
     Attributes:
-        customers: By name.
-        first_token_target_s: Admission's target, or None for none.
-        between_tokens_target_s: What engines' limits aim at, or None.
+        customers: Weight and priority of each customer, by name.
+        first_token_target_s: Target time to the first token, used by
+            admission; None for no target.
+        between_tokens_target_s: Target time between output tokens, used by
+            the engines' concurrency limits; None for no target.
         prefer_zone: Zone that the rule in force prefers, or empty.
     """
 
@@ -42,7 +44,7 @@
     def from_config(
         cls, document: Mapping[str, Any], *, prefer_zone: str = ""
     ) -> "Standings":
-        """Reads it from a checked configuration document."""
+        """Reads the values from a validated configuration document."""
         customers = {
             name: Standing(entry["weight"], entry["priority"])
             for name, entry in document.get("customers", {}).items()
@@ -55,28 +57,32 @@
         return cls(customers, first_token_s, between_tokens_s, prefer_zone)
 
     def of(self, customer: str) -> Standing:
-        """Returns a customer's standing."""
+        """Returns a customer's weight and priority; defaults if unknown."""
         return self.customers.get(customer, Standing())
 
 
 def customer_limits(
     document: Mapping[str, Any], rule_limit: Limit | None = None
 ) -> dict[str, limits.CustomerLimit]:
-    """Returns the customers' limits over the whole deployment.
+    """Returns the customers' limits for the whole deployment.
 
     Args:
-        document: A checked configuration document.
-        rule_limit: What the rule in force limits besides; it can only lower
-            the customer's own limit.
+        document: A validated configuration document.
+        rule_limit: Limit that the rule in force sets for one customer; it can
+            only lower the customer's own limit.
     """
-    found = {
+    limit_by_customer = {
         name: limits.CustomerLimit(
             entry["requests_per_s"], entry["tokens_per_s"]
         )
         for name, entry in document.get("customers", {}).items()
     }
-    if rule_limit is not None and rule_limit["customer"] in found:
-        own = found[rule_limit["customer"]]
-        lowered = min(own.requests_per_s or 0.0, rule_limit["requests_per_s"])
-        found[rule_limit["customer"]] = own._replace(requests_per_s=lowered)
-    return found
+    if rule_limit is not None and rule_limit["customer"] in limit_by_customer:
+        own_limit = limit_by_customer[rule_limit["customer"]]
+        requests_per_s = min(
+            own_limit.requests_per_s or 0.0, rule_limit["requests_per_s"]
+        )
+        limit_by_customer[rule_limit["customer"]] = own_limit._replace(
+            requests_per_s=requests_per_s
+        )
+    return limit_by_customer
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -1,4 +1,4 @@
-"""What the operators' rules ask of routers."""
+"""Tests how routers apply the operators' rules and the configuration."""
 
 import unittest
 
@@ -7,30 +7,30 @@
 
 
 class StandingTest(unittest.TestCase):
-    def test_rule_only_lowers_a_limit(self) -> None:
+    def test_rule_can_only_lower_customer_limit(self) -> None:
         document = callers_fixture.document()
         name = callers_fixture.CUSTOMER
         for rule_rate, rate in ((5.0, 5.0), (5000.0, 1000.0)):
             with self.subTest(rule_rate=rule_rate):
-                found = standing.customer_limits(
+                limits = standing.customer_limits(
                     document, {"customer": name, "requests_per_s": rule_rate}
                 )
-                self.assertEqual(found[name].requests_per_s, rate)
+                self.assertEqual(limits[name].requests_per_s, rate)
 
-    def test_limit_of_an_unknown_customer_changes_nothing(self) -> None:
+    def test_rule_limit_for_unknown_customer_is_ignored(self) -> None:
         document = callers_fixture.document()
-        found = standing.customer_limits(
+        limits = standing.customer_limits(
             document, {"customer": "nobody", "requests_per_s": 1.0}
         )
-        self.assertEqual(found, standing.customer_limits(document))
+        self.assertEqual(limits, standing.customer_limits(document))
 
-    def test_unknown_customers_stand_in_the_middle(self) -> None:
+    def test_unknown_customer_gets_default_weight_and_priority(self) -> None:
         standings = standing.Standings.from_config(callers_fixture.document())
         self.assertEqual(standings.of("nobody"), standing.Standing())
 
 
 class DemandRatesTest(unittest.TestCase):
-    def test_rates_rise_and_fade(self) -> None:
+    def test_rates_follow_requests_and_decay(self) -> None:
         rates = demand_rates.DemandRates()
         for tenth in range(600):
             rates.count("a", "tagger", tenth / 10)
@@ -41,7 +41,7 @@
 
 
 class RouterRulesTest(unittest.TestCase):
-    def test_limit_of_a_rule_comes_into_force_and_goes(self) -> None:
+    def test_rule_limit_takes_effect_and_is_lifted(self) -> None:
         running = cluster.Cluster(
             cluster.Shape(engines_per_zone=0, backends_per_zone=1)
         ).start()
