--- a/src/mulberrywharf/policy/planner_types.py
+++ b/src/mulberrywharf/policy/planner_types.py
@@ -30,8 +30,8 @@
         horizon_s: Time for which the mix of prompt and output tokens is
             assumed to last.
         dwell_s: Minimum time that an engine keeps a role.
-        budget_count: Maximum number of role changes within
-            ``budget_window_s`` while the rules fix no split.
+        budget_count: Number of role changes within ``budget_window_s`` after
+            which the planner makes no more, unless the rules fix the split.
         budget_window_s: Length of the budget's sliding window.
         hysteresis_share: Minimum increase of the served share of the demand
             that a change must be predicted to bring.
@@ -59,7 +59,7 @@
 
     @classmethod
     def from_config(cls, config: settings.Settings) -> "PlannerSettings":
-        """Reads the deployment's settings; the others keep their defaults."""
+        """Reads what the deployment sets; other fields keep their defaults."""
         controller = config.get("controller", {})
         return cls(
             goodput_weight=controller.get("goodput_weight", 1.0),
@@ -128,9 +128,8 @@
         target: The role split that the rules fix, None if they fix none.
         in_change_count: Engines that are being changed, or drained for a
             change.
-        change_ends_unix_s: End times of recent role changes that the planner
-            chose while the rules fixed no split; they count against the
-            budget.
+        change_ends_unix_s: End times of recent role changes, which count
+            against the budget.
     """
 
     engines: tuple[PlannerEngine, ...]
--- a/src/mulberrywharf/requests/claimed_call.py
+++ b/src/mulberrywharf/requests/claimed_call.py
@@ -108,9 +108,7 @@
         while True:
             claimed = self._claim(wanted, key)
             if isinstance(claimed, Err):
-                raise _with_unknown_outcome(
-                    claimed.err_value, found_earlier_claim
-                )
+                raise _adjust_outcome(claimed.err_value, found_earlier_claim)
             if isinstance(claimed.ok_value, claims.ClaimGranted):
                 return self._run_granted(wanted, claimed.ok_value, run_once)
             found_earlier_claim = True
@@ -245,11 +243,12 @@
         return wanted.caller.deadline_s - self._clock.monotonic_s()
 
 
-def _with_unknown_outcome(
+def _adjust_outcome(
     error: errors.RequestError, found_earlier_claim: bool
 ) -> errors.RequestError:
     # This duplicate did not run, but the first request may have run. The
-    # outcome "not-run" would tell the caller that a new key is safe.
+    # outcome "not-run" would suggest a retry with a new key, which could run
+    # the request twice.
     if found_earlier_claim:
         error.outcome = "unknown"
     return error
--- a/src/mulberrywharf/requests/places.py
+++ b/src/mulberrywharf/requests/places.py
@@ -60,7 +60,7 @@
 
 
 class EngineSlot:
-    """A slot that was allocated to a request; must be released once.
+    """A slot that was allocated to a request; its holder must release it.
 
     Attributes:
         choice: The engines that the request runs on.
@@ -84,13 +84,13 @@
         self._owner.on_first_token(self.choice, delay_s, self._prefill_tokens)
 
     def on_pace(self, between_tokens_s: float) -> None:
-        """Reports the mean time in which the engine generated a token."""
+        """Reports the engine's mean time between output tokens."""
         self._owner.on_pace(
             self.choice, between_tokens_s, self._between_tokens_target_s
         )
 
     def release(self, *, failed: bool) -> None:
-        """Returns the slot; further calls do nothing."""
+        """Releases the slot; further calls have no effect."""
         if not self._released:
             self._released = True
             self._owner.release(self.choice, failed)
@@ -139,7 +139,7 @@
         self._greenlet = gevent.spawn(self._dispatch_periodically)
 
     def close(self) -> None:
-        """Stops that greenlet; requests that still wait time out."""
+        """Stops the periodic dispatch; requests that still wait time out."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
@@ -159,7 +159,7 @@
         slot_request: SlotRequest,
         excluded_engine_ids: Collection[str] = (),
     ) -> EngineSlot:
-        """Allocates a slot, waiting while the request can still be in time.
+        """Allocates a slot, waiting no longer than the answer can be in time.
 
         Raises:
             RequestError: The request was refused and did not run; the error
@@ -268,7 +268,7 @@
         return limit.has_slot(view.own_in_flight_count)
 
     def _has_no_waiters(self, model_queue: _ModelQueue) -> bool:
-        """Whether a new request would overtake no waiting request."""
+        """Whether no earlier request waits that a new one would overtake."""
         return not len(model_queue.waiting) and not model_queue.dispatched_count
 
     def _eligible(
