--- a/src/mulberrywharf/policy/choice_scores.py
+++ b/src/mulberrywharf/policy/choice_scores.py
@@ -9,7 +9,7 @@
 
 
 class ChoiceSettings(NamedTuple):
-    """Weights of the choice.
+    """Weights and sample sizes of the choice of engine.
 
     Attributes:
         report_decay_constant_s: Age at which the weight of a report has
