--- a/src/mulberrywharf/forwarding/events.py
+++ b/src/mulberrywharf/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Cuts the bytes of an event stream into whole events."""
+"""Splits the bytes of an event stream into complete events."""
 
 import re
 from typing import NamedTuple
@@ -6,54 +6,54 @@
 from mulberrywharf import errors
 
 EVENT_LIMIT_BYTES = 1024 * 1024
-"""A longer event is not one: a broken server must not fill the memory."""
+"""Maximum size of an event, so that a faulty server can't exhaust memory."""
 
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _EVENT_ID = re.compile(rb"^id:[ ]?([0-9]{1,18})\r?$", re.MULTILINE)
 
 
 class Event(NamedTuple):
-    """One event as it came.
+    """One event as received.
 
     Attributes:
-        event_id: Its number, None for one without.
-        raw: Its bytes, with the blank line that ends it.
+        event_id: Its numeric id, None if it has none.
+        raw: Its bytes, including the blank line that ends it.
     """
 
     event_id: int | None
     raw: bytes
 
 
-class EventCutter:
-    """Collects bytes until they are whole events.
+class EventSplitter:
+    """Buffers bytes and returns complete events.
 
-    A server may stop in the middle of an event. Passed on, the half event
-    would be joined to the beginning of the next server's, and the caller
-    would read an event that nobody made.
+    A server may fail in the middle of an event. If the partial event were
+    passed on, the stream that resumes at the next server would continue it,
+    and the caller would read an event that no server sent.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._pending = b""
 
     @property
-    def rest(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
-        return self._rest
+    def pending(self) -> bytes:
+        """Bytes of the event that is not complete yet."""
+        return self._pending
 
     def feed(self, data: bytes) -> list[Event]:
-        """Returns the events that are whole now.
+        """Adds received bytes and returns the events that are now complete.
 
         Raises:
             StreamBrokenError: An event exceeds the limit.
         """
-        self._rest += data
+        self._pending += data
         events = []
-        while match := _EVENT_END.search(self._rest):
-            raw = self._rest[: match.end()]
-            self._rest = self._rest[match.end() :]
+        while match := _EVENT_END.search(self._pending):
+            raw = self._pending[: match.end()]
+            self._pending = self._pending[match.end() :]
             found = _EVENT_ID.search(raw)
             events.append(Event(int(found.group(1)) if found else None, raw))
-        if len(self._rest) > EVENT_LIMIT_BYTES:
+        if len(self._pending) > EVENT_LIMIT_BYTES:
             raise errors.StreamBrokenError(
                 f"an event exceeds {EVENT_LIMIT_BYTES} bytes"
             )
--- a/src/mulberrywharf/forwarding/exchanges.py
+++ b/src/mulberrywharf/forwarding/exchanges.py
@@ -1,4 +1,4 @@
-"""One attempt at one server, with what went wrong told apart by type."""
+"""Sends one attempt to one server; each kind of failure has its own type."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -18,21 +18,22 @@
 from mulberrywharf.forwarding import request, server_book
 
 CONNECT_TIMEOUT_S = 0.2
-"""A living server of the same region completes a handshake within a few ms,
-and within 100 ms if its machine was out of processor time. Nothing was sent
-yet, so another server can be tried at once."""
+"""A working server in the same region completes the TCP handshake within a few
+ms, or within 100 ms if its machine is short of CPU time. Nothing has been sent
+when the timeout expires, so another server can be tried at once."""
 
 _REFUSAL_BODY_LIMIT_BYTES = 64 * 1024
 _RELEASE_TIMEOUT_S = 1.0
 
 
-class Begun(NamedTuple):
+class StartedAnswer(NamedTuple):
     """An answer whose head was read and checked.
 
     Attributes:
-        exchange: Reads the rest of it.
-        head: Its head.
-        is_framed: Whether the answer itself says where it ends.
+        exchange: Reads the body.
+        head: The head.
+        is_framed: Whether the answer itself marks its end, by a content length
+            or by chunked encoding.
     """
 
     exchange: _exchange.Exchange
@@ -41,7 +42,7 @@
 
 
 class ServerClient:
-    """Sends attempts; each is written at most once."""
+    """Sends attempts to servers, each at most once."""
 
     def __init__(
         self,
@@ -53,10 +54,11 @@
         """Makes a client.
 
         Args:
-            dialect: What servers speak.
-            book: Told how exchanges ended.
-            system_clock: Measures ages.
-            on_leaving: Called each time that a server states that it leaves.
+            dialect: Encodes requests and reads answers.
+            book: Records reported load, failures and refusals of servers.
+            system_clock: Time source of these records.
+            on_leaving: Called whenever an answer states that its server is
+                leaving.
         """
         self._on_leaving = on_leaving
         self._dialect = dialect
@@ -69,37 +71,38 @@
         self._pool.close()
 
     def forget(self, server: fleet.Server) -> None:
-        """Closes idle connections to a server that left."""
+        """Closes idle connections to a server that has left."""
         self._pool.forget(server.address)
 
     def probe(
         self, address: fleet.Address
     ) -> Result[None, errors.EngineUnreachableError]:
-        """Connects to a server; keeps the connection for a later request."""
+        """Connects to a server and keeps the connection for later requests."""
         opened = _connections.Connection.open(address, CONNECT_TIMEOUT_S)
         return opened.map(self._pool.put)
 
     def send(
         self, attempt: request.Attempt, *, may_run_again: bool, wait_s: float
-    ) -> Result[Begun, errors.EngineError]:
+    ) -> Result[StartedAnswer, errors.EngineError]:
         """Sends one attempt and waits for the head of its answer.
 
         Args:
-            attempt: What to send where.
-            wait_s: How long each wait for the server may last.
-            may_run_again: Whether the request may be sent again if nobody
-                knows whether it ran. One that may not never takes an idle
-                connection, which the server may close just then.
+            attempt: The request and the server to send it to.
+            may_run_again: Whether the request may be sent again if it is
+                unknown whether it ran. If not, it never uses an idle
+                connection, as the server may close that while the request is
+                being sent.
+            wait_s: Maximum length of each wait for the server, in seconds.
 
         Returns:
-            The answer; ``EngineUnreachableError`` if no byte left,
+            The answer; ``EngineUnreachableError`` if no byte was sent,
             ``EngineRefusedError`` if the server states that nothing ran,
             ``AnswerLostError`` or ``ForeignAnswerError`` if it may have run.
 
         Raises:
             BadRequestError: The request is malformed; nothing was sent.
         """
-        wanted = self._dialect.encode(attempt)
+        encoded_request = self._dialect.encode(attempt)
         opened = _exchange.Exchange.open(
             attempt.server.address,
             connect_timeout_s=CONNECT_TIMEOUT_S,
@@ -108,10 +111,11 @@
         if isinstance(opened, Err):
             self._note_failure(attempt.server, opened.err_value)
             return opened
-        # Every connection is kept for later requests that may run again.
+        # Every connection is kept, also one opened for a request that must not
+        # run again; only requests that may run again reuse it.
         exchange = opened.ok_value.keep_in(self._pool)
         try:
-            received = self._receive(exchange, attempt, wanted, wait_s)
+            received = self._receive(exchange, attempt, encoded_request, wait_s)
         except BaseException:
             exchange.close()
             raise
@@ -123,13 +127,13 @@
     def decode_handle(
         self, server: fleet.Server, body: bytes
     ) -> Result[request.CacheHandle, errors.EngineError]:
-        """Reads the answer of a server that prefilled a prompt."""
+        """Reads the KV cache handle from the answer to a prefill request."""
         return self._dialect.decode_handle(server, body)
 
     def release(self, cache: request.CacheHandle) -> None:
-        """Frees a prefilled KV cache that nobody will take, in background.
+        """Releases an unused prefilled KV cache, in the background.
 
-        Unfreed it would fill the engine's memory until its lifetime ends.
+        Otherwise it would occupy the engine's memory until it expires.
         """
         gevent.spawn(self._release, cache)
 
@@ -143,7 +147,7 @@
         )
         if isinstance(freed, Err):
             logger.bind(address=str(cache.address), handle=cache.handle).info(
-                "a KV cache was not freed, it lapses: {}",
+                "KV cache was not released and will expire: {}",
                 freed.err_value.message,
             )
 
@@ -151,10 +155,10 @@
         self,
         exchange: _exchange.Exchange,
         attempt: request.Attempt,
-        wanted: _exchange.Request,
+        encoded_request: _exchange.Request,
         wait_s: float,
-    ) -> Result[Begun, errors.EngineError]:
-        sent = exchange.send(wanted, wait_s)
+    ) -> Result[StartedAnswer, errors.EngineError]:
+        sent = exchange.send(encoded_request, wait_s)
         if isinstance(sent, Err):
             return sent
         answer = sent.ok_value
@@ -172,16 +176,16 @@
             message = f"{server.address} answered another request"
             return Err(errors.ForeignAnswerError(message))
         if head.not_executed:
-            return Err(self._refused(exchange, server, head))
-        return Ok(Begun(exchange, head, answer.is_framed))
+            return Err(self._drain_refusal(exchange, server, head))
+        return Ok(StartedAnswer(exchange, head, answer.is_framed))
 
-    def _refused(
+    def _drain_refusal(
         self,
         exchange: _exchange.Exchange,
         server: fleet.Server,
         head: request.AnswerHead,
     ) -> errors.EngineError:
-        # Read to its end the connection can be used again.
+        # The connection can be reused only if the answer is read to its end.
         exchange.drain(_RELEASE_TIMEOUT_S)
         return errors.EngineRefusedError(
             f"{server.address} refused with {head.status}", status=head.status
@@ -201,8 +205,9 @@
             self._book.lost(server.start, now_s)
 
     def _note_refusal(self, server: fleet.Server, now_s: float) -> None:
-        # A plain server refuses while its few slots are taken, for the time
-        # of one request; it is compared by its load instead.
+        # A plain server has few slots and refuses only until a running request
+        # ends, so it is not passed over; its load decides how often it is
+        # chosen.
         if server.role is None:
             self._book.failed(server.start)
         else:
--- a/src/mulberrywharf/forwarding/generation.py
+++ b/src/mulberrywharf/forwarding/generation.py
@@ -1,8 +1,8 @@
-"""A request whose answer is a stream of events, made by engines.
+"""Forwards requests that engines answer with a stream of events.
 
-Long prompts are prefilled at one engine and go on at another. Whole events
-only are passed on, so that a stream which breaks can go on elsewhere behind
-the last event that its caller has.
+A long prompt may be prefilled by one engine and decoded by another. Only
+complete events are passed on, so a broken stream can resume at another engine
+after the last event that the caller has received.
 """
 
 from collections.abc import Generator, Iterator, Sequence
@@ -26,23 +26,24 @@
 from mulberrywharf.routes import kinds, table
 
 RETRY_AFTER_REFUSED_S = 0.3
-"""For a caller whom engines refused; a batch drains within some 300 ms."""
+"""Retry delay for a caller whose request the engines refused. An engine's batch
+drains within about 300 ms."""
 
 _SENDS_LIMIT_COUNT = 4
-"""Sends of one request before it is given up, prefills included. Engines that
-refuse or can't be reached come together in a crash of several; a fourth try
-then seldom finds a living one before the caller's patience ends."""
+"""Maximum sends of one request, prefills included. When several engines crash
+together, many of them refuse or can't be reached at the same time, and a fourth
+send rarely finds a working engine before the caller times out."""
 
 _HANDLE_LIMIT_BYTES = 64 * 1024
 _FAILURE_STATUS = 500
 
 
 class StreamAnswer(NamedTuple):
-    """An answer whose head has come.
+    """A streamed answer whose head has been received.
 
     Attributes:
-        head: The head of the first engine that answered.
-        blocks: Whole events as they come; closing it ends the request.
+        head: The head sent by the first engine that answered.
+        blocks: Complete events as they arrive; closing it cancels the request.
     """
 
     head: request.AnswerHead
@@ -50,16 +51,16 @@
 
 
 class Parts(NamedTuple):
-    """What generations are made with.
+    """Components shared by all generations.
 
     Attributes:
-        pool: Plans where prompts go.
-        account: What is known of the engines' work.
-        book: What this node knows of the engines.
+        pool: Chooses the engines for each prompt.
+        account: Tracks the work that the engines have.
+        book: State of the engines, from this node's own exchanges.
         client: Sends the attempts.
-        budget: Bounds repeats.
-        crashes: Blocks requests under which servers end.
-        system_clock: Measures time left.
+        budget: Limits repeats.
+        crashes: Blocks requests that crash servers.
+        system_clock: Measures the time left.
     """
 
     pool: engine_pool.EnginePool
@@ -72,76 +73,77 @@
 
 
 class Generations:
-    """Runs requests to engines."""
+    """Forwards requests to engines."""
 
     def __init__(self, parts: Parts):
         self._parts = parts
 
     def open(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         service: table.Service,
     ) -> StreamAnswer:
-        """Returns the answer once its head has come.
+        """Returns the answer once its head has been received.
 
         Raises:
-            RequestError: With the outcome that holds for the request.
+            RequestError: No engine answered; its outcome tells whether the
+                request may have run.
         """
-        self._parts.crashes.check(wanted)
+        self._parts.crashes.check(routed_request)
         now_s = self._parts.system_clock.monotonic_s()
         self._parts.budget.note_request(service.name, now_s)
-        return _Generation(self._parts, wanted, route, service).open()
+        return _Generation(self._parts, routed_request, route, service).open()
 
 
 class _Run(NamedTuple):
-    """An answer that is being read, and where it is made."""
+    """An answer that is being read, and the engine that generates it."""
 
     server: fleet.Server
-    begun: exchanges.Begun
+    answer: exchanges.StartedAnswer
     began_s: float
 
 
 class _Prefilled(NamedTuple):
-    """A prompt that was prefilled and waits to be taken over."""
+    """A prefilled prompt that no decode engine has taken over yet."""
 
     cache: request.CacheHandle
     server: fleet.Server
-    lapses_s: float
+    expires_s: float
 
 
 class _Generation:
-    """One request, its attempts and its stream."""
+    """One request with its attempts and its answer stream."""
 
     def __init__(
         self,
         parts: Parts,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         service: table.Service,
     ):
         self._parts = parts
-        self._wanted = wanted
+        self._routed_request = routed_request
         self._route = route
         self._service = service
         self._may_run_again = kinds.may_run_again(route.kind)
         self._limit = time_limits.TimeLimit.of(
-            wanted, route, parts.system_clock
+            routed_request, route, parts.system_clock
         )
         self._excluded: set[fleet.ServerStart] = set()
         self._sends_count = 0
         self._runs_count = 0
         self._outcome: errors.Outcome = "not-run"
-        self._last_event_id = wanted.last_event_id
-        self._delivered_id = _number(wanted.last_event_id)
+        self._last_event_id = routed_request.last_event_id
+        self._delivered_id = _parse_event_id(routed_request.last_event_id)
         self._prefilled: _Prefilled | None = None
         self._was_prefilled = False
 
     def open(self) -> StreamAnswer:
-        run = self._bounded_start()
-        return StreamAnswer(run.begun.head, self._blocks(run))
+        run = self._start_within_limit()
+        return StreamAnswer(run.answer.head, self._blocks(run))
 
-    def _bounded_start(self) -> _Run:
+    def _start_within_limit(self) -> _Run:
         bound = gevent.Timeout(self._limit.left_s())
         try:
             with bound:
@@ -160,34 +162,34 @@
             attempted = self._attempt_once()
             if isinstance(attempted, Ok):
                 return attempted.ok_value
-            self._after_failure(attempted.err_value)
+            self._allow_retry_or_raise(attempted.err_value)
 
     def _attempt_once(self) -> Result[_Run, errors.EngineError]:
-        """Prefills the prompt where that is best, and has it answered.
+        """Sends the request once, after a separate prefill if that is best.
 
-        The engine that answers is chosen when the prefill is done. Chosen
-        before, by what was known a queue's length ago, it may since have
-        begun to leave, taken another role, failed or filled up: the answer
-        then comes late, or the prefill is lost and done again.
+        The decode engine is chosen only when the prefill is done. The prefill
+        may wait in a queue, and an engine chosen before that may meanwhile
+        have started to leave, changed its role, failed or filled up. The
+        answer would then be late, or the prefill would be lost and repeated.
         """
         prefilled = self._usable_prefill()
         if prefilled is None:
             placed = self._place()
             if placed.plan.prefill is None:
                 return self._generate(placed)
-            self._pay_for_prefill()
-            read = self._prefill(placed, placed.plan.prefill.server)
-            if isinstance(read, Err):
-                return read
-            prefilled = self._prefilled = read.ok_value
-        return self._generate(self._take_over(prefilled))
+            self._charge_prefill()
+            result = self._prefill(placed, placed.plan.prefill.server)
+            if isinstance(result, Err):
+                return result
+            prefilled = self._prefilled = result.ok_value
+        return self._generate(self._place_decode(prefilled))
 
     def _usable_prefill(self) -> _Prefilled | None:
-        """Returns what was prefilled, unless its engine has dropped it."""
+        """Returns the prefilled prompt, unless its KV cache has expired."""
         prefilled = self._prefilled
         if prefilled is None:
             return None
-        if self._parts.system_clock.monotonic_s() < prefilled.lapses_s:
+        if self._parts.system_clock.monotonic_s() < prefilled.expires_s:
             return prefilled
         self._prefilled = None
         return None
@@ -195,7 +197,7 @@
     def _place(self) -> engine_account.Placed:
         try:
             return self._parts.pool.place(
-                self._wanted,
+                self._routed_request,
                 self._route,
                 self._service,
                 self._limit,
@@ -204,31 +206,33 @@
                 allowed_servers=self._allowed_servers,
             )
         except errors.NoEngineError as error:
-            raise self._without_engine(error) from error
+            raise self._no_engine_error(error) from error
 
-    def _take_over(self, prefilled: _Prefilled) -> engine_account.Placed:
+    def _place_decode(self, prefilled: _Prefilled) -> engine_account.Placed:
         try:
             return self._parts.pool.take_over(
-                self._wanted,
+                self._routed_request,
                 self._service,
                 prefilled.server,
                 excluded=frozenset(self._excluded),
                 allowed_servers=self._allowed_servers,
             )
         except errors.NoEngineError as error:
-            raise self._without_engine(error) from error
+            raise self._no_engine_error(error) from error
 
     def _allowed_servers(
         self, servers: Sequence[fleet.Server]
     ) -> list[fleet.Server]:
-        return self._parts.crashes.allowed_servers(self._wanted, servers)
+        return self._parts.crashes.allowed_servers(
+            self._routed_request, servers
+        )
 
-    def _without_engine(
+    def _no_engine_error(
         self, error: errors.NoEngineError
     ) -> errors.RequestError:
         if self._outcome == "not-run":
             return error
-        # The status of an absent engine promises that nothing ran.
+        # NoEngineError tells the caller that nothing ran.
         return errors.BackEndLostError(error.message, outcome=self._outcome)
 
     def _prefill(
@@ -240,24 +244,24 @@
         began_s = self._parts.system_clock.monotonic_s()
         awaited = self._parts.account.reading(placed)
         try:
-            with _Counted(self._parts.book, server, began_s):
-                read = self._prefill_exchange(attempt)
+            with _InFlightRequest(self._parts.book, server, began_s):
+                result = self._prefill_exchange(attempt)
         except BaseException:
             self._parts.account.failed(placed, awaited)
             raise
-        self._note_outcome(placed, awaited, read)
+        self._note_outcome(placed, awaited, result)
         expected_s = self._parts.account.expected_s(placed, awaited)
-        self._log(attempt, began_s, expected_s, read)
-        return read.map(lambda cache: self._kept(cache, server))
+        self._record_attempt(attempt, began_s, expected_s, result)
+        return result.map(lambda cache: self._record_prefill(cache, server))
 
-    def _kept(
+    def _record_prefill(
         self, cache: request.CacheHandle, server: fleet.Server
     ) -> _Prefilled:
         self._was_prefilled = True
         engine = self._service.engine
-        kept_s = engine.handle_ttl_s if engine else 0.0
+        ttl_s = engine.handle_ttl_s if engine else 0.0
         now_s = self._parts.system_clock.monotonic_s()
-        return _Prefilled(cache, server, now_s + kept_s)
+        return _Prefilled(cache, server, now_s + ttl_s)
 
     def _note_outcome(
         self,
@@ -273,28 +277,28 @@
     def _prefill_exchange(
         self, attempt: request.Attempt
     ) -> Result[request.CacheHandle, errors.EngineError]:
-        # Reading a prompt again does no harm, whatever the request's kind.
+        # Prefilling a prompt twice is harmless for every kind of request.
         began_s = self._parts.system_clock.monotonic_s()
         sent = self._send(attempt, may_run_again=True)
         if isinstance(sent, Err):
-            self._broke_off(attempt.server, began_s, sent.err_value)
+            self._report_possible_crash(attempt.server, began_s, sent.err_value)
             return sent
-        begun = sent.ok_value
+        answer = sent.ok_value
         try:
-            body = begun.exchange.read_all(
+            body = answer.exchange.read_all(
                 self._limit.wait_s(), _HANDLE_LIMIT_BYTES
             )
         except BaseException:
-            begun.exchange.close()
+            answer.exchange.close()
             raise
-        begun.exchange.finish()
+        answer.exchange.finish()
         if isinstance(body, Err):
-            self._lost(attempt.server)
-            self._broke_off(attempt.server, began_s, body.err_value)
+            self._note_answer_lost(attempt.server)
+            self._report_possible_crash(attempt.server, began_s, body.err_value)
             return body
-        if not begun.head.is_success:
-            self._failed(attempt.server)
-            message = f"{attempt.server.address} did not prefill"
+        if not answer.head.is_success:
+            self._note_answer_failed(attempt.server)
+            message = f"{attempt.server.address} failed to prefill the prompt"
             return Err(errors.AnswerLostError(message))
         self._parts.book.succeeded(attempt.server.start)
         return self._parts.client.decode_handle(attempt.server, body.ok_value)
@@ -304,20 +308,20 @@
     ) -> Result[_Run, errors.EngineError]:
         server = placed.plan.decode.server
         prefilled, self._prefilled = self._prefilled, None
-        # A handle can be taken once, and nobody knows whether it was when
-        # this attempt fails.
-        reads_itself = prefilled is None
+        # A handle can be used only once. If this attempt fails, it is unknown
+        # whether the handle was used, so it is dropped.
+        prefills_itself = prefilled is None
         attempt = self._attempt(server)._replace(
             cache=prefilled.cache if prefilled else None,
-            fetch_from=_fetch_from(placed) if reads_itself else None,
+            fetch_from=_fetch_from(placed) if prefills_itself else None,
             last_event_id=self._last_event_id,
         )
         began_s = self._parts.system_clock.monotonic_s()
-        before = self._outcome
+        previous_outcome = self._outcome
         self._outcome = "unknown"
         account = self._parts.account
-        sent_to = account.reading if reads_itself else account.starting
-        awaited = sent_to(placed)
+        note_sent = account.reading if prefills_itself else account.starting
+        awaited = note_sent(placed)
         self._parts.book.began(server.start, began_s)
         try:
             sent = self._send(attempt, may_run_again=self._may_run_again)
@@ -327,15 +331,15 @@
             raise
         self._note_outcome(placed, awaited, sent)
         expected_s = account.expected_s(placed, awaited)
-        self._log(attempt, began_s, expected_s, sent)
+        self._record_attempt(attempt, began_s, expected_s, sent)
         if isinstance(sent, Err):
             self._parts.book.ended(server.start)
-            self._broke_off(server, began_s, sent.err_value)
+            self._report_possible_crash(server, began_s, sent.err_value)
             if isinstance(sent.err_value, errors.EngineUnreachableError):
-                # Nothing left, so the handle is still there for another.
+                # Nothing was sent, so another engine can use the handle.
                 self._prefilled = prefilled
             if sent.err_value.outcome == "not-run":
-                self._outcome = before
+                self._outcome = previous_outcome
             else:
                 self._runs_count += 1
             return sent
@@ -344,7 +348,7 @@
 
     def _attempt(self, server: fleet.Server) -> request.Attempt:
         return request.Attempt(
-            self._wanted,
+            self._routed_request,
             server,
             self._limit.for_server_s(),
             priority=min(engine_account.LEAST_PRIORITY, self._route.priority),
@@ -352,14 +356,14 @@
 
     def _send(
         self, attempt: request.Attempt, *, may_run_again: bool
-    ) -> Result[exchanges.Begun, errors.EngineError]:
+    ) -> Result[exchanges.StartedAnswer, errors.EngineError]:
         self._sends_count += 1
         return self._parts.client.send(
             attempt, may_run_again=may_run_again, wait_s=self._limit.wait_s()
         )
 
-    def _after_failure(self, error: errors.EngineError) -> None:
-        """Allows another attempt, or ends the request.
+    def _allow_retry_or_raise(self, error: errors.EngineError) -> None:
+        """Charges another attempt to the repeat budget, if one is allowed.
 
         Raises:
             RequestError: No further attempt is allowed.
@@ -367,40 +371,40 @@
         if self._outcome == "unknown" and not self._may_run_again:
             raise errors.BackEndLostError(error.message, outcome="unknown")
         if self._outcome == "not-run":
-            self._parts.crashes.check(self._wanted)
-        elif self._parts.crashes.is_blocked(self._wanted):
+            self._parts.crashes.check(self._routed_request)
+        elif self._parts.crashes.is_blocked(self._routed_request):
             raise errors.BackEndLostError(error.message, outcome="unknown")
-        is_spent = (
+        is_limit_reached = (
             self._sends_count >= _SENDS_LIMIT_COUNT
             or self._runs_count >= self._route.attempts_limit_count
         )
-        if is_spent or not self._pay(error):
-            raise self._given_up(error.message)
+        if is_limit_reached or not self._charge_repeat(error):
+            raise self._final_error(error.message)
 
-    def _pay(self, error: errors.EngineError) -> bool:
+    def _charge_repeat(self, error: errors.EngineError) -> bool:
         if isinstance(error, errors.EngineUnreachableError):
-            # Nothing arrived anywhere, so nothing is repeated.
+            # No engine received the request, so sending it is no repeat.
             return True
         return self._take_repeat()
 
-    def _pay_for_prefill(self) -> None:
-        """Pays for a prefill, unless it is the request's first.
+    def _charge_prefill(self) -> None:
+        """Counts a prefill as a repeat, unless it is the request's first.
 
-        Operators count each further one as a repeat. With further ones sent
-        for free, 935 repeats in 10 s reached the engines of a fleet of 61
-        gateways where 923 were allowed.
+        Operators count every prefill after the first as a repeat. When these
+        were not charged, the engines behind 61 gateways received 935 repeats
+        in 10 s where 923 were allowed.
 
         Raises:
-            RequestError: The budget is spent.
+            RequestError: The repeat budget is exhausted.
         """
         if self._was_prefilled and not self._take_repeat():
-            raise self._given_up("the budget of repeats is spent")
+            raise self._final_error("the repeat budget is exhausted")
 
     def _take_repeat(self) -> bool:
         now_s = self._parts.system_clock.monotonic_s()
         return self._parts.budget.take(self._service.name, now_s)
 
-    def _given_up(self, message: str) -> errors.RequestError:
+    def _final_error(self, message: str) -> errors.RequestError:
         if self._outcome == "unknown":
             return errors.BackEndLostError(message, outcome="unknown")
         return errors.OverloadedError(
@@ -408,10 +412,11 @@
         )
 
     def _blocks(self, run: _Run) -> Iterator[bytes]:
-        """Yields whole events up to the checked end of the answer.
+        """Yields complete events up to the verified end of the answer.
 
         Raises:
-            RequestError: The answer can't be made whole.
+            RequestError: The answer broke off and can't be resumed, or it did
+                not end in time.
         """
         while True:
             broken = yield from self._relay(run)
@@ -422,43 +427,43 @@
     def _relay(
         self, run: _Run
     ) -> Generator[bytes, None, errors.EngineError | None]:
-        """Yields one engine's events; returns why it broke off, if it did."""
-        cutter = events.EventCutter()
-        exchange = run.begun.exchange
+        """Yields one engine's events; returns the error if it broke off."""
+        splitter = events.EventSplitter()
+        exchange = run.answer.exchange
         began_s = self._parts.system_clock.monotonic_s()
         gaps = stream_gaps.StreamGaps(began_s)
         try:
             while True:
-                some = exchange.read_some(self._limit.left_s())
+                received = exchange.read_some(self._limit.left_s())
                 if self._limit.is_over:
                     raise errors.DeadlineExceededError(
-                        "the answer was not whole in time", outcome="unknown"
+                        "the answer did not end in time", outcome="unknown"
                     )
-                if isinstance(some, Err):
-                    self._lost(run.server)
-                    self._broke_off(
+                if isinstance(received, Err):
+                    self._note_answer_lost(run.server)
+                    self._report_possible_crash(
                         run.server,
                         run.began_s,
-                        some.err_value,
+                        received.err_value,
                         made_output=gaps.has_begun,
                     )
-                    return some.err_value
-                if not some.ok_value:
+                    return received.err_value
+                if not received.ok_value:
                     break
-                block = self._new_events(cutter, some.ok_value)
+                block = self._new_events(splitter, received.ok_value)
                 if block:
                     gaps.note(self._parts.system_clock.monotonic_s())
                     yield block
             self._parts.book.succeeded(run.server.start)
             self._parts.account.ended(run.server, self._since_s(began_s))
-            if run.begun.head.is_success:
-                self._parts.crashes.ended_whole(self._wanted)
-            if cutter.rest:
-                yield cutter.rest
+            if run.answer.head.is_success:
+                self._parts.crashes.ended_whole(self._routed_request)
+            if splitter.pending:
+                yield splitter.pending
             exchange.finish()
             return None
         except errors.StreamBrokenError as error:
-            self._lost(run.server)
+            self._note_answer_lost(run.server)
             return error
         finally:
             exchange.close()
@@ -469,7 +474,7 @@
         self, server: fleet.Server, gaps: stream_gaps.StreamGaps
     ) -> None:
         logger.bind(
-            request_id=self._wanted.request_id,
+            request_id=self._routed_request.request_id,
             route=self._route.name,
             server_id=server.server_id,
             run_s=round(gaps.run_s, 3),
@@ -477,10 +482,10 @@
             gap_target_s=self._route.gap_target_s,
         ).info("stream")
 
-    def _new_events(self, cutter: events.EventCutter, data: bytes) -> bytes:
-        """Returns the whole events that the caller doesn't have yet."""
+    def _new_events(self, splitter: events.EventSplitter, data: bytes) -> bytes:
+        """Returns the complete events that the caller has not received yet."""
         fresh = []
-        for event in cutter.feed(data):
+        for event in splitter.feed(data):
             if event.event_id is not None:
                 if event.event_id <= self._delivered_id:
                     continue
@@ -490,29 +495,30 @@
         return b"".join(fresh)
 
     def _resume(self, error: errors.EngineError) -> _Run:
-        """Lets another engine go on behind the last event delivered."""
-        self._after_failure(error)
-        run = self._bounded_start()
-        if not run.begun.head.is_success:
-            run.begun.exchange.close()
+        """Resumes at another engine after the last event delivered."""
+        self._allow_retry_or_raise(error)
+        run = self._start_within_limit()
+        if not run.answer.head.is_success:
+            run.answer.exchange.close()
             self._parts.book.ended(run.server.start)
             raise errors.BackEndLostError(
-                f"{run.server.address} did not resume", outcome="unknown"
+                f"{run.server.address} did not resume the stream",
+                outcome="unknown",
             )
         logger.bind(
-            request_id=self._wanted.request_id,
+            request_id=self._routed_request.request_id,
             server_id=run.server.server_id,
             last_event_id=self._last_event_id,
             reason=error.code,
         ).info("resumed")
         return run
 
-    def _lost(self, server: fleet.Server) -> None:
+    def _note_answer_lost(self, server: fleet.Server) -> None:
         self._excluded.add(server.start)
         now_s = self._parts.system_clock.monotonic_s()
         self._parts.book.lost(server.start, now_s)
 
-    def _broke_off(
+    def _report_possible_crash(
         self,
         server: fleet.Server,
         began_s: float,
@@ -522,11 +528,11 @@
     ) -> None:
         if crash_watch.may_be_crash(error):
             run = crash_watch.Run(
-                self._wanted, server.start, server.address, began_s
+                self._routed_request, server.start, server.address, began_s
             )
             self._parts.crashes.broke_off(run, made_output=made_output)
 
-    def _failed(self, server: fleet.Server) -> None:
+    def _note_answer_failed(self, server: fleet.Server) -> None:
         self._excluded.add(server.start)
         self._parts.book.failed(server.start)
 
@@ -535,15 +541,15 @@
         if prefilled is None:
             return
         now_s = self._parts.system_clock.monotonic_s()
-        # An engine that wants rest wants no release either; what it holds
-        # lapses by itself.
+        # A resting engine gets no release request either; the KV cache that
+        # it holds expires by itself.
         if not self._parts.book.is_resting(prefilled.server.start, now_s):
             self._parts.client.release(prefilled.cache)
 
     def _since_s(self, began_s: float) -> float:
         return self._parts.system_clock.monotonic_s() - began_s
 
-    def _log(
+    def _record_attempt(
         self,
         attempt: request.Attempt,
         began_s: float,
@@ -553,7 +559,7 @@
         if isinstance(outcome, Err):
             self._excluded.add(attempt.server.start)
         logger.bind(
-            request_id=self._wanted.request_id,
+            request_id=self._routed_request.request_id,
             route=self._route.name,
             server_id=attempt.server.server_id,
             prefill_only=attempt.prefill_only,
@@ -566,8 +572,8 @@
         ).info("attempt")
 
 
-class _Counted:
-    """Counts a request at a server for as long as the block runs."""
+class _InFlightRequest:
+    """Counts a request as in flight at a server while the block runs."""
 
     def __init__(
         self,
@@ -591,5 +597,5 @@
     return source.address if source is not None else None
 
 
-def _number(event_id: str | None) -> int:
+def _parse_event_id(event_id: str | None) -> int:
     return int(event_id) if event_id and event_id.isdecimal() else -1
--- a/src/mulberrywharf/forwarding/plain_call.py
+++ b/src/mulberrywharf/forwarding/plain_call.py
@@ -1,7 +1,8 @@
-"""A request to a plain service: one whole answer, read before any is sent on.
+"""Forwards requests to plain services, whose answers are read completely first.
 
-An answer that breaks off can then still be replaced by another server's if
-the request may run again, and is never passed on as if it were whole.
+No byte of an answer is passed on before all of it has been read. If it breaks
+off, it is never passed on as if it were complete, and if the request may run
+again, another server's answer can replace it.
 """
 
 import random
@@ -25,18 +26,19 @@
 ANSWER_LIMIT_BYTES = 16_000_000
 RETRY_AFTER_LEAST_S = 0.05
 RETRY_AFTER_MOST_S = 0.25
-"""Plain work takes tens of milliseconds: a slot comes free within that time,
-and callers that come back at random instants do not collide again."""
+"""Bounds of the random retry delay. A request to a plain service takes tens of
+milliseconds, so a slot becomes free within the delay. The delay is random so
+that refused callers do not all retry at the same time."""
 
 _FAILURE_STATUS = 500
 
 
 class WholeAnswer(NamedTuple):
-    """A server's answer, to be passed on unchanged.
+    """A server's complete answer, to be passed on unchanged.
 
     Attributes:
         head: Its head.
-        body: Its whole body.
+        body: Its complete body.
     """
 
     head: request.AnswerHead
@@ -44,16 +46,16 @@
 
 
 class Parts(NamedTuple):
-    """What the calls are made with.
+    """Components shared by all calls.
 
     Attributes:
-        server_list: The servers.
-        book: What this node knows of them.
+        server_list: The servers of each service.
+        book: State of the servers, from this node's own exchanges.
         client: Sends the attempts.
-        budget: Bounds repeats.
-        crashes: Blocks requests under which servers end.
-        system_clock: Measures time left.
-        rng: Spreads callers and breaks ties.
+        budget: Limits repeats.
+        crashes: Blocks requests that crash servers.
+        system_clock: Measures the time left.
+        rng: Spreads retry delays and breaks ties between servers.
     """
 
     server_list: servers.ServerList
@@ -66,51 +68,55 @@
 
 
 class PlainCalls:
-    """Runs requests to plain services."""
+    """Forwards requests to plain services."""
 
     def __init__(self, parts: Parts):
         self._parts = parts
 
     def call(
-        self, wanted: request.RoutedRequest, route: table.Route, service: str
+        self,
+        routed_request: request.RoutedRequest,
+        route: table.Route,
+        service: str,
     ) -> WholeAnswer:
-        """Returns the whole answer.
+        """Returns the complete answer.
 
         Args:
-            wanted: The request.
+            routed_request: The request.
             route: Its route.
-            service: The service that the route leads to for this request.
+            service: The service that the route selects for this request.
 
         Raises:
-            RequestError: With the outcome that holds for the request.
+            RequestError: No server answered; its outcome tells whether the
+                request may have run.
         """
         parts = self._parts
-        parts.crashes.check(wanted)
+        parts.crashes.check(routed_request)
         parts.budget.note_request(service, parts.system_clock.monotonic_s())
-        return _Call(parts, wanted, route, service).run()
+        return _Call(parts, routed_request, route, service).run()
 
 
 class _Call:
-    """One request and its attempts."""
+    """One request with its attempts."""
 
     def __init__(
         self,
         parts: Parts,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         service: str,
     ):
         self._parts = parts
-        self._wanted = wanted
+        self._routed_request = routed_request
         self._route = route
         self._service = service
         self._may_run_again = kinds.may_run_again(route.kind)
         self._tried: set[fleet.ServerStart] = set()
         self._runs_count = 0
         self._outcome: errors.Outcome = "not-run"
-        self._failure: WholeAnswer | None = None
+        self._failure_answer: WholeAnswer | None = None
         self._limit = time_limits.TimeLimit.of(
-            wanted, route, parts.system_clock
+            routed_request, route, parts.system_clock
         )
 
     def run(self) -> WholeAnswer:
@@ -131,13 +137,13 @@
             if chosen is None:
                 return self._give_up("no server is left to try")
             self._tried.add(chosen.server.start)
-            tried = self._attempt(chosen)
-            if isinstance(tried, Ok):
-                answer = tried.ok_value
-                if not self._wants_another(answer):
+            attempted = self._attempt(chosen)
+            if isinstance(attempted, Ok):
+                answer = attempted.ok_value
+                if not self._is_retryable(answer):
                     return answer
-                self._failure = answer
-            if not self._may_repeat(tried):
+                self._failure_answer = answer
+            if not self._may_repeat(attempted):
                 return self._give_up("no further attempt is allowed")
 
     def _choose(self) -> server_choice.Candidate | None:
@@ -148,7 +154,9 @@
             if server.start not in self._tried
         ]
         reachable = self._parts.book.reachable(usable, now_s)
-        allowed = self._parts.crashes.allowed_servers(self._wanted, reachable)
+        allowed = self._parts.crashes.allowed_servers(
+            self._routed_request, reachable
+        )
         candidates = self._parts.book.candidates(allowed, now_s)
         return server_choice.choose(candidates, self._parts.rng)
 
@@ -158,36 +166,36 @@
         server = chosen.server
         book = self._parts.book
         attempt = request.Attempt(
-            self._wanted, server, self._limit.for_server_s()
+            self._routed_request, server, self._limit.for_server_s()
         )
         began_s = self._parts.system_clock.monotonic_s()
-        before = self._outcome
-        # Until the attempt has told how it failed it may have run.
+        previous_outcome = self._outcome
+        # The request may have run until the attempt reports otherwise.
         self._outcome = "unknown"
         book.began(server.start, began_s)
         try:
-            tried = self._exchange(attempt)
+            attempted = self._exchange(attempt)
         finally:
             book.ended(server.start)
         took_s = self._parts.system_clock.monotonic_s() - began_s
-        if isinstance(tried, Err):
-            self._broke_off(server, began_s, tried.err_value)
-            if tried.err_value.outcome == "not-run":
-                self._outcome = before
+        if isinstance(attempted, Err):
+            self._report_possible_crash(server, began_s, attempted.err_value)
+            if attempted.err_value.outcome == "not-run":
+                self._outcome = previous_outcome
             else:
                 self._runs_count += 1
         else:
             self._runs_count += 1
-            self._note_answer(server, tried.ok_value.head, took_s)
-        self._log(chosen, tried, took_s)
-        return tried
+            self._note_answer(server, attempted.ok_value.head, took_s)
+        self._log(chosen, attempted, took_s)
+        return attempted
 
-    def _broke_off(
+    def _report_possible_crash(
         self, server: fleet.Server, began_s: float, error: errors.EngineError
     ) -> None:
         if crash_watch.may_be_crash(error):
             run = crash_watch.Run(
-                self._wanted, server.start, server.address, began_s
+                self._routed_request, server.start, server.address, began_s
             )
             self._parts.crashes.broke_off(run, made_output=False)
 
@@ -201,51 +209,53 @@
         )
         if isinstance(sent, Err):
             return sent
-        begun = sent.ok_value
+        answer = sent.ok_value
         try:
-            body = begun.exchange.read_all(
+            body = answer.exchange.read_all(
                 self._limit.wait_s(), ANSWER_LIMIT_BYTES
             )
         except BaseException:
-            begun.exchange.close()
+            answer.exchange.close()
             raise
-        begun.exchange.finish()
+        answer.exchange.finish()
         if isinstance(body, Err):
             self._parts.book.lost(
                 attempt.server.start,
                 self._parts.system_clock.monotonic_s(),
             )
             return body
-        if begun.head.is_success and not begun.head.has_receipt:
-            message = f"{attempt.server.address} did not vouch for its answer"
+        if answer.head.is_success and not answer.head.has_receipt:
+            message = (
+                f"{attempt.server.address} sent an answer without a signature"
+            )
             return Err(errors.AnswerLostError(message))
-        return Ok(WholeAnswer(begun.head, body.ok_value))
+        return Ok(WholeAnswer(answer.head, body.ok_value))
 
     def _note_answer(
         self, server: fleet.Server, head: request.AnswerHead, took_s: float
     ) -> None:
         if head.is_success:
-            self._parts.crashes.ended_whole(self._wanted)
+            self._parts.crashes.ended_whole(self._routed_request)
         if head.status >= _FAILURE_STATUS:
             self._parts.book.failed(server.start)
         else:
             self._parts.book.succeeded(server.start, took_s)
 
-    def _wants_another(self, answer: WholeAnswer) -> bool:
+    def _is_retryable(self, answer: WholeAnswer) -> bool:
         return answer.head.status >= _FAILURE_STATUS and self._may_run_again
 
     def _may_repeat(
-        self, tried: Result[WholeAnswer, errors.EngineError]
+        self, attempted: Result[WholeAnswer, errors.EngineError]
     ) -> bool:
-        """Decides whether another server may get the request."""
+        """Tells whether the request may be sent to another server."""
         if self._runs_count >= self._route.attempts_limit_count:
             return False
-        if self._parts.crashes.is_blocked(self._wanted):
+        if self._parts.crashes.is_blocked(self._routed_request):
             return False
-        if isinstance(tried, Err) and isinstance(
-            tried.err_value, errors.EngineUnreachableError
+        if isinstance(attempted, Err) and isinstance(
+            attempted.err_value, errors.EngineUnreachableError
         ):
-            # Nothing arrived anywhere, so nothing is repeated.
+            # No server received the request, so sending it is no repeat.
             return True
         if self._outcome == "unknown" and not self._may_run_again:
             return False
@@ -253,13 +263,13 @@
         return self._parts.budget.take(self._service, now_s)
 
     def _give_up(self, reason: str) -> WholeAnswer:
-        if self._failure is not None:
-            return self._failure
+        if self._failure_answer is not None:
+            return self._failure_answer
         if self._outcome == "unknown":
             raise errors.BackEndLostError(
                 f"the server failed: {reason}", outcome="unknown"
             )
-        self._parts.crashes.check(self._wanted)
+        self._parts.crashes.check(self._routed_request)
         raise errors.OverloadedError(
             f"not run: {reason}", retry_after_s=self._retry_after_s()
         )
@@ -275,16 +285,16 @@
     def _log(
         self,
         chosen: server_choice.Candidate,
-        tried: Result[WholeAnswer, errors.EngineError],
+        attempted: Result[WholeAnswer, errors.EngineError],
         took_s: float,
     ) -> None:
         result = (
-            str(tried.ok_value.head.status)
-            if isinstance(tried, Ok)
-            else tried.err_value.code
+            str(attempted.ok_value.head.status)
+            if isinstance(attempted, Ok)
+            else attempted.err_value.code
         )
         logger.bind(
-            request_id=self._wanted.request_id,
+            request_id=self._routed_request.request_id,
             route=self._route.name,
             server_id=chosen.server.server_id,
             unlisted=self._parts.server_list.unlisted(
--- a/src/mulberrywharf/forwarding/request.py
+++ b/src/mulberrywharf/forwarding/request.py
@@ -1,4 +1,4 @@
-"""A request on a route, and what is sent to a server for it."""
+"""Types for a request on a route, for its attempts and for their answers."""
 
 from typing import NamedTuple, Protocol
 
@@ -13,7 +13,7 @@
 
     Attributes:
         part_id: Equal ids mean equal text.
-        tokens: Its length.
+        tokens: Length in tokens.
     """
 
     part_id: str
@@ -21,13 +21,13 @@
 
 
 class Prompt(NamedTuple):
-    """What a request says of its prompt.
+    """Description of a prompt, as stated by its request.
 
     Attributes:
         model: Name of the model.
-        tokens: Length of the whole prompt.
-        output_limit_tokens: Most tokens that may be generated.
-        parts: All parts in order; the last one is the request's own.
+        tokens: Length of the whole prompt in tokens.
+        output_limit_tokens: Maximum number of tokens to generate.
+        parts: All parts in order; the last one is specific to the request.
     """
 
     model: str
@@ -37,21 +37,23 @@
 
 
 class RoutedRequest(NamedTuple):
-    """One request of a caller, read whole.
+    """A caller's request, completely read.
 
     Attributes:
-        request_id: The caller's id of it.
+        request_id: The id that the caller gave it.
         method: HTTP method.
-        target: Path and query as they came.
-        path: The path alone, as it came.
-        host: The ``Host`` field as it came.
+        target: Path and query as received.
+        path: The path alone, as received.
+        host: The ``Host`` field as received.
         fields: End-to-end header fields without those that only a node sets.
-        body: The whole body.
-        arrived_s: Monotonic instant at which it was read.
-        deadline_s: Monotonic instant after which the caller is gone.
-        last_event_id: The event behind which a stream is to go on, or None.
-        prompt: What it says of its prompt, None if nothing.
-        caller: What the caller shows of who it is, empty if nothing.
+        body: The complete body.
+        arrived_s: Monotonic time in seconds at which it was read.
+        deadline_s: Monotonic time in seconds after which the caller no longer
+            waits.
+        last_event_id: Id of the event after which a stream is to resume, None
+            to start at the beginning.
+        prompt: Description of its prompt, None if it has none.
+        caller: Credentials that the caller sent, empty if none.
         key_digests: Hashes of the customer keys in the request.
         customer: Name of the customer, empty if none was identified.
     """
@@ -72,7 +74,7 @@
     customer: str = ""
 
     def fingerprint(self) -> int:
-        """Returns 64 bits that are equal when the same is asked again."""
+        """Returns a 64-bit hash that is equal for repeats of the request."""
         return fingerprints.fingerprint(
             (
                 self.host.lower(),
@@ -85,11 +87,11 @@
 
 
 class CacheHandle(NamedTuple):
-    """A prefilled KV cache that waits to be taken.
+    """A prefilled KV cache that another engine can fetch.
 
     Attributes:
-        address: The engine that holds it.
-        handle: Its name there.
+        address: Address of the engine that holds it.
+        handle: Its identifier at that engine.
     """
 
     address: fleet.Address
@@ -97,17 +99,18 @@
 
 
 class Attempt(NamedTuple):
-    """One request as it is sent to one server.
+    """One send of a request to one server.
 
     Attributes:
         request: The caller's request.
-        server: Where it goes.
-        time_left_s: After this the server is to stop.
-        priority: 0 to 9 at an engine; None for the engine's default.
-        prefill_only: Whether only the prompt is to be prefilled.
-        cache: A prefilled KV cache to go on from.
-        fetch_from: An engine to copy cached parts of the prompt from.
-        last_event_id: The event behind which a stream is to go on.
+        server: The server that it is sent to.
+        time_left_s: Time in seconds after which the server is to stop.
+        priority: Priority at an engine, 0 (served first) to 9; None for the
+            engine's default.
+        prefill_only: Whether the engine is to prefill the prompt only.
+        cache: Prefilled KV cache to start decoding from.
+        fetch_from: Engine to copy cached parts of the prompt from.
+        last_event_id: Id of the event after which a stream is to resume.
     """
 
     request: RoutedRequest
@@ -121,12 +124,12 @@
 
 
 class ReportedLoad(NamedTuple):
-    """What a server says of its load beside an answer.
+    """Load that a server reports with an answer.
 
     Attributes:
-        running_count: Requests that it works on.
+        running_count: Requests that it is running.
         waiting_count: Requests in its queue.
-        slots_count: Requests that it can work on at once.
+        slots_count: Requests that it can run at the same time.
     """
 
     running_count: int
@@ -135,7 +138,7 @@
 
     @property
     def requests_count(self) -> int:
-        """Requests that it has."""
+        """Requests at the server, running and waiting."""
         return self.running_count + self.waiting_count
 
 
@@ -144,15 +147,16 @@
 
     Attributes:
         status: HTTP status.
-        reason: The status line's phrase.
+        reason: Reason phrase of the status line.
         fields: End-to-end header fields.
-        request_id: Whose answer it says it is, None if it doesn't say.
-        has_receipt: Whether the server vouches for having made it.
+        request_id: Id of the request that it states to answer, None if it
+            states none.
+        has_receipt: Whether it carries the server's response signature.
         not_executed: Whether the server states that nothing ran.
-        load: The server's load, None if it doesn't tell.
-        rest_s: For how long the server wants nothing of this node, None if
-            it names no time.
-        is_leaving: Whether the server states that it leaves.
+        load: The load that the server reports, None if it reports none.
+        rest_s: Time in seconds for which the server asks this node to send it
+            nothing, None if it asks for none.
+        is_leaving: Whether the server states that it is leaving.
     """
 
     status: int
@@ -167,15 +171,15 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the server carried the request out."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 class ServerDialect(Protocol):
-    """How servers are spoken to."""
+    """Encodes requests to servers and reads their answers."""
 
     def encode(self, attempt: Attempt) -> _exchange.Request:
-        """Returns the request as it is sent."""
+        """Returns the HTTP request for an attempt."""
         ...
 
     def read_head(self, answer: _answers.Answer) -> AnswerHead:
@@ -185,9 +189,9 @@
     def decode_handle(
         self, server: fleet.Server, body: bytes
     ) -> Result[CacheHandle, errors.EngineError]:
-        """Reads the answer to a prefill."""
+        """Reads the KV cache handle from the answer to a prefill request."""
         ...
 
     def encode_release(self, cache: CacheHandle) -> _exchange.Request:
-        """Returns the request that frees a KV cache that nobody will take."""
+        """Returns the request that releases an unused KV cache."""
         ...
