--- a/src/mulberrywharf/forwarding/exchanges.py
+++ b/src/mulberrywharf/forwarding/exchanges.py
@@ -32,8 +32,8 @@
     Attributes:
         exchange: Reads the body.
         head: The head.
-        is_framed: Whether the answer itself marks its end, by a content length
-            or by chunked encoding.
+        is_framed: Whether the answer itself tells where its body ends. If not,
+            the end of the connection ends it.
     """
 
     exchange: _exchange.Exchange
@@ -138,17 +138,17 @@
         gevent.spawn(self._release, cache)
 
     def _release(self, cache: request.CacheHandle) -> None:
-        freed = _exchange.fetch(
+        released = _exchange.fetch(
             cache.address,
             self._dialect.encode_release(cache),
             timeout_s=_RELEASE_TIMEOUT_S,
             limit_bytes=_REFUSAL_BODY_LIMIT_BYTES,
             pool=self._pool,
         )
-        if isinstance(freed, Err):
+        if isinstance(released, Err):
             logger.bind(address=str(cache.address), handle=cache.handle).info(
                 "KV cache was not released and will expire: {}",
-                freed.err_value.message,
+                released.err_value.message,
             )
 
     def _receive(
--- a/src/mulberrywharf/forwarding/generation.py
+++ b/src/mulberrywharf/forwarding/generation.py
@@ -87,8 +87,8 @@
         """Returns the answer once its head has been received.
 
         Raises:
-            RequestError: No engine answered; its outcome tells whether the
-                request may have run.
+            RequestError: There is no answer; the error's outcome tells whether
+                the request may have run.
         """
         self._parts.crashes.check(routed_request)
         now_s = self._parts.system_clock.monotonic_s()
--- a/src/mulberrywharf/forwarding/plain_call.py
+++ b/src/mulberrywharf/forwarding/plain_call.py
@@ -87,8 +87,8 @@
             service: The service that the route selects for this request.
 
         Raises:
-            RequestError: No server answered; its outcome tells whether the
-                request may have run.
+            RequestError: There is no answer; the error's outcome tells whether
+                the request may have run.
         """
         parts = self._parts
         parts.crashes.check(routed_request)
