--- a/src/mulberrywharf/forwarding/engine_account.py
+++ b/src/mulberrywharf/forwarding/engine_account.py
@@ -1,4 +1,4 @@
-"""What this node knows of engines and their work, and what peers tell of it."""
+"""Estimates the load, queues and caches of engines, from own and peer data."""
 
 import collections
 import random
@@ -34,24 +34,24 @@
 )
 
 
-LEARNING_WAIT_SHARE = 0.1
-"""Of its reading that a prompt may have waited to teach how long reading
-takes."""
+MAX_LEARNING_WAIT_SHARE = 0.1
+"""Longest reported wait, as a share of a prompt's prefill time, with which the
+answer still updates the prefill speed."""
 
 LEAST_PRIORITY = 9
-"""Of engines; 0 is served first."""
+"""Lowest priority of engines; 0 is served first."""
 
 
 class Notices(Protocol):
-    """Tells other gateways what this one places."""
+    """Sends notices of this gateway's placements to the other gateways."""
 
     @property
     def gateways_count(self) -> int:
-        """All gateways, this one included."""
+        """Number of gateways, this one included."""
         ...
 
     def hears_of(self, server: fleet.Server) -> bool:
-        """Tells whether this gateway hears of all work at an engine."""
+        """Tells whether this gateway gets notices of all work at an engine."""
         ...
 
     def add(
@@ -61,19 +61,29 @@
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        """Takes in one placement."""
+        """Queues the notice of one placement.
+
+        Args:
+            server: The engine that prefills the prompt.
+            work_s: Engine time that the prefill takes.
+            parts: Long shared parts of the prompt, in order.
+            own_tokens: Tokens of the rest of the prompt.
+        """
         ...
 
 
 class Placed(NamedTuple):
-    """A plan that was chosen and counted.
+    """A plan that was chosen and recorded.
 
     Attributes:
         plan: The plan.
-        ticket: The prompt's place in the reader's queue.
-        is_in_order: Whether the reader reads it after all that came before.
-        counted: The prompt's place in an account of the reader's queue, None
-            where there is none.
+        ticket: The prompt's position in this gateway's estimate of the prefill
+            queue.
+        is_in_order: Whether the engine prefills the prompt after everything
+            that was queued before it, so that its answer may correct the
+            estimate.
+        counted: The prompt's entry at the owner of the prefill queue, None
+            where queues have no owners.
     """
 
     plan: prompt_placement.Plan
@@ -83,11 +93,11 @@
 
 
 class EngineAccount:
-    """Queues, caches, batches and waits of all engines.
+    """Estimates of the queues, caches, batches and waits of all engines.
 
     Attributes:
-        loads: How busy the engines are.
-        demand: What callers' prompts want of the engines.
+        loads: Load of the engines.
+        demand: Prefill work that callers' prompts ask for.
     """
 
     def __init__(
@@ -98,28 +108,30 @@
         memory_tokens: Callable[[str], int],
         queues: queue_accounts.QueueAccounts | None = None,
     ):
-        """Makes an empty account.
+        """Initializes the estimates; no engine is known.
 
         Args:
-            book: What this node knows of servers.
-            system_clock: Measures queues.
-            notices: Tells other gateways what is placed.
-            memory_tokens: Returns what the memory of an engine of a service
-                holds.
-            queues: Counts all prompts at an engine where not all gateways are
-                told of all of them; None where they always are.
+            book: This gateway's request counts and observations per server.
+            system_clock: Source of monotonic time.
+            notices: Sends placements to the other gateways.
+            memory_tokens: Returns the KV cache capacity, in tokens, of an
+                engine of the given service.
+            queues: Queue owners, for fleets where not every gateway receives
+                notices of all placements; None if every gateway does.
         """
         self._book = book
-        self._counted = queues or queue_accounts.NoQueueAccounts()
+        self._queue_accounts = queues or queue_accounts.NoQueueAccounts()
         self._clock = system_clock
         self._queues = engine_queues.EngineQueues()
         self.loads = engine_loads.EngineLoads(
             book, self._queues, notices, system_clock
         )
-        self._observed = observed_waits.ObservedWaits()
-        self._slots = slot_waits.SlotWaits()
+        self._observed_waits = observed_waits.ObservedWaits()
+        self._slot_waits = slot_waits.SlotWaits()
         self._caches = part_caches.PartCaches()
-        self._background: dict[fleet.Role, background_work.BackgroundWork] = {
+        self._background_work: dict[
+            fleet.Role, background_work.BackgroundWork
+        ] = {
             "prefill": background_work.BackgroundWork(),
             "decode": background_work.BackgroundWork(),
         }
@@ -136,16 +148,16 @@
         self._decodes_by_service: dict[str, list[fleet.Server]] = {}
 
     def follow(self, known: tuple[fleet.Server, ...]) -> None:
-        """Takes in the server list; forgets starts of engines that ended.
+        """Updates the engines; drops the state of those that ended.
 
-        An engine that starts again holds no part and runs nothing. Its speed
-        stays known: that is its machine's.
+        An engine that restarted has an empty cache and runs nothing. Its
+        learned speed is kept, because it depends on the machine.
         """
-        self._counted.follow(known)
+        self._queue_accounts.follow(known)
         starts = frozenset(server.start for server in known)
         self._queues.keep_only(starts)
-        self._observed.keep_only(starts)
-        self._slots.keep_only(starts)
+        self._observed_waits.keep_only(starts)
+        self._slot_waits.keep_only(starts)
         self._caches.keep_only(starts)
         server_ids = frozenset(server.server_id for server in known)
         for learned in self._speeds.values():
@@ -167,17 +179,18 @@
                 of_service.append(server)
 
     def speeds(self, service: str) -> engine_speeds.Speeds:
-        """Returns what is known of the speed of a service's engines."""
+        """Returns the learned speeds of a service's engines."""
         return self._speeds[service].speeds
 
     def pace(self, role: fleet.Role, engines: list[fleet.Server]) -> float:
-        """Returns how much longer reading takes beside short prompts.
+        """Returns the factor by which short prompts slow down prefill.
 
-        Where all prompts of an engine are counted these are among them.
+        Gateways don't announce short prompts, so this one extrapolates from
+        its own. Queue owners count them, and the factor is 1 then.
         """
-        if self._counted.is_used:
+        if self._queue_accounts.is_used:
             return 1.0
-        taken_share = self._background[role].share(
+        taken_share = self._background_work[role].share(
             self._notices.gateways_count,
             len(engines),
             self._clock.monotonic_s(),
@@ -192,12 +205,12 @@
         *,
         is_home: bool = False,
     ) -> prompt_placement.EngineView:
-        """Returns an engine as one prompt meets it.
+        """Returns the estimated state of an engine for one prompt.
 
         Args:
             server: The engine.
             parts: The prompt's parts, see ``part_caches.chain``.
-            pace: See ``pace``.
+            pace: Slowdown by short prompts, see ``pace``.
             is_home: Whether it is the first home of the shared part.
         """
         now_s = self._clock.monotonic_s()
@@ -207,14 +220,14 @@
         load = self.loads.load(candidate, now_s)
         running_count = load.running_share * server.slots_count
         slot_wait_s = max(
-            self._slots.wait_s(start, running_count, server.slots_count),
-            self._observed.wait_s(start, "start", now_s),
+            self._slot_waits.wait_s(start, running_count, server.slots_count),
+            self._observed_waits.wait_s(start, "start", now_s),
         )
         return prompt_placement.EngineView(
             server=server,
             wait_s=max(
                 load.queue_s + slot_wait_s,
-                self._observed.wait_s(start, "read", now_s),
+                self._observed_waits.wait_s(start, "read", now_s),
             ),
             slot_wait_s=slot_wait_s,
             running_share=load.running_share,
@@ -231,37 +244,40 @@
         parts: tuple[part_caches.ChainPart, ...],
         is_home: bool,
     ) -> int:
-        """Returns the leading tokens that an engine is believed to hold.
-
-        Where this node doesn't hear of every placement, the home of a part is
-        believed to hold as much as homes that it hears of hold on the mean:
-        every node sends the part's prompts there. By its own
-        knowledge alone each zone read each part at an engine of its own
-        choice: of 22.4 million prompt tokens read in 34 s on 28 engines 7.9
-        million were of parts that another engine held, and 1.2 of 14.5
-        million with homes believed in.
+        """Returns the leading prompt tokens an engine probably has cached.
+
+        All gateways send prompts with a shared part to the part's home engine.
+        So for a home without notices of all placements, the hit rate of
+        homes with such notices is assumed. Without this assumption each zone
+        prefilled each part at an engine of its own choice: of 22.4 million
+        prompt tokens prefilled in 34 s on 28 engines, 7.9 million were of parts
+        that another engine held. With it, 1.2 of 14.5 million were.
         """
         held_tokens = self._caches.cached_tokens(server.start, parts)
         if not is_home or self._notices.hears_of(server):
             return held_tokens
-        home_part = prompt_parts.part_of_home(parts)
+        home_part = prompt_parts.home_part_of(parts)
         if home_part is None:
             return held_tokens
         likely_tokens = int(self._home_hits.share * home_part.end_tokens)
         return max(held_tokens, likely_tokens)
 
     def hears_of(self, server: fleet.Server) -> bool:
-        """Tells whether this node hears of all work at an engine."""
+        """Tells whether this gateway gets notices of all work at an engine."""
         return self._notices.hears_of(server)
 
     @property
     def asked_count(self) -> int:
-        """Owners of queues that may be asked for a prompt; 0 without any."""
-        return self._counted.asked_count if self._counted.is_used else 0
+        """Queue owners that may be asked for one prompt; 0 without owners."""
+        return (
+            self._queue_accounts.asked_count
+            if self._queue_accounts.is_used
+            else 0
+        )
 
     def owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Returns who keeps an engine's queue, None for this node."""
-        return self._counted.owner(server)
+        """Returns the owner of an engine's queue, None for this gateway."""
+        return self._queue_accounts.owner(server)
 
     def sample(
         self,
@@ -269,12 +285,18 @@
         among: list[fleet.Server],
         rng: random.Random,
     ) -> list[fleet.Server]:
-        """Returns the engines of one role that are looked at for a prompt.
+        """Returns the engines of one role to consider for a prompt.
 
-        Those whose queues are kept together with a home's are preferred: one
-        question tells of all of them.
+        Prefers engines whose queues have the same owner as a home's queue,
+        because one query to the owner covers all of them.
+
+        Args:
+            homes_first: Home engines of the shared part, in order; always
+                included.
+            among: All engines of the role.
+            rng: Samples the other engines.
         """
-        if not self._counted.is_used:
+        if not self._queue_accounts.is_used:
             return part_homes.sample(homes_first, among, rng)
         owners = {self.owner(home) for home in homes_first}
         return part_homes.sample(
@@ -284,40 +306,43 @@
             is_preferred=lambda one: self.owner(one) in owners,
         )
 
-    def told_waits(
+    def query_waits(
         self,
         engines: Sequence[fleet.Server],
         priority: int,
         part_keys: tuple[int, ...],
     ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
-        """Asks how long a prompt would wait at engines, and believes it.
+        """Asks queue owners for waits, and updates the own queue estimates.
 
         Args:
             engines: The engines.
-            priority: Of the prompt, 0 is read first.
-            part_keys: Of its long shared parts, in order.
+            priority: Priority of the prompt, 0 is served first.
+            part_keys: Keys of its long shared parts, in order.
+
+        Returns:
+            The answers that came in time, by engine.
         """
-        told = self._counted.waits(engines, priority, part_keys)
+        reported = self._queue_accounts.waits(engines, priority, part_keys)
         now_s = self._clock.monotonic_s()
-        for start, wait in told.items():
+        for start, wait in reported.items():
             if wait.is_whole:
                 self._queues.told(start, wait.wait_s, now_s)
-        return told
+        return reported
 
-    def count_in(
+    def record_placement(
         self,
         wanted: request.RoutedRequest,
         service: table.Service,
         plan: prompt_placement.Plan,
         priority: int = LEAST_PRIORITY,
     ) -> Placed:
-        """Counts a plan in and tells who has to know of the prompt.
+        """Records a plan and announces it to peers or to the queue's owner.
 
         Args:
             wanted: The request.
-            service: Whose engines serve it.
-            plan: What was chosen.
-            priority: Of the request, 0 is served first.
+            service: The service whose engines serve it.
+            plan: The chosen plan.
+            priority: Priority of the request, 0 is served first.
         """
         reader = plan.reader.server.start
         work_s = plan.prefill_work_s
@@ -325,17 +350,19 @@
         ticket = self._queues.add(reader, work_s, now_s)
         if service.engine is None or wanted.prompt is None:
             return Placed(plan, ticket, is_in_order=False)
-        if self._counted.is_used:
-            told = prompt_parts.told(prompt_parts.chain_of(wanted.prompt))
-            counted = self._counted.placed(
+        if self._queue_accounts.is_used:
+            reported = prompt_parts.reported_parts(
+                prompt_parts.chain_of(wanted.prompt)
+            )
+            counted = self._queue_accounts.placed(
                 plan.reader.server,
                 work_s,
                 min(priority, LEAST_PRIORITY),
-                told,
-                wanted.prompt.tokens - sum(part.tokens for part in told),
+                reported,
+                wanted.prompt.tokens - sum(part.tokens for part in reported),
             )
-            # Peers are told of the parts; notices are late by seconds in a
-            # large fleet, when the work is done.
+            # Peers only need the cached parts. The work is reported as 0: in a
+            # large fleet notices arrive seconds late, when it is done.
             self._note_prompt(
                 wanted.prompt,
                 plan.reader.server,
@@ -343,25 +370,25 @@
                 service.engine.kv_tokens,
             )
             return Placed(plan, ticket, is_in_order=False, counted=counted)
-        is_told = self._note_prompt(
+        is_announced = self._note_prompt(
             wanted.prompt,
             plan.reader.server,
             work_s,
             service.engine.kv_tokens,
         )
-        if is_told:
+        if is_announced:
             return Placed(plan, ticket, is_in_order=True)
         role: fleet.Role = "prefill" if plan.prefill else "decode"
-        self._background[role].add(work_s / plan.reader.pace, now_s)
+        self._background_work[role].add(work_s / plan.reader.pace, now_s)
         return Placed(plan, ticket, is_in_order=False)
 
-    def count_in_takeover(
+    def record_takeover(
         self,
         wanted: request.RoutedRequest,
         service: table.Service,
         plan: prompt_placement.Plan,
     ) -> Placed:
-        """Counts in that an engine goes on from a prefilled prompt."""
+        """Records that an engine decodes an already prefilled prompt."""
         engine = plan.decode.server
         if service.engine is not None and wanted.prompt is not None:
             self._note_prompt(
@@ -372,16 +399,16 @@
         return Placed(plan, ticket, is_in_order=False)
 
     def reading(self, placed: Placed) -> observed_waits.Awaited:
-        """Notes that the reader was sent the prompt."""
+        """Records that the prompt was sent to the engine that prefills it."""
         plan = placed.plan
-        return self._sent(
+        return self._track_answer(
             plan.reader.server, "read", plan.copy_s + plan.reading.total_s
         )
 
     def starting(self, placed: Placed) -> observed_waits.Awaited:
-        """Notes that the decode engine was sent a prompt read elsewhere."""
+        """Records that a prefilled prompt was sent to the decode engine."""
         plan = placed.plan
-        return self._sent(
+        return self._track_answer(
             plan.decode.server,
             "start",
             plan.first_token_s - plan.decode.slot_wait_s,
@@ -390,30 +417,31 @@
     def expected_s(
         self, placed: Placed, awaited: observed_waits.Awaited
     ) -> float:
-        """Returns when an engine was to answer what it was sent."""
+        """Returns the estimated time from sending to the engine's answer."""
         plan = placed.plan
         if awaited.matter == "read":
             return plan.reader.wait_s + awaited.unqueued_s
         return plan.decode.slot_wait_s + awaited.unqueued_s
 
     def began(self, placed: Placed, awaited: observed_waits.Awaited) -> None:
-        """Notes that an engine has answered what it was sent.
+        """Records that an engine's answer has begun.
 
         Args:
-            placed: The prompt's plan.
-            awaited: From ``reading`` or ``starting``.
+            placed: The recorded plan of the prompt.
+            awaited: The result of ``reading`` or ``starting``.
         """
         now_s = self._clock.monotonic_s()
-        self._observed.answered(awaited, now_s)
+        self._observed_waits.answered(awaited, now_s)
         if awaited.matter == "read" and placed.is_in_order:
             self._queues.finished(placed.ticket, now_s)
         if awaited.matter == "read" and placed.counted is not None:
-            self._counted.read(placed.counted)
-        self._learn(placed, awaited, now_s)
+            self._queue_accounts.read(placed.counted)
+        self._update_speeds(placed, awaited, now_s)
 
-    def _learn(
+    def _update_speeds(
         self, placed: Placed, awaited: observed_waits.Awaited, now_s: float
     ) -> None:
+        """Updates the learned speeds by the time an answer took."""
         plan = placed.plan
         took_s = now_s - awaited.sent_s
         expected_s = self.expected_s(placed, awaited)
@@ -423,7 +451,10 @@
             )
         learned = self._speeds[plan.decode.server.service]
         if awaited.matter == "read":
-            if self._counted.is_used and not _was_read_at_once(plan):
+            if (
+                self._queue_accounts.is_used
+                and not _was_prefilled_without_queueing(plan)
+            ):
                 return
             learned.learn_reading(
                 plan.reader.server,
@@ -436,27 +467,27 @@
             learned.learn_takeover(plan.copy_s, plan.decode.slot_wait_s, took_s)
 
     def failed(self, placed: Placed, awaited: observed_waits.Awaited) -> None:
-        """Notes that an engine will not answer what it was sent.
+        """Records that an engine will not answer.
 
         Args:
-            placed: The prompt's plan.
-            awaited: From ``reading`` or ``starting``.
+            placed: The recorded plan of the prompt.
+            awaited: The result of ``reading`` or ``starting``.
         """
-        self._observed.failed(awaited)
+        self._observed_waits.failed(awaited)
         if awaited.matter == "read" and placed.counted is not None:
-            self._counted.withdrawn(placed.counted)
+            self._queue_accounts.withdrawn(placed.counted)
 
     def ended(self, server: fleet.Server, run_s: float) -> None:
-        """Notes that an engine has finished a stream.
+        """Records that an engine has finished a stream.
 
         Args:
             server: The engine.
-            run_s: From the stream's head to its end.
+            run_s: Time from the response head to the end of the stream.
         """
-        self._slots.note_run(server.start, run_s)
+        self._slot_waits.note_run(server.start, run_s)
 
     def on_notice(self, notice: codec.Notice) -> None:
-        """Takes in what another gateway placed and what engines told it."""
+        """Applies another gateway's placements, demand and load reports."""
         now_s = self._clock.monotonic_s()
         self.loads.on_notice(notice)
         for engine_key in notice.changing:
@@ -466,7 +497,7 @@
         self.demand.on_notice(notice)
         for placement in notice.placements:
             server = self._server_by_key.get(placement.engine_key)
-            if server is None or self._keeps(server):
+            if server is None or self._owns_queue_of(server):
                 continue
             if placement.work_s > 0:
                 self._queues.add(server.start, placement.work_s, now_s)
@@ -476,14 +507,17 @@
                     server.start, placement.own_tokens, memory_tokens
                 )
             if placement.parts:
-                self._note_home(server, placement.parts)
+                self._record_home_hit(server, placement.parts)
                 self._caches.note_read(
                     server.start, placement.parts, memory_tokens
                 )
 
-    def _keeps(self, server: fleet.Server) -> bool:
-        """Tells whether this node is told of each prompt at an engine."""
-        return self._counted.is_used and self._counted.owner(server) is None
+    def _owns_queue_of(self, server: fleet.Server) -> bool:
+        """Tells whether this gateway owns an engine's queue."""
+        return (
+            self._queue_accounts.is_used
+            and self._queue_accounts.owner(server) is None
+        )
 
     def note_counted(
         self,
@@ -491,12 +525,12 @@
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        """Takes in what another gateway's prompt leaves at an engine.
+        """Records what another gateway's prompt adds to an engine's cache.
 
         Args:
-            engine_key: See ``codec.key_of_server``.
-            parts: Its long shared parts, in order.
-            own_tokens: Its other tokens.
+            engine_key: The engine, see ``codec.key_of_server``.
+            parts: Long shared parts of the prompt, in order.
+            own_tokens: Tokens of the rest of the prompt.
         """
         server = self._server_by_key.get(engine_key)
         if server is None:
@@ -506,11 +540,12 @@
         self._caches.note_read(server.start, parts, memory_tokens)
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
-        """Returns how many of a prompt's parts an engine holds.
+        """Returns how many leading parts of a prompt an engine has cached.
 
         Args:
-            engine_key: See ``codec.key_of_server``.
-            part_keys: Of the parts, in order; who holds one holds all before.
+            engine_key: The engine, see ``codec.key_of_server``.
+            part_keys: Keys of the parts, in order. An engine that holds a part
+                also holds all parts before it.
         """
         server = self._server_by_key.get(engine_key)
         if server is None:
@@ -520,16 +555,23 @@
                 return count
         return 0
 
-    def _sent(
+    def _track_answer(
         self,
         server: fleet.Server,
         matter: observed_waits.Matter,
         unqueued_s: float,
     ) -> observed_waits.Awaited:
+        """Records that an engine's answer is outstanding.
+
+        Args:
+            server: The engine.
+            matter: What the engine does first.
+            unqueued_s: Estimated time to the answer of an idle engine.
+        """
         awaited = observed_waits.Awaited(
             server.start, matter, self._clock.monotonic_s(), unqueued_s
         )
-        self._observed.sent(awaited)
+        self._observed_waits.sent(awaited)
         return awaited
 
     def _note_prompt(
@@ -539,61 +581,70 @@
         work_s: float,
         memory_tokens: int,
     ) -> bool:
-        """Notes what an engine will hold of a prompt.
+        """Records what a prompt adds to an engine's cache.
+
+        Args:
+            prompt: The prompt.
+            engine: The engine that receives it.
+            work_s: Engine time of the prefill that is announced to peers.
+            memory_tokens: KV cache capacity of the engine.
 
         Returns:
-            Whether peers are told of it.
+            Whether a notice of the prompt goes to the peers.
         """
         parts = prompt_parts.chain_of(prompt)
         held = tuple(part.held for part in parts)
-        told = prompt_parts.told(parts)
-        if not told:
+        reported = prompt_parts.reported_parts(parts)
+        if not reported:
             self._caches.note_read(engine.start, held, memory_tokens)
-            if self._counted.is_used:
+            if self._queue_accounts.is_used:
                 return False
-            # Short prompts are many and spread evenly over the gateways, so
-            # each counts its own for all instead of telling them.
+            # Short prompts are numerous and spread evenly over the gateways.
+            # Instead of announcing them, each gateway extrapolates the others'
+            # from its own.
             others_count = self._notices.gateways_count - 1
             self._caches.note_own(
                 engine.start, prompt.tokens * others_count, memory_tokens
             )
             return False
-        self._note_home(engine, told)
+        self._record_home_hit(engine, reported)
         self._caches.note_read(engine.start, held, memory_tokens)
-        own_tokens = prompt.tokens - sum(part.tokens for part in told)
-        self._notices.add(engine, work_s, told, own_tokens)
+        own_tokens = prompt.tokens - sum(part.tokens for part in reported)
+        self._notices.add(engine, work_s, reported, own_tokens)
         return True
 
-    def _note_home(
-        self, server: fleet.Server, told: tuple[part_caches.HeldPart, ...]
+    def _record_home_hit(
+        self, server: fleet.Server, reported: tuple[part_caches.HeldPart, ...]
     ) -> None:
-        """Notes whether an engine that gets a prompt as its home held it.
+        """Records a cache hit or miss if the engine is the prompt's home.
 
-        Only shared parts have a home. What a prompt shares with nobody is new
-        each time: taken for the part with a home it made every home look
-        empty, and parts that homes in other zones hold were read anew.
+        Only shared parts count. The unshared rest of a prompt is always a miss:
+        counted too, it made every home look empty, and parts that homes in
+        other zones held were prefilled again.
         """
-        home_part = max(told, key=lambda part: part.tokens)
-        if self._is_heard_home(server, home_part.key):
+        home_part = max(reported, key=lambda part: part.tokens)
+        if self._is_observable_home(server, home_part.key):
             is_held = self._caches.holds(server.start, home_part.key)
             self._home_hits.note(is_held=is_held)
 
-    def _is_heard_home(self, server: fleet.Server, part_key: int) -> bool:
-        # Prefill engines say nothing of homes: they copy what they lack.
+    def _is_observable_home(self, server: fleet.Server, part_key: int) -> bool:
+        """Tells whether an engine is a home whose work is all known here."""
+        # Prefill engines are left out: they copy missing parts from other
+        # engines, so their hits say nothing about homes.
         if server.role == "prefill" or not self._notices.hears_of(server):
             return False
         decodes = self._decodes_by_service.get(server.service, ())
         return server in part_homes.homes(part_key, decodes, count=1)
 
 
-def _was_read_at_once(plan: prompt_placement.Plan) -> bool:
-    """Tells whether a prompt met an engine that was known to have no queue.
+def _was_prefilled_without_queueing(plan: prompt_placement.Plan) -> bool:
+    """Tells whether the queue owner reported next to no wait for a prompt.
 
-    Only such answers teach the speed of reading where queues are counted: the
-    errors of a count only ever add to a wait, and taken for slow reading they
-    made engines look half as fast as they are.
+    Where queues have owners, only such answers update the prefill speed. Errors
+    in an owner's count only ever lengthen the wait. Attributed to slow prefill,
+    they made engines look half as fast as they are.
     """
     told_wait_s = plan.reader.told_wait_s
     if told_wait_s is None:
         return False
-    return told_wait_s <= LEARNING_WAIT_SHARE * plan.reading.work_s
+    return told_wait_s <= MAX_LEARNING_WAIT_SHARE * plan.reading.work_s
--- a/src/mulberrywharf/forwarding/engine_pool.py
+++ b/src/mulberrywharf/forwarding/engine_pool.py
@@ -1,4 +1,4 @@
-"""Where a prompt goes among the engines of a service, or that it is refused."""
+"""Selects the engines that serve a prompt, or refuses the prompt."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -26,16 +26,23 @@
 from mulberrywharf.routes import table
 
 RETRY_WITHOUT_ENGINE_S = 0.3
-"""For a caller that came while no engine was left: the next change of the
-server list comes within a heartbeat of the servers, about a second."""
+"""Retry-After for a caller that found no usable engine. The server list changes
+within one heartbeat of the servers, about a second."""
 
 
 ServerFilter = Callable[[Sequence[fleet.Server]], list[fleet.Server]]
-"""Returns the given servers that a request may be sent to."""
+"""Returns those of the given servers that may receive the request."""
 
 
 class _Candidates(NamedTuple):
-    """The engines that a prompt may go to."""
+    """The engines that may serve one prompt.
+
+    Attributes:
+        shape: Size of the prompt and of its KV cache.
+        speeds: Speeds of the service's engines.
+        prefills: Prefill engines.
+        decodes: Engines that may generate the answer.
+    """
 
     shape: prompt_placement.PromptShape
     speeds: engine_speeds.Speeds
@@ -43,30 +50,37 @@
     decodes: list[prompt_placement.EngineView]
 
     def plans(self) -> list[prompt_placement.Plan]:
-        """Returns every way to serve the prompt, the best first."""
+        """Returns all plans for the prompt, the cheapest first."""
         return prompt_placement.plans(
             self.shape, self.speeds, self.prefills, self.decodes
         )
 
-    def with_told(
+    def with_reported_waits(
         self,
-        told: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+        reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
         parts: tuple[part_caches.ChainPart, ...],
     ) -> "_Candidates":
-        """Returns the engines with what was told of some of them.
+        """Returns a copy with the waits that queue owners reported.
 
         Args:
-            told: By engine.
-            parts: Those that were asked about.
+            reported: The owners' answers, by engine; engines without one are
+                unchanged.
+            parts: The prompt parts that the owners were asked about.
         """
         return self._replace(
-            prefills=[_with_told(view, told, parts) for view in self.prefills],
-            decodes=[_with_told(view, told, parts) for view in self.decodes],
+            prefills=[
+                _view_with_reported_wait(view, reported, parts)
+                for view in self.prefills
+            ],
+            decodes=[
+                _view_with_reported_wait(view, reported, parts)
+                for view in self.decodes
+            ],
         )
 
 
 class EnginePool:
-    """Chooses where prompts go, or refuses them."""
+    """Selects engines for prompts and applies admission control."""
 
     def __init__(
         self,
@@ -76,14 +90,15 @@
         system_clock: clock.Clock,
         rng: random.Random,
     ):
-        """Makes a pool.
+        """Initializes the pool.
 
         Args:
-            server_list: The engines.
-            book: Which of them can be reached.
-            account: What is known of their work.
-            system_clock: Measures time left.
-            rng: Spreads refused callers.
+            server_list: The registered engines.
+            book: Tells which of them are reachable.
+            account: Load, caches and queues of the engines.
+            system_clock: Source of monotonic time.
+            rng: Samples engines, and adds jitter to admission decisions and
+                to Retry-After.
         """
         self._server_list = server_list
         self._book = book
@@ -102,29 +117,29 @@
         may_refuse: bool,
         allowed_servers: ServerFilter = list,
     ) -> engine_account.Placed:
-        """Chooses the best plan and counts it in.
+        """Chooses the cheapest plan and records it.
 
         Args:
             wanted: The request.
-            route: Its route.
-            service: Whose engines to choose from.
-            limit: How long it may take.
-            excluded: Engines that failed it already.
-            may_refuse: Whether a prompt that would be late is refused; one
-                that was begun goes on.
-            allowed_servers: Returns the engines that the request may be sent
+            route: The route that it matched.
+            service: The service whose engines may serve it.
+            limit: Its time limit.
+            excluded: Engines that already failed this request.
+            may_refuse: Whether the request is refused if its first token
+                would be late. False for a request that was already started.
+            allowed_servers: Filters the engines that the request may be sent
                 to; called separately for prefill and for decode engines.
 
         Raises:
-            NoEngineError: No engine is left.
-            OverloadedError: Its answer would be of no use.
+            NoEngineError: No usable engine is left.
+            OverloadedError: The first token would come too late.
         """
         candidates = self._candidates(
             wanted, service, excluded, allowed_servers
         )
         plans = candidates.plans()
         if wanted.prompt is not None and service.engine is not None:
-            plans = self._with_told_waits(
+            plans = self._replan_with_reported_waits(
                 candidates, plans, route.priority, wanted.prompt
             )
         if not plans:
@@ -136,8 +151,10 @@
         if may_refuse:
             self._account.demand.note(wanted, service)
             self._refuse_if_late(wanted, route, plan, limit)
-        placed = self._account.count_in(wanted, service, plan, route.priority)
-        self._log(wanted, route, plan)
+        placed = self._account.record_placement(
+            wanted, service, plan, route.priority
+        )
+        self._log_placement(wanted, route, plan)
         return placed
 
     def take_over(
@@ -149,17 +166,17 @@
         excluded: frozenset[fleet.ServerStart],
         allowed_servers: ServerFilter = list,
     ) -> engine_account.Placed:
-        """Chooses the engine that answers a prompt that was prefilled.
+        """Chooses the engine that decodes an already prefilled prompt.
 
         Args:
             wanted: The request.
-            service: Whose engines to choose from.
+            service: The service whose engines may serve it.
             source: The engine that prefilled the prompt.
-            excluded: Engines that failed it already.
+            excluded: Engines that already failed this request.
             allowed_servers: See ``place``.
 
         Raises:
-            NoEngineError: No engine is left.
+            NoEngineError: No usable engine is left.
         """
         usable = self._usable(service, excluded)
         decodes = allowed_servers(
@@ -167,7 +184,7 @@
         )
         parts = prompt_parts.chain_of(wanted.prompt)
         plans = prompt_placement.takeovers(
-            _shape(wanted, service, parts),
+            _prompt_shape(wanted, service, parts),
             self._account.speeds(service.name),
             prompt_placement.EngineView(source),
             self._views(decodes, parts, self._account.pace("decode", decodes)),
@@ -177,7 +194,7 @@
                 f"no engine of {service.name} is left to go on",
                 retry_after_s=self._retry_after_s(service),
             )
-        placed = self._account.count_in_takeover(wanted, service, plans[0])
+        placed = self._account.record_takeover(wanted, service, plans[0])
         logger.bind(
             request_id=wanted.request_id,
             decode_id=placed.plan.decode.server.server_id,
@@ -191,7 +208,7 @@
         return placed
 
     def _retry_after_s(self, service: table.Service) -> float:
-        """Returns when a caller may come again who met no engine."""
+        """Returns Retry-After for a caller that found no usable engine."""
         answering = [
             server
             for server in self._server_list.usable(service.name)
@@ -209,6 +226,7 @@
         plan: prompt_placement.Plan,
         limit: time_limits.TimeLimit,
     ) -> None:
+        """Raises OverloadedError if the first token would be late."""
         prospect = prompt_admission.Prospect(
             first_token_s=plan.first_token_s,
             queue_s=plan.queue_s,
@@ -232,49 +250,54 @@
             retry_after_s=refusal.retry_after_s,
         )
 
-    def _with_told_waits(
+    def _replan_with_reported_waits(
         self,
         candidates: _Candidates,
         plans: list[prompt_placement.Plan],
         priority: int,
         prompt: request.Prompt,
     ) -> list[prompt_placement.Plan]:
-        """Returns the plans by what the owners of the best queues tell.
+        """Returns the plans, corrected by the owners of the engines' queues.
 
-        Where this node doesn't hear of all work, the engine that looks best is
-        the one whose queue it knows least of. So the owners of the best few
-        queues are asked, and once more that of the best one if it was none of
-        them.
+        Where gateways don't receive notices of all placements, the engine that
+        looks best is the one whose queue this gateway knows least about. So it
+        asks the owners of the first few plans' queues. If the best plan then
+        depends on a queue of another owner, it asks that owner too.
         """
         asked_count = self._account.asked_count
         if not asked_count:
             return plans
-        parts = prompt_parts.told_chain(prompt_parts.chain_of(prompt))
+        parts = prompt_parts.reported_chain(prompt_parts.chain_of(prompt))
         keys = tuple(part.held.key for part in parts)
         asked: set[fleet.Address | None] = set()
         for count in (asked_count, 1):
             best = plans[0].reader.server if plans else None
             if best is None or self._account.owner(best) in asked:
                 break
-            owners = self._owners(plans, count)
+            owners = self._queue_owners(plans, count)
             asked |= owners
             readers = {plan.reader.server for plan in plans}
-            told = self._account.told_waits(
+            reported = self._account.query_waits(
                 [one for one in readers if self._account.owner(one) in owners],
                 priority,
                 keys,
             )
             if parts:
-                candidates = candidates.with_told(told, parts)
+                candidates = candidates.with_reported_waits(reported, parts)
                 plans = candidates.plans()
             else:
-                plans = _by_waits(plans, told)
+                plans = _plans_with_reported_waits(plans, reported)
         return plans
 
-    def _owners(
+    def _queue_owners(
         self, plans: list[prompt_placement.Plan], count: int
     ) -> set[fleet.Address | None]:
-        """Returns who keeps the queues of the best plans' readers."""
+        """Returns the owners of the prefill queues of the first plans.
+
+        Args:
+            plans: The plans, the cheapest first.
+            count: The most owners to return.
+        """
         found: set[fleet.Address | None] = set()
         for plan in plans:
             found.add(self._account.owner(plan.reader.server))
@@ -300,7 +323,7 @@
         if service.engine is None or wanted.prompt is None:
             prefills = []
         return _Candidates(
-            _shape(wanted, service, parts),
+            _prompt_shape(wanted, service, parts),
             self._account.speeds(service.name),
             self._views(
                 prefills, parts, self._account.pace("prefill", prefills)
@@ -326,32 +349,33 @@
         parts: tuple[part_caches.ChainPart, ...],
         pace: float,
     ) -> list[prompt_placement.EngineView]:
-        shared = prompt_parts.part_of_home(parts)
-        homes = self._homes(shared, among) if shared else []
-        looked_at = self._account.sample(homes, among, self._rng)
+        shared = prompt_parts.home_part_of(parts)
+        homes = self._home_engines(shared, among) if shared else []
+        sampled = self._account.sample(homes, among, self._rng)
         return [
             self._account.view(
                 one, parts, pace, is_home=bool(homes) and one is homes[0]
             )
-            for one in looked_at
+            for one in sampled
         ]
 
-    def _homes(
+    def _home_engines(
         self, shared: part_caches.ChainPart, among: list[fleet.Server]
     ) -> list[fleet.Server]:
-        """Returns the homes of a part, the first one first.
+        """Returns the home engines of a part, in order of preference.
 
-        Prefill engines keep parts for a while only and copy what they lack,
-        so their homes are among those whose queues this node follows.
+        Prefill engines cache parts only for a while and copy missing ones from
+        other engines. So their homes are chosen among the engines of which this
+        gateway receives all placement notices, if there are any.
         """
-        heard = [
+        observed = [
             one
             for one in among
             if one.role == "prefill" and self._account.hears_of(one)
         ]
-        return part_homes.homes(shared.held.key, heard or among)
+        return part_homes.homes(shared.held.key, observed or among)
 
-    def _log(
+    def _log_placement(
         self,
         wanted: request.RoutedRequest,
         route: table.Route,
@@ -380,55 +404,61 @@
         ).info("placed")
 
 
-def _by_waits(
+def _plans_with_reported_waits(
     plans: list[prompt_placement.Plan],
-    told: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+    reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
 ) -> list[prompt_placement.Plan]:
-    """Returns the plans with the waits that were told, the best first.
+    """Returns the plans with the reported waits, the cheapest first.
 
-    For a prompt without long parts; whatever else is told changes nothing.
+    Used for prompts without long shared parts, where owners report only waits.
     """
     found = []
     for plan in plans:
-        wait = told.get(plan.reader.server.start)
+        wait = reported.get(plan.reader.server.start)
         if wait is None:
             found.append(plan)
         else:
-            wait_s = _told_wait_s(plan.reader, wait)
+            wait_s = _effective_wait_s(plan.reader, wait)
             found.append(plan.with_wait(wait_s, wait.wait_s))
     return sorted(found, key=lambda plan: plan.cost)
 
 
-def _with_told(
+def _view_with_reported_wait(
     view: prompt_placement.EngineView,
-    told: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+    reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
     parts: tuple[part_caches.ChainPart, ...],
 ) -> prompt_placement.EngineView:
-    wait = told.get(view.server.start)
+    """Returns an engine's view with the wait and cache its owner reported."""
+    wait = reported.get(view.server.start)
     if wait is None:
         return view
     return view._replace(
-        wait_s=_told_wait_s(view, wait),
+        wait_s=_effective_wait_s(view, wait),
         told_wait_s=wait.wait_s,
-        cached_tokens=_told_cached_tokens(view, wait, parts),
+        cached_tokens=_effective_cached_tokens(view, wait, parts),
     )
 
 
-def _told_wait_s(
+def _effective_wait_s(
     view: prompt_placement.EngineView, wait: queue_owners.ToldWait
 ) -> float:
+    """Returns the wait at an engine by its queue owner's report.
+
+    An owner that has not yet seen the whole queue can only raise the estimate.
+    """
     wait_s = wait.wait_s + view.slot_wait_s
     return wait_s if wait.is_whole else max(wait_s, view.wait_s)
 
 
-def _told_cached_tokens(
+def _effective_cached_tokens(
     view: prompt_placement.EngineView,
     wait: queue_owners.ToldWait,
     parts: tuple[part_caches.ChainPart, ...],
 ) -> int:
-    """Returns the leading tokens that an engine holds, by what was told.
+    """Returns the leading tokens an engine has cached, by its owner's report.
 
-    Parts that are too short to be asked about are believed held as before.
+    The report doesn't cover parts too short to be asked about; for these the
+    gateway's own estimate stands.
     """
     if wait.held_count:
         held_tokens = parts[min(wait.held_count, len(parts)) - 1].end_tokens
@@ -439,13 +469,13 @@
     return min(view.cached_tokens, before_tokens)
 
 
-def _shape(
+def _prompt_shape(
     wanted: request.RoutedRequest,
     service: table.Service,
     parts: tuple[part_caches.ChainPart, ...],
 ) -> prompt_placement.PromptShape:
     engine = service.engine
-    shared = prompt_parts.part_of_home(parts)
+    shared = prompt_parts.home_part_of(parts)
     return prompt_placement.PromptShape(
         tokens=wanted.prompt.tokens if wanted.prompt else 0,
         shared_tokens=shared.end_tokens if shared else 0,
--- a/src/mulberrywharf/forwarding/prompt_demand.py
+++ b/src/mulberrywharf/forwarding/prompt_demand.py
@@ -1,4 +1,4 @@
-"""How much reading callers ask of the engines, at all gateways together."""
+"""Measures the prefill work that callers of all gateways ask for."""
 
 import collections
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class PromptDemand:
-    """The demand for reading, by service."""
+    """The demand for prefill, by service."""
 
     def __init__(
         self,
@@ -19,12 +19,12 @@
         speeds: Callable[[str], engine_speeds.Speeds],
         gateways_count: Callable[[], int],
     ):
-        """Makes an empty demand.
+        """Initializes the demand with no prompts.
 
         Args:
-            system_clock: Measures rates.
-            speeds: Returns how fast the engines of a service are.
-            gateways_count: Returns how many gateways there are.
+            system_clock: Source of monotonic time.
+            speeds: Returns the learned speeds of a service's engines.
+            gateways_count: Returns the number of gateways, this one included.
         """
         self._clock = system_clock
         self._speeds = speeds
@@ -36,16 +36,17 @@
     def note(
         self, wanted: request.RoutedRequest, service: table.Service
     ) -> None:
-        """Counts a prompt that callers ask for, whatever becomes of it.
+        """Counts a caller's prompt, whether it is served or refused.
 
-        Shared parts are left out: they are read once, most of them just after
-        a start, and roles that were changed for that fit nothing afterwards.
-        Short prompts, whose reading takes less than the fixed beginning of an
-        answer, are read where they are answered and want no prefill engine.
+        Shared parts are left out. They are prefilled once, mostly just after
+        the start of the fleet, and engine roles changed for that would not fit
+        the load afterwards. Short prompts are left out too: if their prefill
+        takes less than the fixed overhead of an answer, the decode engine does
+        it and they need no prefill engine.
 
         Args:
             wanted: The request.
-            service: Whose engines it asks for.
+            service: The service that it asks for.
         """
         prompt = wanted.prompt
         if service.engine is None or prompt is None:
@@ -58,7 +59,7 @@
             self._demands[service.name].note(reading.work_s, now_s)
 
     def told(self) -> tuple[codec.Demand, ...]:
-        """Returns what this node's callers ask of each service's engines."""
+        """Returns this gateway's own demand, for notices to peers."""
         now_s = self._clock.monotonic_s()
         return tuple(
             codec.Demand(codec.key_of(service), demand.own(now_s))
@@ -66,16 +67,17 @@
         )
 
     def wanted_prefill(self, service: str) -> float | None:
-        """Returns the prefill engines that all callers' prompts keep busy.
+        """Returns how many prefill engines all gateways' prompts keep busy.
 
-        None while too little is known of them.
+        Returns:
+            The mean number of busy engines; None until there is enough data.
         """
         return self._demands[service].total(
             self._gateways_count(), self._clock.monotonic_s()
         )
 
     def on_notice(self, notice: codec.Notice) -> None:
-        """Takes in what another gateway's callers ask for."""
+        """Applies the demand in another gateway's notice."""
         now_s = self._clock.monotonic_s()
         for told in notice.demands:
             for service, demand in self._demands.items():
--- a/src/mulberrywharf/forwarding/prompt_parts.py
+++ b/src/mulberrywharf/forwarding/prompt_parts.py
@@ -1,53 +1,59 @@
-"""Which parts of a prompt decide where it goes, and are told to peers."""
+"""Selects the prompt parts that decide placement and are reported to peers."""
 
 from mulberrywharf.forwarding import request
 from mulberrywharf.policy import part_caches
 
-TOLD_PART_TOKENS = 1_000
-"""Shorter parts are not told: reading one takes some 10 to 20 ms, less than
-what an estimate of a queue is off by."""
+REPORTED_PART_MIN_TOKENS = 1_000
+"""Shorter parts are not reported: their prefill takes some 10 to 20 ms, less
+than the error of a queue estimate."""
 
-TOLD_PARTS_LIMIT_COUNT = 4
-"""Parts told of one prompt, its longest ones, some 13 bytes each."""
+REPORTED_PARTS_LIMIT_COUNT = 4
+"""Most parts reported of one prompt, the longest ones; each takes about 13
+bytes."""
 
 
 def chain_of(
     prompt: request.Prompt | None,
 ) -> tuple[part_caches.ChainPart, ...]:
-    """Returns the parts of a prompt by what they share with others."""
+    """Returns the parts of a prompt, keyed by the prefix that each ends."""
     return part_caches.chain(prompt.parts) if prompt else ()
 
 
-def part_of_home(
+def home_part_of(
     parts: tuple[part_caches.ChainPart, ...],
 ) -> part_caches.ChainPart | None:
-    """Returns the part by which a prompt has a home, None if it has none.
+    """Returns the part whose home engine a prompt prefers, None without one.
 
-    It is the longest one that others share, so that prompts with a long
-    common beginning meet at one engine, whatever short parts follow it.
+    It is the longest shared part, so that prompts with a long common prefix go
+    to the same engine, whatever short parts follow it.
     """
     shared = parts[:-1]
     found = max(shared, key=lambda one: one.held.tokens, default=None)
-    if found is None or found.held.tokens < TOLD_PART_TOKENS:
+    if found is None or found.held.tokens < REPORTED_PART_MIN_TOKENS:
         return None
     return found
 
 
-def told(
+def reported_parts(
     parts: tuple[part_caches.ChainPart, ...],
 ) -> tuple[part_caches.HeldPart, ...]:
-    """Returns the shared parts that are worth an account of their own."""
-    return tuple(part.held for part in told_chain(parts))
+    """Returns the shared parts that are reported to peers, in order."""
+    return tuple(part.held for part in reported_chain(parts))
 
 
-def told_chain(
+def reported_chain(
     parts: tuple[part_caches.ChainPart, ...],
 ) -> tuple[part_caches.ChainPart, ...]:
-    """Returns the same with where in the prompt they end.
+    """Returns the same parts with the position where each one ends.
 
-    The others together take less time to read than one placement to tell.
+    The prefill of all other parts takes less time than sending one placement
+    notice.
     """
-    long = [part for part in parts[:-1] if part.held.tokens >= TOLD_PART_TOKENS]
+    long = [
+        part
+        for part in parts[:-1]
+        if part.held.tokens >= REPORTED_PART_MIN_TOKENS
+    ]
     by_length = sorted(long, key=lambda part: part.held.tokens, reverse=True)
-    kept = set(by_length[:TOLD_PARTS_LIMIT_COUNT])
+    kept = set(by_length[:REPORTED_PARTS_LIMIT_COUNT])
     return tuple(part for part in long if part in kept)
--- a/src/mulberrywharf/forwarding/queue_accounts.py
+++ b/src/mulberrywharf/forwarding/queue_accounts.py
@@ -1,4 +1,4 @@
-"""Where the queues of a large fleet's engines are kept, as it matters here."""
+"""Interface to the owners of engines' prefill queues in a large fleet."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
@@ -9,11 +9,15 @@
 
 
 class QueueAccounts(Protocol):
-    """Knows of every prompt at an engine, whichever gateway placed it."""
+    """Asks and informs the gateways that own engines' prefill queues.
+
+    The owner of a queue counts all prompts at the engine, whichever gateway
+    placed them.
+    """
 
     @property
     def is_used(self) -> bool:
-        """Whether prompts are counted there, and not told to all gateways."""
+        """Whether placements go to queue owners, not to all gateways."""
         ...
 
     @property
@@ -22,11 +26,11 @@
         ...
 
     def follow(self, known: Sequence[fleet.Server]) -> None:
-        """Takes in the engines."""
+        """Replaces the known engines."""
         ...
 
     def owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Returns who keeps an engine's queue, None for this gateway."""
+        """Returns the owner of an engine's queue, None for this gateway."""
         ...
 
     def waits(
@@ -35,7 +39,16 @@
         priority: int,
         part_keys: tuple[int, ...] = (),
     ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
-        """Returns how long a prompt would wait at engines that are known."""
+        """Asks the owners how long a prompt would wait at engines.
+
+        Args:
+            engines: The engines.
+            priority: Priority of the prompt, 0 is served first.
+            part_keys: Keys of its long shared parts, in order.
+
+        Returns:
+            The answers that came in time, by engine.
+        """
         ...
 
     def placed(
@@ -46,20 +59,31 @@
         parts: tuple[part_caches.HeldPart, ...] = (),
         own_tokens: int = 0,
     ) -> queue_owners.Ticket:
-        """Counts a prompt in."""
+        """Reports to the owner that a prompt was sent to an engine.
+
+        Args:
+            server: The engine.
+            work_s: Engine time that the prefill takes.
+            priority: Priority of the prompt, 0 is served first.
+            parts: Long shared parts of the prompt, in order.
+            own_tokens: Tokens of the rest of the prompt.
+
+        Returns:
+            Names the prompt in ``read`` and ``withdrawn``.
+        """
         ...
 
     def read(self, ticket: queue_owners.Ticket) -> None:
-        """Counts a prompt out that was read."""
+        """Reports to the owner that a prompt was prefilled."""
         ...
 
     def withdrawn(self, ticket: queue_owners.Ticket) -> None:
-        """Counts a prompt out that will not be read."""
+        """Reports to the owner that a prompt will not be prefilled."""
         ...
 
 
 class NoQueueAccounts:
-    """For a fleet whose gateways are all told of all work."""
+    """Null implementation, for fleets where all gateways get all notices."""
 
     is_used = False
     asked_count = 0
@@ -68,19 +92,19 @@
         """Does nothing."""
 
     def owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Knows of none."""
+        """Returns None; no queue has an owner."""
         return None
 
     def waits(self, *_: Any) -> Mapping[fleet.ServerStart, Any]:
-        """Knows nothing."""
+        """Returns no waits."""
         return {}
 
     def placed(self, server: fleet.Server, *_: Any) -> queue_owners.Ticket:
-        """Counts nothing."""
+        """Reports nothing; returns a placeholder ticket."""
         return queue_owners.Ticket(server, 0)
 
     def read(self, ticket: queue_owners.Ticket) -> None:
-        """Counts nothing."""
+        """Does nothing."""
 
     def withdrawn(self, ticket: queue_owners.Ticket) -> None:
-        """Counts nothing."""
+        """Does nothing."""
--- a/src/mulberrywharf/forwarding/server_book.py
+++ b/src/mulberrywharf/forwarding/server_book.py
@@ -1,4 +1,4 @@
-"""What this node knows of each server from its own exchanges."""
+"""Tracks the requests and the health of each server as this node sees them."""
 
 import math
 from collections.abc import Iterable
@@ -8,47 +8,49 @@
 from mulberrywharf.forwarding import request
 from mulberrywharf.policy import server_choice
 
-REPORT_AGE_CONSTANT_S = 1.0
-"""What a server said of other nodes' requests fades by 1/e in this time; the
-work of a request at a plain service takes 20 to 50 ms, so an older figure says
-little about now."""
+REPORT_TIME_CONSTANT_S = 1.0
+"""A reported count of other nodes' requests decays by 1/e in this time. The
+work of a request at a plain service takes 20 to 50 ms, so an older count says
+little about the present."""
 
 FAILURE_WEIGHT = 0.1
-"""Weight of one answer in the share of failures: about twenty answers decide,
-a second's worth at one of three servers."""
+"""Weight of one answer in the moving average of the failure share. It reflects
+about the last twenty answers, one second at one of three servers."""
 
 PACE_WEIGHT = 0.15
 PACE_LIMIT = 10.0
 SUSPECT_S = 0.3
-"""A server that broke off is passed over so long if there is another one. A
-restart shows in refused connections then; single lost answers don't."""
+"""How long a server that broke off an exchange is used only as a last resort.
+If it restarts, it refuses connections by then; after a single lost answer it
+doesn't."""
 
 AVOID_S = 1.0
 AVOID_LIMIT_S = 2.0
-"""A server that can't be reached gets no work for the first, then one request
-tries it again; each further failure doubles the time up to the limit. Cuts
-last seconds, and the list drops a dead server after some four."""
+"""An unreachable server gets no requests for ``AVOID_S``, then one request
+probes it. Each further failure doubles the time, up to ``AVOID_LIMIT_S``.
+Network cuts last seconds, and a dead server leaves the server list after some
+four seconds."""
 
 PROBE_S = 0.5
-"""While one request tries a server again the others pass it over: each would
-wait for the same silence, a fifth of a second or more."""
+"""How long other requests avoid a server while one request probes it. Each of
+them would wait for the same silent server, 0.2 s or more."""
 
 
 REFUSED_S = 0.5
-"""An engine that refused what it was sent is passed over so long if there is
-another one. It is full, or it changes its role, which its record shows up to a
-second later: without this each gateway sent what it had to the one engine that
-looked empty, and 400 prompts were refused in 6 s for two changes."""
+"""How long an engine that refused a request is used only as a last resort. It
+is full, or it is changing its role, which its record shows up to a second
+later. Without this, each gateway sent its prompts to the one engine that looked
+empty: 400 prompts were refused in 6 s because of two role changes."""
 
 CHANGING_LIMIT_S = 12.0
-"""An engine that changes its role lets its streams end and is away for some
-seconds more; its record shows when it is back. An order that came to nothing
-costs its work for so long."""
+"""Longest time that an engine ordered to change its role gets no requests. It
+lets its streams end and is away for some more seconds; its record shows when it
+is back. If the order has no effect, the engine stays unused for this time."""
 
 
 REST_LIMIT_S = 60.0
-"""A server that asks for a longer rest is asked again behind it: what it says
-may be a mistake, and it would be lost to this node without a sign."""
+"""Longest Retry-After that is honored. A longer one may be a mistake, and this
+node would silently stop using the server."""
 
 _rests_total = metrics.counter(
     "mulberry_server_rests_total",
@@ -56,12 +58,12 @@
 )
 
 
-class ToldLoad(NamedTuple):
-    """What a server last said of other nodes' requests.
+class OthersLoad(NamedTuple):
+    """Other nodes' requests at a server, by its last report.
 
     Attributes:
-        requests_count: Running and waiting.
-        weight: How much it says of now, from 1 when it was just told to 0.
+        requests_count: Requests running and waiting.
+        weight: Decays with the report's age from 1 to 0.
     """
 
     requests_count: int
@@ -69,32 +71,32 @@
 
 
 class _Entry:
-    """One server, as far as this node has seen it."""
+    """The state of one server."""
 
     def __init__(self) -> None:
         self.own_count = 0
         self.others_count = 0
-        self.others_at_s = float("-inf")
+        self.others_reported_at_s = float("-inf")
         self.reported: request.ReportedLoad | None = None
         self.reported_at_s = float("-inf")
         self.failure_share = 0.0
-        self.answer_s: float | None = None
+        self.mean_answer_s: float | None = None
         self.suspected_until_s = float("-inf")
         self.avoided_until_s = float("-inf")
         self.changing_until_s = float("-inf")
         self.resting_until_s = float("-inf")
-        self.failed_tries_count = 0
+        self.failed_attempts_count = 0
 
 
 class ServerBook:
-    """Counts requests at servers and remembers how they answered."""
+    """Request counts and recent outcomes of all servers."""
 
     def __init__(self, availability_zone: str):
         self._availability_zone = availability_zone
         self._entries: dict[fleet.ServerStart, _Entry] = {}
 
     def keep_only(self, starts: Iterable[fleet.ServerStart]) -> None:
-        """Forgets starts of servers that ended and hold no request of ours."""
+        """Drops ended servers, except those that still have own requests."""
         kept = set(starts)
         self._entries = {
             start: entry
@@ -103,19 +105,19 @@
         }
 
     def began(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Counts a request in; to a server that was lost it is the one try."""
+        """Counts a new request; at an unreachable server it is the probe."""
         entry = self._entry(start)
         entry.own_count += 1
-        if entry.failed_tries_count:
+        if entry.failed_attempts_count:
             until_s = now_s + PROBE_S
             entry.avoided_until_s = max(entry.avoided_until_s, until_s)
 
     def ended(self, start: fleet.ServerStart) -> None:
-        """Counts a request out."""
+        """Counts a request as ended."""
         self._entry(start).own_count -= 1
 
     def own_count(self, start: fleet.ServerStart) -> int:
-        """Returns the requests that this node has at a server."""
+        """Returns how many requests this node has at a server."""
         return self._entry(start).own_count
 
     def reported(
@@ -124,39 +126,43 @@
         load: request.ReportedLoad | None,
         now_s: float,
     ) -> None:
-        """Takes in the load that came with an answer.
+        """Records the load report that came with an answer.
 
-        The answered request itself still counts in it.
+        The report still includes the answered request.
         """
         if load is None:
             return
         entry = self._entry(start)
         entry.reported = load
         entry.reported_at_s = now_s
-        self.heard(start, load.requests_count, now_s)
+        self.note_requests_count(start, load.requests_count, now_s)
 
-    def heard(
+    def note_requests_count(
         self, start: fleet.ServerStart, requests_count: int, at_s: float
     ) -> None:
-        """Takes in how many requests a server had, by whomever it was told.
+        """Records how many requests a server had, by its or a peer's report.
 
         Args:
-            start: The server's start.
-            requests_count: Running and waiting, this node's own included.
-            at_s: When it said so; what was known later than that stays.
+            start: The server.
+            requests_count: Requests running and waiting, this node's included.
+            at_s: When the server reported it; ignored if a newer report exists.
         """
         entry = self._entry(start)
-        if at_s < entry.others_at_s:
+        if at_s < entry.others_reported_at_s:
             return
         entry.others_count = max(0, requests_count - entry.own_count)
-        entry.others_at_s = at_s
+        entry.others_reported_at_s = at_s
 
     def reported_since(
         self, since_s: float
     ) -> list[tuple[fleet.ServerStart, request.ReportedLoad, float]]:
-        """Returns what servers told this node since then, the newest first.
+        """Returns the load reports that servers sent to this node.
 
-        Each with the server's start and the time at which it was told.
+        Args:
+            since_s: Time of the oldest report to return.
+
+        Returns:
+            The server, its last report and the report's time, newest first.
         """
         found = [
             (start, entry.reported, entry.reported_at_s)
@@ -168,35 +174,38 @@
     def last_report(
         self, start: fleet.ServerStart
     ) -> request.ReportedLoad | None:
-        """Returns what a server last said of its load, None before that."""
+        """Returns a server's last load report, None if it sent none."""
         return self._entry(start).reported
 
     def succeeded(
         self, start: fleet.ServerStart, answer_s: float | None = None
     ) -> None:
-        """Notes a whole answer.
+        """Records a complete answer.
 
         Args:
-            start: Who gave it.
-            answer_s: How long it took, if that says something of its pace.
+            start: The server.
+            answer_s: Its duration, None if that doesn't reflect the server's
+                speed.
         """
         entry = self._entry(start)
         entry.failure_share *= 1 - FAILURE_WEIGHT
         entry.suspected_until_s = float("-inf")
         entry.avoided_until_s = float("-inf")
-        entry.failed_tries_count = 0
+        entry.failed_attempts_count = 0
         if answer_s is None:
             return
-        before_s = entry.answer_s if entry.answer_s is not None else answer_s
-        entry.answer_s = before_s + PACE_WEIGHT * (answer_s - before_s)
+        before_s = (
+            entry.mean_answer_s if entry.mean_answer_s is not None else answer_s
+        )
+        entry.mean_answer_s = before_s + PACE_WEIGHT * (answer_s - before_s)
 
     def failed(self, start: fleet.ServerStart) -> None:
-        """Notes an answer that is a failure."""
+        """Records a failed answer."""
         entry = self._entry(start)
         entry.failure_share += FAILURE_WEIGHT * (1 - entry.failure_share)
 
     def refused(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Notes that a server did not run what it was sent."""
+        """Records that a server refused a request without running it."""
         self.failed(start)
         entry = self._entry(start)
         until_s = now_s + REFUSED_S
@@ -205,23 +214,23 @@
     def rests(
         self, start: fleet.ServerStart, rest_s: float, now_s: float
     ) -> None:
-        """Notes that a server wants nothing of this node for a time."""
+        """Records a server's Retry-After; it gets no requests until then."""
         _rests_total.inc({})
         entry = self._entry(start)
         until_s = now_s + min(rest_s, REST_LIMIT_S)
         entry.resting_until_s = max(entry.resting_until_s, until_s)
 
     def is_resting(self, start: fleet.ServerStart, now_s: float) -> bool:
-        """Tells whether a server wants nothing of this node now."""
+        """Tells whether a server's Retry-After has not yet passed."""
         return now_s < self._entry(start).resting_until_s
 
     def rest_left_s(
         self, among: Iterable[fleet.Server], now_s: float
     ) -> float | None:
-        """Returns when the first of some servers may be asked again.
+        """Returns the time until the first server's Retry-After has passed.
 
         Returns:
-            None unless all of them want rest.
+            None unless all servers are waiting for their Retry-After.
         """
         lefts_s = [
             self._entry(server.start).resting_until_s - now_s
@@ -232,32 +241,32 @@
         return min(lefts_s)
 
     def changing(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Notes that an engine was ordered to change its role."""
+        """Records that an engine was ordered to change its role."""
         self._entry(start).changing_until_s = now_s + CHANGING_LIMIT_S
 
     def changed(self, start: fleet.ServerStart) -> None:
-        """Notes that an engine's record shows another role."""
+        """Records that an engine's record shows its new role."""
         self._entry(start).changing_until_s = float("-inf")
 
     def lost(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Notes that a server broke off."""
+        """Records that a server broke off an exchange."""
         self.failed(start)
         self._entry(start).suspected_until_s = now_s + SUSPECT_S
 
     def unreachable(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Notes that a server could not be reached, or went silent."""
+        """Records that a server could not be reached, or stopped responding."""
         self.failed(start)
         entry = self._entry(start)
-        if now_s >= entry.avoided_until_s or not entry.failed_tries_count:
-            # Requests that failed together count as one try.
-            entry.failed_tries_count += 1
-        doubled_s = AVOID_S * 2 ** (entry.failed_tries_count - 1)
+        if now_s >= entry.avoided_until_s or not entry.failed_attempts_count:
+            # Requests that fail at the same time count as one failure.
+            entry.failed_attempts_count += 1
+        doubled_s = AVOID_S * 2 ** (entry.failed_attempts_count - 1)
         entry.avoided_until_s = now_s + min(AVOID_LIMIT_S, doubled_s)
 
     def may_use(self, start: fleet.ServerStart, now_s: float) -> bool:
-        """Tells whether a server may be reached, as far as this node knows.
+        """Tells whether requests may be sent to a server now.
 
-        A node that is cut off from all of them refuses its callers at once
+        So a node that is cut off from all servers refuses its callers at once,
         instead of letting each wait for every silent server in turn.
         """
         entry = self._entry(start)
@@ -270,29 +279,32 @@
     def reachable(
         self, among: Iterable[fleet.Server], now_s: float
     ) -> list[fleet.Server]:
-        """Returns those of the servers that may be reached."""
+        """Returns the servers that requests may be sent to now."""
         return [one for one in among if self.may_use(one.start, now_s)]
 
     def is_suspected(self, start: fleet.ServerStart, now_s: float) -> bool:
-        """Tells whether a server failed to answer a moment ago."""
+        """Tells whether a server broke off or refused a request just now."""
         return now_s < self._entry(start).suspected_until_s
 
     def others_count(self, start: fleet.ServerStart, now_s: float) -> float:
-        """Returns the requests that other nodes are believed to have there."""
-        told = self.told(start, now_s)
-        return told.requests_count * told.weight
+        """Returns the estimated number of other nodes' requests at a server."""
+        load = self.others_load(start, now_s)
+        return load.requests_count * load.weight
 
-    def told(self, start: fleet.ServerStart, now_s: float) -> ToldLoad:
-        """Returns what a server last said of other nodes' requests."""
+    def others_load(self, start: fleet.ServerStart, now_s: float) -> OthersLoad:
+        """Returns other nodes' requests at a server, by its last report."""
         entry = self._entry(start)
-        age_s = now_s - entry.others_at_s
-        weight = math.exp(-age_s / REPORT_AGE_CONSTANT_S)
-        return ToldLoad(entry.others_count, weight)
+        age_s = now_s - entry.others_reported_at_s
+        weight = math.exp(-age_s / REPORT_TIME_CONSTANT_S)
+        return OthersLoad(entry.others_count, weight)
 
     def candidates(
         self, among: Iterable[fleet.Server], now_s: float
     ) -> list[server_choice.Candidate]:
-        """Returns servers of one service as the choice wants them."""
+        """Returns servers of one service as input for the server choice.
+
+        The pace of each is its answer time relative to the median of all.
+        """
         among = list(among)
         usual_s = self._usual_answer_s(among)
         return [self._candidate(server, usual_s, now_s) for server in among]
@@ -302,8 +314,8 @@
     ) -> server_choice.Candidate:
         entry = self._entry(server.start)
         pace = 1.0
-        if usual_s and entry.answer_s is not None:
-            pace = min(PACE_LIMIT, max(1.0, entry.answer_s / usual_s))
+        if usual_s and entry.mean_answer_s is not None:
+            pace = min(PACE_LIMIT, max(1.0, entry.mean_answer_s / usual_s))
         return server_choice.Candidate(
             server=server,
             own_count=entry.own_count,
@@ -315,10 +327,11 @@
         )
 
     def _usual_answer_s(self, among: list[fleet.Server]) -> float | None:
+        """Returns the median answer time, None if none is known."""
         known = sorted(
             answer_s
             for server in among
-            if (answer_s := self._entry(server.start).answer_s) is not None
+            if (answer_s := self._entry(server.start).mean_answer_s) is not None
         )
         return known[(len(known) - 1) // 2] if known else None
 
--- a/tests/test_engine_account.py
+++ b/tests/test_engine_account.py
@@ -104,7 +104,7 @@
             [],
             [prompt_placement.EngineView(_HEARD)],
         )[0]
-        self.account.count_in(
+        self.account.record_placement(
             build.routed(0.0, prompt=prompt),
             table.Service("service", 100, build.ENGINE),
             plan,
@@ -183,7 +183,7 @@
     def test_old_loads_are_not_told(self) -> None:
         account, book = self.told_at
         old_s = clock.SystemClock().monotonic_s()
-        old_s -= engine_loads.TOLD_LOAD_AGE_S + 0.1
+        old_s -= engine_loads.RELAYED_LOAD_MAX_AGE_S + 0.1
         book.reported(_HEARD.start, request.ReportedLoad(6, 3, 6), old_s)
         self.assertEqual(account.loads.reported("zone-a"), ())
 
@@ -200,7 +200,9 @@
         self.now_s = clock.SystemClock().monotonic_s()
 
     def tell(self, number: int, count: int, age_s: float = 0.0) -> None:
-        self.book.heard(self.engines[number].start, count, self.now_s - age_s)
+        self.book.note_requests_count(
+            self.engines[number].start, count, self.now_s - age_s
+        )
 
     def running_share(self, number: int) -> float:
         return self.account.view(self.engines[number], (), 1.0).running_share
@@ -306,7 +308,7 @@
         Cause: its last word was believed for as long as no other came.
         """
         self.tell(usual_load.Load(2.0, 5.0))
-        kinds = self.account.loads._told
+        kinds = self.account.loads._zone_loads
         for kind, (load, told_s) in list(kinds.items()):
             kinds[kind] = load, told_s - usual_load.TOLD_AGE_S - 0.1
         self.assertEqual(self.view(_UNHEARD).running_share, 0.0)
