--- a/src/mulberrywharf/forwarding/servers.py
+++ b/src/mulberrywharf/forwarding/servers.py
@@ -1,4 +1,4 @@
-"""Which servers of a service may get new work, by what the store says."""
+"""Keeps the list of registered servers, as the key-value store has them."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -14,9 +14,9 @@
 PURPOSE = "servers"
 
 DEFAULT_MISSING_HOLD_S = 2.0
-"""After an outage of the store, live servers are back in it within 2 s of its
-return. A record that vanishes later means a server that leaves, and one that
-vanishes before is awaited no longer than that."""
+"""Live servers register again within 2 s after an outage of the store. A record
+that vanishes later means that the server has left; one that vanished earlier is
+awaited until then."""
 
 _servers_gauge = metrics.gauge(
     "mulberry_servers_count", "Servers that may get new work."
@@ -42,14 +42,18 @@
 
 
 class ServerSource(Protocol):
-    """Where servers register themselves and how they write it."""
+    """Location and format of the servers' registration records.
+
+    Attributes:
+        servers_prefix: Key prefix of the records.
+    """
 
     servers_prefix: str
 
     def decode_server(
         self, key: str, value: bytes
     ) -> Result[fleet.Server, errors.StoredRecordError]:
-        """Reads one record, or says why it names no server to use."""
+        """Decodes one record, or returns why it can't be used."""
         ...
 
     def server_id(self, key: str) -> str:
@@ -58,27 +62,27 @@
 
 
 class ServerList:
-    """The servers as the store lists them, kept through its outages.
-
-    A record that vanishes in calm times means a server that leaves. One that
-    vanishes in or just after an outage of the store may only have lapsed,
-    because its server could not write either: dropped at once, a node would
-    refuse callers for want of servers that are all alive. Such a server stays
-    until ``missing_hold_s`` after the outage and is dropped if it isn't back by
-    then. Counted from when the record vanished instead, a server that left
-    1.7 s after an outage got work for 2.4 s more.
-
-    A record that can't be read was written by another program: what it says of
-    the server is unknown, also whether it is still there, so the server is not
-    used until it writes its own again.
-
-    Where the store is back from an older copy, the records that it holds are
-    ignored until their servers write them anew, and those that it has lost are
-    kept as behind an outage.
-
-    A server may start again under its id. Its starts have no order by
-    themselves, as their clocks may be stepped back; the one whose record came
-    last is the one that runs, and what is told of an earlier one is late.
+    """The servers registered in the store; survives outages of the store.
+
+    A record that vanishes while the store works means that the server has left.
+    During an outage or just after it, the record may only have expired, because
+    the server could not renew it. If such servers were dropped at once, the
+    node would refuse callers although all servers are alive. So they are kept
+    until ``missing_hold_s`` after the outage, and dropped if they have not
+    registered again by then. When that time was counted from the deletion, a
+    server that left 1.7 s after an outage got requests for 2.4 s more.
+
+    A record that can't be decoded was written by another program. Nothing is
+    known of the server then, not even whether it still runs, so it is not used
+    until it writes its own record again.
+
+    After the store is restored from an older copy, its records are ignored
+    until their servers write them again. Servers whose records the copy lacks
+    are kept as after an outage.
+
+    A server may restart under its id. Start times don't order its starts,
+    because its clock may be stepped back: the start whose record came last is
+    the running one, and messages from earlier ones are late.
     """
 
     def __init__(
@@ -90,15 +94,15 @@
         patience: Callable[[], watch.Patience] = lambda: watch.BRIEF,
         system_clock: clock.Clock | None = None,
     ):
-        """Makes a list; nothing is read before ``start``.
+        """Initializes an empty list; ``start`` begins to read the store.
 
         Args:
-            client: The key-value service.
-            source: Where the records are in it.
-            missing_hold_s: How long after an outage a server is kept whose
-                record vanished in it.
+            client: Client of the key-value store.
+            source: Location and format of the records.
+            missing_hold_s: Seconds after an outage for which a server is kept
+                whose record vanished in it.
             patience: See ``KeyValueClient.watch``.
-            system_clock: Measures ages, None for the system's.
+            system_clock: Source of monotonic time, None for the system's.
         """
         self._client = client
         self._patience = patience
@@ -115,7 +119,7 @@
         self._callbacks: list[Callable[[], None]] = []
 
     def start(self) -> None:
-        """Begins to watch the records."""
+        """Starts to watch the records."""
         self._watch = self._client.watch(
             self._source.servers_prefix,
             self._on_event,
@@ -124,47 +128,47 @@
         )
 
     def close(self) -> None:
-        """Ends the watch; the list stays as it is."""
+        """Stops the watch; the list stays unchanged."""
         if self._watch is not None:
             self._watch.close()
-        for waiting in self._missing.values():
-            waiting.kill()
+        for timer in self._missing.values():
+            timer.kill()
         self._missing.clear()
 
     def watched(self) -> watch.Watch | None:
-        """Returns the watch of the records, None before the start."""
+        """Returns the watch of the records, None before ``start``."""
         return self._watch
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Calls back after each change of the list."""
+        """Registers a callback that runs after each change of the list."""
         self._callbacks.append(callback)
 
     def usable(self, service: str) -> tuple[fleet.Server, ...]:
-        """Returns the servers of a service that may get new work."""
+        """Returns the servers of a service that may get new requests."""
         return self._by_service.get(service, ())
 
     def find(self, server_id: str) -> fleet.Server | None:
-        """Returns a server that has not left, None for any other."""
+        """Returns a listed server by its id, None if it is not listed."""
         return self._by_id.get(server_id)
 
     def all(self) -> tuple[fleet.Server, ...]:
-        """Returns every server that has not left."""
+        """Returns all listed servers, also draining ones."""
         return tuple(self._by_id.values())
 
     def unlisted(self, server_ids: Iterable[str]) -> list[str]:
-        """Returns those of the servers whose record the store has lost.
+        """Returns those servers that are kept although their record vanished.
 
-        They are kept for an outage; work that goes to them is logged so,
-        because nothing else tells it from work at a listed server.
+        Requests sent to them are logged as such; nothing else distinguishes
+        them from requests to registered servers.
         """
         return [one for one in server_ids if one in self._missing]
 
     def says_it_leaves(self, start: fleet.ServerStart) -> None:
-        """Notes that a server says of itself that it leaves.
+        """Marks a server as draining because an answer of it says so.
 
-        Its record shows that only once the store has taken it. What the
-        record says of this start no longer counts then, as leaving is final;
-        another start of the server is not bound by it.
+        Its record shows that only after a write to the store. Leaving is final:
+        older records of this start no longer change the state. A later start of
+        the server is not affected.
         """
         known = self._by_id.get(start.server_id)
         if known is None or known.start != start or start in self._leaving:
@@ -179,27 +183,28 @@
     def superseded(
         self, start: fleet.ServerStart, by: fleet.ServerStart
     ) -> None:
-        """Notes that a server says of itself that it has started again.
+        """Drops a server that reports a newer start than its record.
 
-        Its record shows the new start up to a heartbeat later; until then it
-        gets no work, as what it is now is not known.
+        Its record shows the new start up to one heartbeat later. Until then its
+        state is unknown and it gets no requests.
 
         Args:
-            start: The start that its record shows.
-            by: The start that it tells; one that is over is late news.
+            start: The start in its record.
+            by: The start that the server reported; ignored if it is known to
+                have ended, because the message is late then.
         """
         known = self._by_id.get(start.server_id)
         if known is None or known.start != start or self._ended.has(by):
             return
         self._ended.note(start)
-        self._keep(start.server_id)
+        self._cancel_pending_drop(start.server_id)
         self._drop(start.server_id, "it has started again")
 
     def _on_event(self, event: key_value_types.WatchEvent) -> None:
         key = event.key_value.key
         server_id = self._source.server_id(key)
         if event.is_restored and event.kind == "put":
-            self._on_copied(server_id)
+            self._on_restored_record(server_id)
             return
         if event.kind == "delete":
             self._unreadable.discard(server_id)
@@ -212,13 +217,13 @@
         self._unreadable.discard(server_id)
         self._on_record(decoded.ok_value)
 
-    def _on_copied(self, server_id: str) -> None:
-        """Takes in that the store's older copy has a record of a server.
+    def _on_restored_record(self, server_id: str) -> None:
+        """Ignores a record that comes from an older copy of the store.
 
-        What it says may be past: a server that has announced since that it
-        leaves would get new work again, and one that is gone would come back
-        from the dead. Each server writes its record anew within a heartbeat;
-        until then what was known of it holds.
+        It may be outdated: a server that has since announced that it leaves
+        would get new requests again, and one that has ended would be listed
+        again. Each server rewrites its record within a heartbeat; until then
+        its known state is kept.
         """
         _copied_counter.inc({"known": str(server_id in self._by_id).lower()})
         logger.bind(
@@ -232,7 +237,7 @@
                 "news of an earlier start of a server, ignored"
             )
             return
-        self._keep(server_id)
+        self._cancel_pending_drop(server_id)
         if server.start in self._leaving:
             server = server._replace(is_draining=True)
         known = self._by_id.get(server_id)
@@ -252,10 +257,11 @@
             return
         self._unreadable.add(server_id)
         logger.bind(server_id=server_id).warning("{}", error.message)
-        self._keep(server_id)
+        self._cancel_pending_drop(server_id)
         self._drop(server_id, "its record can't be read")
 
     def _on_missing(self, server_id: str) -> None:
+        """Drops a server whose record vanished; in an outage, with a delay."""
         server = self._by_id.get(server_id)
         if server is None or server_id in self._missing:
             return
@@ -275,10 +281,10 @@
             left_s=round(left_s, 3),
         ).warning("a server's record vanished in an outage; the server is kept")
 
-    def _keep(self, server_id: str) -> None:
-        waiting = self._missing.pop(server_id, None)
-        if waiting is not None:
-            waiting.kill()
+    def _cancel_pending_drop(self, server_id: str) -> None:
+        timer = self._missing.pop(server_id, None)
+        if timer is not None:
+            timer.kill()
             _kept_counter.inc({"end": "back"})
 
     def _drop(self, server_id: str, reason: str) -> None:
@@ -289,24 +295,30 @@
             self._leaving.discard(server.start)
             self._changed(server, reason)
 
-    def _starts_are_told(self) -> bool:
-        """Tells whether this deployment's servers tell their start.
+    def _most_report_start(self) -> bool:
+        """Tells whether most servers of this deployment report their start.
 
-        Where most do, a record without one is another program's. Some
-        deployments' servers tell none at all.
+        If they do, a record without a start is another program's. In some
+        deployments no server reports one.
         """
-        told_count = sum(
+        reporting_count = sum(
             one.started_unix_ms is not None for one in self._by_id.values()
         )
-        return 2 * told_count > len(self._by_id)
+        return 2 * reporting_count > len(self._by_id)
+
+    def _changed(self, server: fleet.Server, state: str) -> None:
+        """Rebuilds the lists of usable servers and runs the callbacks.
 
-    def _changed(self, server: fleet.Server, belief: str) -> None:
+        Args:
+            server: The server that changed.
+            state: Its new state or why it was dropped, for the log.
+        """
         by_service: dict[str, list[fleet.Server]] = {}
-        starts_are_told = self._starts_are_told()
+        most_report_start = self._most_report_start()
         for known in self._by_id.values():
             of_service = by_service.setdefault(known.service, [])
             is_own_record = (
-                known.started_unix_ms is not None or not starts_are_told
+                known.started_unix_ms is not None or not most_report_start
             )
             if is_own_record and not known.is_draining:
                 of_service.append(known)
@@ -323,6 +335,6 @@
             address=str(server.address),
             role=server.role,
             store_age_s=round(self._client.age_s(), 3),
-        ).info("server {}", belief)
+        ).info("server {}", state)
         for callback in self._callbacks:
             callback()
