--- a/src/mulberrywharf/forwarding/__init__.py
+++ b/src/mulberrywharf/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request that a route leads to a server."""
+"""Forwards requests to the servers that their route selects."""
--- a/src/mulberrywharf/forwarding/engine_account.py
+++ b/src/mulberrywharf/forwarding/engine_account.py
@@ -268,7 +268,7 @@
 
     @property
     def asked_count(self) -> int:
-        """Queue owners that may be asked for one prompt; 0 without owners."""
+        """Number of owners that may be asked for one prompt; 0 without any."""
         return (
             self._queue_accounts.asked_count
             if self._queue_accounts.is_used
--- a/src/mulberrywharf/forwarding/queue_accounts.py
+++ b/src/mulberrywharf/forwarding/queue_accounts.py
@@ -22,7 +22,7 @@
 
     @property
     def asked_count(self) -> int:
-        """Owners that may be asked for one prompt now."""
+        """Number of owners that may be asked for one prompt now."""
         ...
 
     def follow(self, known: Sequence[fleet.Server]) -> None:
@@ -69,7 +69,7 @@
             own_tokens: Tokens of the rest of the prompt.
 
         Returns:
-            Names the prompt in ``read`` and ``withdrawn``.
+            The argument for ``read`` or ``withdrawn``.
         """
         ...
 
--- a/src/mulberrywharf/forwarding/server_book.py
+++ b/src/mulberrywharf/forwarding/server_book.py
@@ -162,7 +162,8 @@
             since_s: Time of the oldest report to return.
 
         Returns:
-            The server, its last report and the report's time, newest first.
+            Each server with its last report and the report's time, the newest
+            report first.
         """
         found = [
             (start, entry.reported, entry.reported_at_s)
@@ -266,8 +267,8 @@
     def may_use(self, start: fleet.ServerStart, now_s: float) -> bool:
         """Tells whether requests may be sent to a server now.
 
-        So a node that is cut off from all servers refuses its callers at once,
-        instead of letting each wait for every silent server in turn.
+        A node that is cut off from all servers thereby refuses its callers at
+        once, instead of letting each wait for every silent server in turn.
         """
         entry = self._entry(start)
         return now_s >= max(
@@ -306,16 +307,16 @@
         The pace of each is its answer time relative to the median of all.
         """
         among = list(among)
-        usual_s = self._usual_answer_s(among)
-        return [self._candidate(server, usual_s, now_s) for server in among]
+        median_s = self._median_answer_s(among)
+        return [self._candidate(server, median_s, now_s) for server in among]
 
     def _candidate(
-        self, server: fleet.Server, usual_s: float | None, now_s: float
+        self, server: fleet.Server, median_s: float | None, now_s: float
     ) -> server_choice.Candidate:
         entry = self._entry(server.start)
         pace = 1.0
-        if usual_s and entry.mean_answer_s is not None:
-            pace = min(PACE_LIMIT, max(1.0, entry.mean_answer_s / usual_s))
+        if median_s and entry.mean_answer_s is not None:
+            pace = min(PACE_LIMIT, max(1.0, entry.mean_answer_s / median_s))
         return server_choice.Candidate(
             server=server,
             own_count=entry.own_count,
@@ -326,7 +327,7 @@
             is_near=server.availability_zone == self._availability_zone,
         )
 
-    def _usual_answer_s(self, among: list[fleet.Server]) -> float | None:
+    def _median_answer_s(self, among: list[fleet.Server]) -> float | None:
         """Returns the median answer time, None if none is known."""
         known = sorted(
             answer_s
--- a/src/mulberrywharf/forwarding/servers.py
+++ b/src/mulberrywharf/forwarding/servers.py
@@ -178,15 +178,15 @@
         if known.is_draining:
             return
         self._by_id[start.server_id] = known._replace(is_draining=True)
-        self._changed(known, "draining: it says so in an answer")
+        self._publish_change(known, "draining: it says so in an answer")
 
     def superseded(
         self, start: fleet.ServerStart, by: fleet.ServerStart
     ) -> None:
-        """Drops a server that reports a newer start than its record.
+        """Drops a server that reports a restart before its record shows it.
 
-        Its record shows the new start up to one heartbeat later. Until then its
-        state is unknown and it gets no requests.
+        The record shows the new start up to one heartbeat later. Until then the
+        server's state is unknown and it gets no requests.
 
         Args:
             start: The start in its record.
@@ -247,7 +247,9 @@
             self._ended.note(known.start)
             self._leaving.discard(known.start)
         self._by_id[server_id] = server
-        self._changed(server, "draining" if server.is_draining else "live")
+        self._publish_change(
+            server, "draining" if server.is_draining else "live"
+        )
 
     def _on_unreadable(
         self, server_id: str, error: errors.StoredRecordError
@@ -293,7 +295,7 @@
         server = self._by_id.pop(server_id, None)
         if server is not None:
             self._leaving.discard(server.start)
-            self._changed(server, reason)
+            self._publish_change(server, reason)
 
     def _most_report_start(self) -> bool:
         """Tells whether most servers of this deployment report their start.
@@ -306,7 +308,7 @@
         )
         return 2 * reporting_count > len(self._by_id)
 
-    def _changed(self, server: fleet.Server, state: str) -> None:
+    def _publish_change(self, server: fleet.Server, state: str) -> None:
         """Rebuilds the lists of usable servers and runs the callbacks.
 
         Args:
--- a/tests/test_engine_account.py
+++ b/tests/test_engine_account.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of engines."""
+"""Estimates of one gateway about engines: caches, loads and queues."""
 
 import unittest
 
@@ -23,8 +23,8 @@
 _MEMORY_TOKENS = 400_000
 
 
-_HEARD = build.server("near", availability_zone="zone-a", role="decode")
-_UNHEARD = build.server("far", availability_zone="zone-b", role="decode")
+_LOCAL = build.server("near", availability_zone="zone-a", role="decode")
+_REMOTE = build.server("far", availability_zone="zone-b", role="decode")
 
 
 class _Notices:
@@ -34,7 +34,7 @@
         return server.availability_zone == "zone-a"
 
     def add(self, *_: object) -> None:
-        """Tells nobody."""
+        """Sends no notice."""
 
 
 def _account_at(
@@ -48,9 +48,9 @@
     return account, book
 
 
-class HomeTest(unittest.TestCase):
+class HomeCacheEstimateTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.account, _ = _account_at((_HEARD, _UNHEARD))
+        self.account, _ = _account_at((_LOCAL, _REMOTE))
 
     def cached_tokens(self, server: fleet.Server, *, is_home: bool) -> int:
         prompt = build.prompt(shared_tokens=13_000, own_tokens=3_000)
@@ -58,41 +58,40 @@
         view = self.account.view(server, parts, 1.0, is_home=is_home)
         return view.cached_tokens
 
-    def place_nearby(self, part_key: int) -> None:
-        """Lets the engine nearby hold a part."""
-        key = codec.key_of_server(_HEARD.start)
+    def announce_part(self, part_key: int) -> None:
+        """Applies a notice that the local engine caches a part."""
+        key = codec.key_of_server(_LOCAL.start)
         part = part_caches.HeldPart(part_key, 1_000)
         placement = codec.Placement(key, 0.1, (part,))
         self.account.on_notice(codec.Notice(1, 1, (placement,)))
 
-    def test_homes_hold_parts_as_often_as_those_that_are_heard(self) -> None:
-        """Each availability zone reads each part anew.
+    def test_remote_homes_are_assumed_to_have_the_local_hit_rate(self) -> None:
+        """Guards against each availability zone prefilling each part again.
 
-        Symptom: a third of all tokens read are of parts that another engine
-        holds. Sequence: gateways hear of the placements of their own zone
-        only; a part was read for another zone. Cause: a part nobody was heard
-        to place counted as held nowhere, and was read wherever it was idle.
+        Gateways get notices of their own zone only. Parts without a notice
+        counted as cached nowhere and were prefilled at any idle engine: a third
+        of all prefilled tokens were of parts that another engine held.
         """
         for _ in range(10):
             for part_key in range(20):
-                self.place_nearby(part_key)
-        self.assertGreater(self.cached_tokens(_UNHEARD, is_home=True), 12_000)
-        self.assertEqual(self.cached_tokens(_UNHEARD, is_home=False), 0)
+                self.announce_part(part_key)
+        self.assertGreater(self.cached_tokens(_REMOTE, is_home=True), 12_000)
+        self.assertEqual(self.cached_tokens(_REMOTE, is_home=False), 0)
 
-    def test_placements_away_from_home_say_nothing(self) -> None:
+    def test_placements_away_from_home_do_not_count_as_hits(self) -> None:
         away = [
             part_key
             for part_key in range(2_000)
-            if part_homes.homes(part_key, (_HEARD, _UNHEARD), 1) == [_UNHEARD]
+            if part_homes.homes(part_key, (_LOCAL, _REMOTE), 1) == [_REMOTE]
         ]
         self.assertGreater(len(away), 100)
         for part_key in away:
-            self.place_nearby(part_key)
-            self.place_nearby(part_key)
-        self.assertEqual(self.cached_tokens(_UNHEARD, is_home=True), 0)
+            self.announce_part(part_key)
+            self.announce_part(part_key)
+        self.assertEqual(self.cached_tokens(_REMOTE, is_home=True), 0)
 
-    def place_at_home_nearby(self, number: int, shared_id: str) -> None:
-        """Places a prompt whose own part is new and its longest."""
+    def record_prompt_at_home(self, number: int, shared_id: str) -> None:
+        """Records a prompt whose longest part is new and unshared."""
         parts = (
             request.PromptPart(shared_id, 2_000),
             request.PromptPart(f"own-{number}", 6_000),
@@ -102,7 +101,7 @@
             prompt_placement.PromptShape(8_000, 2_000, 18_432.0, 46e9),
             self.account.speeds("service"),
             [],
-            [prompt_placement.EngineView(_HEARD)],
+            [prompt_placement.EngineView(_LOCAL)],
         )[0]
         self.account.record_placement(
             build.routed(0.0, prompt=prompt),
@@ -110,86 +109,86 @@
             plan,
         )
 
-    def test_what_a_prompt_shares_with_nobody_says_nothing(self) -> None:
-        """Homes in other zones are believed empty in a large fleet.
+    def test_unshared_parts_do_not_count_as_misses(self) -> None:
+        """Guards against homes in other zones being assumed empty.
 
-        Symptom: parts that their home holds are read anew. Sequence: prompts
-        whose own part is longer than the shared one go to the home of the
-        shared one, which holds it. Cause: the longest part of all counted as
-        the one with a home; a prompt's own is new each time, and a miss.
+        Prompts with an unshared part longer than the shared one go to the home
+        of the shared part. The longest part of all was checked for a hit; an
+        unshared part is always a miss, so that cached parts were prefilled
+        again.
         """
         at_home = next(
             shared_id
             for shared_id in map(str, range(100))
             if part_homes.homes(
                 part_caches.chain([(shared_id, 1)])[0].held.key,
-                (_HEARD, _UNHEARD),
+                (_LOCAL, _REMOTE),
                 1,
             )
-            == [_HEARD]
+            == [_LOCAL]
         )
         for number in range(200):
-            self.place_at_home_nearby(number, at_home)
-        self.assertGreater(self.cached_tokens(_UNHEARD, is_home=True), 12_000)
+            self.record_prompt_at_home(number, at_home)
+        self.assertGreater(self.cached_tokens(_REMOTE, is_home=True), 12_000)
 
-    def test_after_a_start_nothing_is_believed_held(self) -> None:
-        """First prompts are read at half speed, and come late.
+    def test_remote_homes_are_assumed_empty_while_parts_are_new(self) -> None:
+        """Guards against late first prompts after a start of the fleet.
 
-        Sequence: all engines are empty; each home is believed to hold its
-        parts, so decode engines are asked to read them. Cause: a belief that
-        no outcome could correct.
+        All caches are empty then. Homes were always assumed to hold their
+        parts, whatever the actual hits, so decode engines got the prefills and
+        ran them at half the speed.
         """
         for part_key in range(20):
-            self.place_nearby(part_key)
-        self.assertEqual(self.cached_tokens(_UNHEARD, is_home=True), 0)
+            self.announce_part(part_key)
+        self.assertEqual(self.cached_tokens(_REMOTE, is_home=True), 0)
 
 
-class LoadTest(unittest.TestCase):
-    """What engines told one gateway, told on to others."""
+class RelayedLoadTest(unittest.TestCase):
+    """Load reports of engines that one gateway relays to others."""
 
     def setUp(self) -> None:
-        self.told_at = _account_at((_HEARD, _UNHEARD))
-        self.hearing = _account_at((_HEARD, _UNHEARD))
+        self.reporting = _account_at((_LOCAL, _REMOTE))
+        self.receiving = _account_at((_LOCAL, _REMOTE))
 
     def running_share(self, account: engine_account.EngineAccount) -> float:
-        return account.view(_HEARD, (), 1.0).running_share
+        return account.view(_LOCAL, (), 1.0).running_share
 
-    def test_a_load_is_known_to_who_was_not_told_it(self) -> None:
-        """Prompts go to engines whose batch is full, and start late.
+    def test_a_load_report_reaches_other_gateways(self) -> None:
+        """Guards against prompts sent to engines whose batch is full.
 
-        Sequence: each of 80 gateways has an answer of an engine every five
-        seconds, which tells its load; batches fill within one. Cause: what an
-        engine told one gateway was known to that one alone.
+        Each of 80 gateways gets an answer with the engine's load every five
+        seconds, but batches fill within one. Only the gateway that got the
+        answer knew the load.
         """
-        account, book = self.told_at
+        account, book = self.reporting
         now_s = clock.SystemClock().monotonic_s()
-        book.reported(_HEARD.start, request.ReportedLoad(6, 3, 6), now_s)
+        book.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), now_s)
         loads = account.loads.reported("zone-a")
         self.assertEqual([load.requests_count for load in loads], [9])
         self.assertEqual(account.loads.reported("zone-b"), ())
-        hearing, _ = self.hearing
-        self.assertEqual(self.running_share(hearing), 0.0)
-        hearing.on_notice(codec.Notice(1, 1, (), loads=loads))
-        self.assertGreater(self.running_share(hearing), 1.0)
+        receiving, _ = self.receiving
+        self.assertEqual(self.running_share(receiving), 0.0)
+        receiving.on_notice(codec.Notice(1, 1, (), loads=loads))
+        self.assertGreater(self.running_share(receiving), 1.0)
 
-    def test_what_is_newer_stays(self) -> None:
-        hearing, book = self.hearing
+    def test_an_older_relayed_load_does_not_replace_a_newer_one(self) -> None:
+        receiving, book = self.receiving
         now_s = clock.SystemClock().monotonic_s()
-        book.reported(_HEARD.start, request.ReportedLoad(0, 0, 6), now_s)
-        old = codec.Load(codec.key_of_server(_HEARD.start), 9, 0.4)
-        hearing.on_notice(codec.Notice(1, 1, (), loads=(old,)))
-        self.assertEqual(self.running_share(hearing), 0.0)
+        book.reported(_LOCAL.start, request.ReportedLoad(0, 0, 6), now_s)
+        old = codec.Load(codec.key_of_server(_LOCAL.start), 9, 0.4)
+        receiving.on_notice(codec.Notice(1, 1, (), loads=(old,)))
+        self.assertEqual(self.running_share(receiving), 0.0)
 
-    def test_old_loads_are_not_told(self) -> None:
-        account, book = self.told_at
+    def test_old_loads_are_not_relayed(self) -> None:
+        account, book = self.reporting
         old_s = clock.SystemClock().monotonic_s()
         old_s -= engine_loads.RELAYED_LOAD_MAX_AGE_S + 0.1
-        book.reported(_HEARD.start, request.ReportedLoad(6, 3, 6), old_s)
+        book.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), old_s)
         self.assertEqual(account.loads.reported("zone-a"), ())
 
 
-class FadingTest(unittest.TestCase):
-    """What an engine told a while ago."""
+class LoadReportDecayTest(unittest.TestCase):
+    """Load reports of engines lose weight with their age."""
 
     def setUp(self) -> None:
         self.engines = tuple(
@@ -199,7 +198,7 @@
         self.account, self.book = _account_at(self.engines)
         self.now_s = clock.SystemClock().monotonic_s()
 
-    def tell(self, number: int, count: int, age_s: float = 0.0) -> None:
+    def report(self, number: int, count: int, age_s: float = 0.0) -> None:
         self.book.note_requests_count(
             self.engines[number].start, count, self.now_s - age_s
         )
@@ -207,38 +206,37 @@
     def running_share(self, number: int) -> float:
         return self.account.view(self.engines[number], (), 1.0).running_share
 
-    def test_an_engine_that_was_not_heard_is_as_busy_as_others(self) -> None:
-        """Streams pause whenever an engine has told nothing for a second.
+    def test_an_engine_without_recent_report_gets_the_mean_load(self) -> None:
+        """Guards against stalled streams at an engine without recent report.
 
-        Sequence: engines run thirty streams each; one answers nobody for two
-        seconds. Its load has faded to nothing, so all gateways let it read
-        their prompts, between the tokens of its streams. Cause: not to know
-        was taken for idle.
+        Engines run thirty streams each, and one sends no answer for two
+        seconds. Its known load decayed to zero, so all gateways took it for
+        idle and sent it their prefills, which run between its streams' tokens.
         """
         for number in range(3):
-            self.tell(number, 4)
-        self.tell(3, 4, age_s=5.0)
-        told = self.running_share(0)
-        self.assertGreater(told, 0.0)
-        self.assertAlmostEqual(self.running_share(3), told, places=1)
+            self.report(number, 4)
+        self.report(3, 4, age_s=5.0)
+        reported = self.running_share(0)
+        self.assertGreater(reported, 0.0)
+        self.assertAlmostEqual(self.running_share(3), reported, places=1)
 
-    def test_an_engine_that_has_just_told_it_is_idle_is(self) -> None:
+    def test_an_engine_that_just_reported_idle_is_idle(self) -> None:
         for number in range(3):
-            self.tell(number, 6)
-        self.tell(3, 0)
+            self.report(number, 6)
+        self.report(3, 0)
         self.assertLess(self.running_share(3), 0.1)
 
-    def test_where_none_told_lately_none_is_busy(self) -> None:
+    def test_without_recent_reports_no_engine_is_busy(self) -> None:
         for number in range(4):
-            self.tell(number, 6, age_s=20.0)
+            self.report(number, 6, age_s=20.0)
         self.assertLess(self.running_share(0), 0.01)
 
 
-class UnheardTest(unittest.TestCase):
-    """Engines of other zones in a fleet that is told by zones."""
+class RemoteZoneLoadTest(unittest.TestCase):
+    """Engines of other zones, where notices stay within a zone."""
 
     def setUp(self) -> None:
-        self.account, self.book = _account_at((_HEARD, _UNHEARD))
+        self.account, self.book = _account_at((_LOCAL, _REMOTE))
         self.now_s = clock.SystemClock().monotonic_s()
 
     def view(self, server: fleet.Server) -> prompt_placement.EngineView:
@@ -248,117 +246,118 @@
         load = request.ReportedLoad(requests_count, 0, server.slots_count)
         self.book.reported(server.start, load, self.now_s)
 
-    def test_engines_elsewhere_are_as_busy_as_those_nearby(self) -> None:
-        """Streams pause for longer than callers accept in a large fleet.
+    def test_remote_engines_get_the_mean_load_of_local_ones(self) -> None:
+        """Guards against streams that pause too long in a large fleet.
 
-        Symptom: of 60 gateways' streams a fifth pauses too long, while on 18
-        gateways with the same load for each a twentieth does. Sequence: each
-        gateway hears of the work of its own zone; engines elsewhere look idle
-        beside these, so it reads its prompts there, between the tokens of
-        their streams. Gateways there do the same the other way round. Cause:
-        its own few prompts counted as all that those engines had to do.
+        Gateways get notices of their own zone only. They took their own few
+        prompts for the whole load of engines in other zones, which looked idle
+        and got their prefills, between the tokens of running streams; gateways
+        there did the same in return. With 60 gateways a fifth of the streams
+        paused too long, with 18 at the same load per gateway a twentieth.
         """
-        self.make_busy(_HEARD, 4)
-        near, far = self.view(_HEARD), self.view(_UNHEARD)
-        self.assertGreater(near.running_share, 0.0)
-        self.assertAlmostEqual(far.running_share, near.running_share, places=2)
+        self.make_busy(_LOCAL, 4)
+        local, remote = self.view(_LOCAL), self.view(_REMOTE)
+        self.assertGreater(local.running_share, 0.0)
+        self.assertAlmostEqual(
+            remote.running_share, local.running_share, places=2
+        )
 
-    def test_queues_elsewhere_are_as_long_as_those_nearby(self) -> None:
-        key = codec.key_of_server(_HEARD.start)
+    def test_remote_queues_get_the_mean_length_of_local_ones(self) -> None:
+        key = codec.key_of_server(_LOCAL.start)
         self.account.on_notice(codec.Notice(1, 1, (codec.Placement(key, 0.8),)))
-        self.assertGreater(self.view(_HEARD).wait_s, 0.7)
-        self.assertGreater(self.view(_UNHEARD).wait_s, 0.7)
+        self.assertGreater(self.view(_LOCAL).wait_s, 0.7)
+        self.assertGreater(self.view(_REMOTE).wait_s, 0.7)
 
-    def test_what_is_known_of_a_busier_engine_holds(self) -> None:
-        self.make_busy(_HEARD, 2)
-        self.make_busy(_UNHEARD, 5)
+    def test_a_higher_known_load_replaces_the_mean(self) -> None:
+        self.make_busy(_LOCAL, 2)
+        self.make_busy(_REMOTE, 5)
         self.assertGreater(
-            self.view(_UNHEARD).running_share, self.view(_HEARD).running_share
+            self.view(_REMOTE).running_share, self.view(_LOCAL).running_share
         )
 
-    def tell(self, load: usual_load.Load, zone: str = "zone-b") -> None:
-        """Lets a gateway of another zone tell how busy its engines are."""
-        told = codec.RoleLoad(codec.key_of(_UNHEARD.service), False, load)
+    def report(self, load: usual_load.Load, zone: str = "zone-b") -> None:
+        """Applies a notice with the mean load of another zone's engines."""
+        reported = codec.RoleLoad(codec.key_of(_REMOTE.service), False, load)
         notice = codec.Notice(
-            1, 1, (), zone_key=codec.key_of(zone), role_loads=(told,)
+            1, 1, (), zone_key=codec.key_of(zone), role_loads=(reported,)
         )
         self.account.on_notice(notice)
 
-    def test_another_zone_is_as_busy_as_it_told(self) -> None:
-        """Callers are refused while engines of another zone are idle.
+    def test_remote_engines_get_the_load_their_zone_reported(self) -> None:
+        """Guards against refused callers while another zone's engines are idle.
 
-        Sequence: many callers come in one zone; its gateways take the engines
-        of the others to be as busy as their own. Cause: nothing that another
-        zone knows of its engines reached them.
+        When many callers come in one zone, its gateways took the engines of
+        other zones to be as busy as their own, because zones didn't exchange
+        their loads.
         """
-        self.make_busy(_HEARD, 6)
-        self.tell(usual_load.Load(0.25, 0.125))
-        far = self.view(_UNHEARD)
-        self.assertAlmostEqual(far.running_share, 0.25, places=2)
-        self.assertAlmostEqual(far.wait_s, 0.125, places=2)
+        self.make_busy(_LOCAL, 6)
+        self.report(usual_load.Load(0.25, 0.125))
+        remote = self.view(_REMOTE)
+        self.assertAlmostEqual(remote.running_share, 0.25, places=2)
+        self.assertAlmostEqual(remote.wait_s, 0.125, places=2)
 
-    def test_what_a_third_zone_told_says_nothing(self) -> None:
-        self.tell(usual_load.Load(0.75, 0.5), zone="zone-c")
-        self.assertEqual(self.view(_UNHEARD).running_share, 0.0)
+    def test_a_report_of_a_third_zone_is_not_applied(self) -> None:
+        self.report(usual_load.Load(0.75, 0.5), zone="zone-c")
+        self.assertEqual(self.view(_REMOTE).running_share, 0.0)
 
-    def test_what_was_told_long_ago_is_not_believed(self) -> None:
-        """Engines that have long been idle get no work.
+    def test_an_old_zone_report_expires(self) -> None:
+        """Guards against idle engines that get no work.
 
-        Sequence: a zone tells that its engines are full, and is cut off.
-        Cause: its last word was believed for as long as no other came.
+        A zone reports full engines and is then cut off. Its last report was
+        used until a newer one came.
         """
-        self.tell(usual_load.Load(2.0, 5.0))
-        kinds = self.account.loads._zone_loads
-        for kind, (load, told_s) in list(kinds.items()):
-            kinds[kind] = load, told_s - usual_load.TOLD_AGE_S - 0.1
-        self.assertEqual(self.view(_UNHEARD).running_share, 0.0)
-
-    def test_what_is_told_of_the_own_zone(self) -> None:
-        self.make_busy(_HEARD, 3)
-        self.make_busy(_UNHEARD, 6)
-        (told,) = self.account.loads.of_roles()
-        self.assertEqual(told.service_key, codec.key_of(_HEARD.service))
-        self.assertFalse(told.is_prefill)
-        share = 3 / _HEARD.slots_count
-        self.assertAlmostEqual(told.load.running_share, share, places=2)
-
-    def test_without_engines_nearby_those_elsewhere_count_as_known(
+        self.report(usual_load.Load(2.0, 5.0))
+        zone_loads = self.account.loads._zone_loads
+        for kind, (load, reported_s) in list(zone_loads.items()):
+            zone_loads[kind] = load, reported_s - usual_load.TOLD_AGE_S - 0.1
+        self.assertEqual(self.view(_REMOTE).running_share, 0.0)
+
+    def test_only_local_engines_are_reported_by_role(self) -> None:
+        self.make_busy(_LOCAL, 3)
+        self.make_busy(_REMOTE, 6)
+        (reported,) = self.account.loads.of_roles()
+        self.assertEqual(reported.service_key, codec.key_of(_LOCAL.service))
+        self.assertFalse(reported.is_prefill)
+        share = 3 / _LOCAL.slots_count
+        self.assertAlmostEqual(reported.load.running_share, share, places=2)
+
+    def test_without_local_engines_remote_ones_count_as_idle(
         self,
     ) -> None:
-        account, _ = _account_at((_UNHEARD,))
-        self.assertEqual(account.view(_UNHEARD, (), 1.0).running_share, 0.0)
+        account, _ = _account_at((_REMOTE,))
+        self.assertEqual(account.view(_REMOTE, (), 1.0).running_share, 0.0)
 
 
-class CountedPartsTest(unittest.TestCase):
-    """What the owner of an engine's queue knows of the parts it holds."""
+class QueueOwnerPartsTest(unittest.TestCase):
+    """Cached parts of an engine, as its queue's owner counts them."""
 
     def setUp(self) -> None:
-        self.account, _ = _account_at((_HEARD,))
+        self.account, _ = _account_at((_LOCAL,))
         self.account._memory_tokens = lambda _: 10_000
-        self.key = codec.key_of_server(_HEARD.start)
+        self.key = codec.key_of_server(_LOCAL.start)
         self.parts = tuple(
             part_caches.HeldPart(number, 2_000) for number in (1, 2)
         )
 
-    def test_parts_of_others_prompts_are_held(self) -> None:
+    def test_parts_of_other_gateways_prompts_are_cached(self) -> None:
         self.assertEqual(self.account.held_count(self.key, (1, 2)), 0)
         self.account.note_counted(self.key, self.parts[:1], 100)
         self.assertEqual(self.account.held_count(self.key, (1, 2)), 1)
         self.account.note_counted(self.key, self.parts, 100)
         self.assertEqual(self.account.held_count(self.key, (1, 2)), 2)
 
-    def test_what_nobody_shares_makes_room_for_nothing_else(self) -> None:
-        """Parts are believed held that were dropped long ago.
+    def test_unshared_tokens_evict_shared_parts(self) -> None:
+        """Guards against parts that count as cached after their eviction.
 
-        Sequence: prompts that share nothing fill the engine's memory. Cause:
-        only shared parts were counted.
+        Unshared tokens fill the engine's memory too, but only shared parts were
+        counted.
         """
         self.account.note_counted(self.key, self.parts, 100)
         for _ in range(4):
             self.account.note_counted(self.key, (), 2_500)
         self.assertEqual(self.account.held_count(self.key, (1, 2)), 0)
 
-    def test_an_engine_that_is_not_listed_holds_nothing(self) -> None:
+    def test_an_unlisted_engine_holds_no_parts(self) -> None:
         self.account.note_counted(7, self.parts, 100)
         self.assertEqual(self.account.held_count(7, (1,)), 0)
 
--- a/tests/test_forwarding_policy.py
+++ b/tests/test_forwarding_policy.py
@@ -1,4 +1,4 @@
-"""Choice of server, repeats, caches, queues, background, refusals."""
+"""Server choice, retry budget, caches, queues, load estimates, admission."""
 
 import random
 import unittest
@@ -29,29 +29,29 @@
         made = server_choice.Candidate(build.server(name))
         return made._replace(**changes)
 
-    def test_the_emptier_goes_first(self) -> None:
+    def test_the_less_loaded_server_is_chosen(self) -> None:
         busy = self.candidate("busy", own_count=2, others_count=1.0)
         self.assertEqual(self.choose(busy, self.candidate("idle")), "idle")
 
-    def test_the_own_zone_goes_first_until_it_is_fuller(self) -> None:
+    def test_the_own_zone_is_preferred_until_it_is_more_loaded(self) -> None:
         near = self.candidate("near")
         far = self.candidate("far", is_near=False)
         self.assertEqual(self.choose(near, far), "near")
         fuller = near._replace(own_count=2)
         self.assertEqual(self.choose(fuller, far), "far")
 
-    def test_a_server_that_fails_requests_is_left(self) -> None:
-        """A part of the callers gets failures while others would serve them.
+    def test_a_server_that_fails_requests_is_avoided(self) -> None:
+        """Guards against failed requests that other servers would serve.
 
-        Sequence: one of three servers fails two fifths of its requests and
-        says that it is healthy. Cause: only the load decided.
+        One of three servers fails two fifths of its requests and reports itself
+        healthy, and the choice went by load only.
         """
         failing = self.candidate("failing", failure_share=0.4)
         self.assertEqual(
             self.choose(failing, self.candidate("sound", own_count=3)), "sound"
         )
 
-    def test_a_slow_server_is_left_sooner(self) -> None:
+    def test_a_slow_server_is_avoided_at_lower_load(self) -> None:
         slow = self.candidate("slow", pace=5.0)
         self.assertEqual(
             self.choose(slow, self.candidate("sound", own_count=2)), "sound"
@@ -63,39 +63,39 @@
         self.assertEqual(self.choose(suspected, full), "full")
         self.assertEqual(self.choose(suspected), "suspected")
 
-    def test_no_candidate(self) -> None:
+    def test_without_candidates_none_is_chosen(self) -> None:
         self.assertIsNone(server_choice.choose([], random.Random(1)))
 
 
-class RestTest(unittest.TestCase):
-    """Servers that want nothing for a time."""
+class RetryAfterTest(unittest.TestCase):
+    """Servers that ask for a pause with Retry-After."""
 
     def setUp(self) -> None:
         self.book = server_book.ServerBook("zone-a")
         self.one, self.two = build.server("one"), build.server("two")
 
-    def test_it_is_left_alone_for_that_time(self) -> None:
+    def test_a_server_gets_no_requests_until_its_retry_after(self) -> None:
         self.book.rests(self.one.start, 3.0, 10.0)
         reached = self.book.reachable([self.one, self.two], 12.9)
         self.assertEqual(reached, [self.two])
         self.assertTrue(self.book.may_use(self.one.start, 13.0))
 
-    def test_a_shorter_rest_does_not_end_a_longer_one(self) -> None:
+    def test_a_shorter_retry_after_does_not_replace_a_longer_one(self) -> None:
         self.book.rests(self.one.start, 5.0, 10.0)
         self.book.rests(self.one.start, 0.1, 10.0)
         self.assertTrue(self.book.is_resting(self.one.start, 14.0))
 
-    def test_a_whole_answer_does_not_end_it(self) -> None:
+    def test_a_complete_answer_does_not_clear_the_retry_after(self) -> None:
         self.book.rests(self.one.start, 5.0, 10.0)
         self.book.succeeded(self.one.start)
         self.assertTrue(self.book.is_resting(self.one.start, 14.0))
 
-    def test_an_hour_of_rest_takes_a_server_away_for_a_minute(self) -> None:
+    def test_a_retry_after_of_an_hour_is_limited_to_a_minute(self) -> None:
         self.book.rests(self.one.start, 3600.0, 10.0)
         self.assertFalse(self.book.may_use(self.one.start, 69.0))
         self.assertTrue(self.book.may_use(self.one.start, 70.0))
 
-    def test_callers_come_again_when_the_first_may_be_asked(self) -> None:
+    def test_callers_get_the_earliest_retry_after_of_all_servers(self) -> None:
         self.book.rests(self.one.start, 3.0, 10.0)
         both = [self.one, self.two]
         self.assertIsNone(self.book.rest_left_s(both, 11.0))
@@ -108,7 +108,9 @@
     def setUp(self) -> None:
         self.book = server_book.ServerBook("zone-a")
 
-    def test_others_are_what_a_server_reports_beyond_our_own(self) -> None:
+    def test_others_count_is_the_reported_count_without_own_requests(
+        self,
+    ) -> None:
         self.book.began(build.start("s"), 0.0)
         self.book.reported(
             build.start("s"), request.ReportedLoad(3, 1, 6), 10.0
@@ -128,12 +130,12 @@
             )
         )
 
-    def test_a_server_out_of_reach_gets_no_work(self) -> None:
-        """A caller waits for each of five dead servers in turn.
+    def test_an_unreachable_server_gets_no_requests(self) -> None:
+        """Guards against callers that wait for each dead server in turn.
 
-        Sequence: a zone is cut off from all engines; each request tries one
-        after the other, a fifth of a second each. Cause: servers that could
-        not be reached were only the last choice.
+        A zone is cut off from all five engines, and each request tried them one
+        after the other, 0.2 s each, because unreachable servers were still used
+        as a last resort.
         """
         self.book.unreachable(build.start("s"), 10.0)
         self.assertEqual(
@@ -141,12 +143,12 @@
             [build.server("t")],
         )
 
-    def test_one_request_tries_a_lost_server_again(self) -> None:
-        """Each request in a crash first waits for a server that is dead.
+    def test_only_one_request_probes_an_unreachable_server(self) -> None:
+        """Guards against many requests that wait for a dead server at once.
 
-        Sequence: a server goes dark, its time out ends, and all requests of
-        that moment are sent there. Cause: nothing kept them away while the
-        first one was still waiting.
+        A server stops responding, and the time for which it is avoided ends.
+        All requests of that moment were sent to it, because none was held back
+        while the first one was still waiting.
         """
         self.book.unreachable(build.start("s"), 10.0)
         after_s = 10.1 + server_book.AVOID_S
@@ -157,14 +159,14 @@
         longer_s = after_s + 0.6 + 1.9 * server_book.AVOID_S
         self.assertFalse(self.book.may_use(build.start("s"), longer_s))
 
-    def test_an_answer_ends_the_suspicion(self) -> None:
+    def test_an_answer_makes_a_server_usable_again(self) -> None:
         self.book.lost(build.start("s"), 10.0)
         self.book.unreachable(build.start("s"), 10.0)
         self.book.succeeded(build.start("s"), 0.02)
         self.assertFalse(self.book.is_suspected(build.start("s"), 10.1))
         self.assertTrue(self.book.may_use(build.start("s"), 10.1))
 
-    def test_pace_is_against_the_peers(self) -> None:
+    def test_pace_is_relative_to_the_other_servers(self) -> None:
         servers = [build.server(name) for name in ("a", "b", "c")]
         for name, answer_s in (("a", 0.02), ("b", 0.02), ("c", 0.1)):
             for _ in range(30):
@@ -174,7 +176,7 @@
         self.assertAlmostEqual(by_name["a"], 1.0)
         self.assertAlmostEqual(by_name["c"], 5.0, delta=0.1)
 
-    def test_servers_that_left_are_forgotten_when_idle(self) -> None:
+    def test_servers_that_left_are_dropped_once_idle(self) -> None:
         self.book.began(build.start("busy"), 0.0)
         self.book.failed(build.start("idle"))
         self.book.keep_only([])
@@ -192,18 +194,18 @@
             lambda: nodes_count,
         )
 
-    def test_repeats_are_a_share_of_the_requests(self) -> None:
+    def test_retries_are_limited_to_a_share_of_requests(self) -> None:
         budget = self.budget(ratio=0.2)
         for _ in range(100):
             budget.note_request("s", 1.0)
         granted = sum(budget.take("s", 1.5) for _ in range(100))
         self.assertEqual(granted, 16)
 
-    def test_nodes_together_keep_the_whole_budget(self) -> None:
-        """The servers get more repeats than the operators allow.
+    def test_all_nodes_together_stay_within_the_budget(self) -> None:
+        """Guards against more retries than the operators allow.
 
-        Sequence: nine nodes see a fleet of failures at once. Cause: each
-        spent the whole allowance.
+        Nine nodes see failures of the whole fleet at once, and each spent the
+        whole allowance.
         """
         nodes = [
             self.budget(ratio=0.2, allowance_count=58.0, nodes_count=9)
@@ -215,13 +217,13 @@
         granted = sum(node.take("s", 2.0) for node in nodes for _ in range(100))
         self.assertLessEqual(granted, 0.2 * 180 + 58)
 
-    def test_what_left_the_window_no_longer_counts(self) -> None:
+    def test_requests_outside_the_window_do_not_count(self) -> None:
         budget = self.budget(ratio=0.2, window_s=10.0)
         for _ in range(100):
             budget.note_request("s", 1.0)
         self.assertFalse(budget.take("s", 12.5))
 
-    def test_services_have_budgets_of_their_own(self) -> None:
+    def test_each_service_has_its_own_budget(self) -> None:
         budget = self.budget()
         for _ in range(100):
             budget.note_request("s", 1.0)
@@ -244,12 +246,12 @@
     def note(self, *parts: part_caches.HeldPart) -> None:
         self.caches.note_read(build.start("e"), parts, 1000)
 
-    def test_a_read_part_is_held(self) -> None:
+    def test_a_prefilled_part_is_cached(self) -> None:
         self.assertEqual(self.cached(), 0)
         self.note(self.part)
         self.assertEqual(self.cached(), 400)
 
-    def test_the_least_recently_used_part_goes_first(self) -> None:
+    def test_the_least_recently_used_part_is_evicted_first(self) -> None:
         self.note(self.part)
         self.note(_held(1))
         self.note(self.part)
@@ -259,24 +261,25 @@
         self.note(_held(4))
         self.assertEqual(self.cached(), 0)
 
-    def test_unshared_tokens_push_parts_out(self) -> None:
-        """Prompts go where their shared part was dropped seconds ago.
+    def test_unshared_tokens_evict_parts(self) -> None:
+        """Guards against parts that count as cached after their eviction.
 
-        Sequence: a part is read, then many prompts of their own. Cause: only
-        shared parts were counted against the engine's memory.
+        A part is prefilled, then many prompts without shared parts follow. Only
+        shared parts were counted against the engine's memory, so prompts went
+        where their shared part had been evicted seconds ago.
         """
         self.note(self.part)
         for _ in range(20):
             self.caches.note_own(build.start("e"), 50, 1000)
         self.assertEqual(self.cached(), 0)
 
-    def test_an_engine_that_left_holds_nothing(self) -> None:
+    def test_an_engine_that_left_has_nothing_cached(self) -> None:
         self.note(self.part)
         self.caches.keep_only(frozenset())
         self.assertEqual(self.cached(), 0)
 
 
-class ChainTest(unittest.TestCase):
+class PartChainTest(unittest.TestCase):
     """Prompts that begin with several shared parts, one after the other."""
 
     MEMORY_TOKENS = 10_000
@@ -294,14 +297,13 @@
     def cached(self, *names: str) -> int:
         return self.caches.cached_tokens(build.start("e"), self.chain(*names))
 
-    def test_every_part_of_a_chain_is_held(self) -> None:
-        """Nothing is ever believed cached, and all is read again.
+    def test_every_part_of_a_chain_is_cached(self) -> None:
+        """Guards against cached parts that are never found.
 
-        Symptom: of 1,873 placements none with cached tokens, though 1.1
-        million tokens of shared parts were read again in 34 s. Sequence:
-        prompts begin with two shared parts, 512 and 4,870 tokens. Cause: the
-        longest part alone was kept in account, and counted only if the one
-        before it was there too.
+        Prompts begin with two shared parts of 512 and 4,870 tokens. Only the
+        longest part was recorded, but it counted only if the part before it was
+        recorded too. None of 1,873 placements had cached tokens, and 1.1
+        million tokens of shared parts were prefilled again in 34 s.
         """
         self.read("a", "b", "own 1")
         self.assertEqual(self.cached("a", "b", "own 2"), 2_000)
@@ -312,12 +314,12 @@
             self.read(*names[:length], f"own {length}")
             self.assertEqual(self.cached(*names[:length], "x"), length * 1_000)
 
-    def test_a_part_behind_other_parts_is_another_part(self) -> None:
+    def test_the_same_part_after_another_prefix_is_not_cached(self) -> None:
         self.read("a", "b", "own")
         self.assertEqual(self.cached("c", "b", "own"), 0)
         self.assertEqual(self.cached("a", "c", "own"), 1_000)
 
-    def test_the_end_of_a_chain_goes_before_its_beginning(self) -> None:
+    def test_the_end_of_a_chain_is_evicted_before_its_beginning(self) -> None:
         self.read("a", "b", "c")
         for number in range(7):
             self.read(f"other {number}")
@@ -325,9 +327,9 @@
         self.read("one more")
         self.assertEqual(self.cached("a", "b", "c"), 1_000)
 
-    def test_a_told_part_stands_for_all_before_it(self) -> None:
-        told = self.chain("a", "b")[-1].held
-        self.caches.note_read(build.start("e"), (told,), self.MEMORY_TOKENS)
+    def test_a_reported_part_implies_all_parts_before_it(self) -> None:
+        reported = self.chain("a", "b")[-1].held
+        self.caches.note_read(build.start("e"), (reported,), self.MEMORY_TOKENS)
         self.assertEqual(self.cached("a", "b", "own"), 2_000)
 
 
@@ -335,19 +337,19 @@
     def setUp(self) -> None:
         self.queues = engine_queues.EngineQueues()
 
-    def test_work_adds_up_and_drains(self) -> None:
+    def test_work_adds_up_and_drains_with_time(self) -> None:
         self.queues.add(build.start("e"), 0.1, 0.0)
         self.queues.add(build.start("e"), 0.2, 0.0)
         self.assertAlmostEqual(self.queues.wait_s(build.start("e"), 0.0), 0.3)
         self.assertAlmostEqual(self.queues.wait_s(build.start("e"), 0.25), 0.05)
         self.assertEqual(self.queues.wait_s(build.start("e"), 1.0), 0.0)
 
-    def test_a_prompt_that_was_read_leaves_what_came_after_it(self) -> None:
-        """A queue of a second is believed empty in a burst.
+    def test_a_finished_prompt_leaves_the_work_queued_after_it(self) -> None:
+        """Guards against a queue of one second that counts as empty in a burst.
 
-        Sequence: an engine is slower than thought; a prompt is read long
-        after its queue should have drained. Cause: the work behind it was
-        taken for done by the clock alone.
+        An engine is slower than estimated and prefills a prompt long after its
+        queue should have drained. The work queued after the prompt counted as
+        done by elapsed time alone.
         """
         ticket = self.queues.add(build.start("e"), 0.1, 0.0)
         self.queues.add(build.start("e"), 0.2, 0.0)
@@ -359,7 +361,7 @@
         self.queues.finished(ticket, 0.1)
         self.assertEqual(self.queues.wait_s(build.start("e"), 0.1), 0.0)
 
-    def test_engines_that_left_are_forgotten(self) -> None:
+    def test_engines_that_left_are_dropped(self) -> None:
         self.queues.add(build.start("e"), 0.5, 0.0)
         self.queues.keep_only(frozenset({build.start("other")}))
         self.assertEqual(self.queues.wait_s(build.start("e"), 0.0), 0.0)
@@ -377,21 +379,21 @@
     def wait_s(self, now_s: float) -> float:
         return self.waits.wait_s("e", "read", now_s)
 
-    def test_what_an_answer_took_too_long_is_the_wait(self) -> None:
-        """An engine that fails is sent everything until it has recovered.
+    def test_the_delay_of_an_answer_counts_as_wait(self) -> None:
+        """Guards against sending all prompts to a failing engine.
 
-        Sequence: an engine turns slow; what is placed there drains by the
-        clock, so its queue looks empty. Cause: answers told nothing.
+        An engine becomes slow. Its estimated queue drains with time and looks
+        empty, because the delay of its answers was ignored.
         """
         for _ in range(10):
             self.waits.answered(self.send(4.0), 5.0)
         self.assertAlmostEqual(self.wait_s(5.0), 0.87, delta=0.02)
 
-    def test_a_prompt_without_an_answer_is_a_wait(self) -> None:
-        """Answers come a second late for as long as an overload lasts.
+    def test_an_outstanding_answer_counts_as_wait(self) -> None:
+        """Guards against answers that are one second late in an overload.
 
-        Sequence: most engines crash; the last one is sent everything, and no
-        answer comes for a second. Cause: only answers told of a wait.
+        Most engines crash, and the last one gets all prompts and sends no
+        answer for a second. Only answers that had come counted as a wait.
         """
         first = self.send(4.0)
         self.send(4.5)
@@ -399,17 +401,17 @@
         self.waits.failed(first)
         self.assertAlmostEqual(self.wait_s(5.0), 0.37, delta=0.02)
 
-    def test_it_fades(self) -> None:
+    def test_an_observed_wait_decays(self) -> None:
         self.waits.answered(self.send(4.0), 5.0)
         self.assertLess(self.wait_s(7.0), 0.01)
 
-    def test_an_answer_in_time_is_no_wait(self) -> None:
+    def test_an_answer_in_time_counts_as_no_wait(self) -> None:
         self.waits.answered(self.send(4.89), 5.0)
         self.assertEqual(self.wait_s(5.0), 0.0)
         self.assertEqual(self.waits.wait_s("e", "start", 5.0), 0.0)
         self.assertEqual(self.waits.wait_s("unknown", "read", 5.0), 0.0)
 
-    def test_engines_that_left_are_forgotten(self) -> None:
+    def test_engines_that_left_are_dropped(self) -> None:
         self.waits.answered(self.send(4.0), 5.0)
         self.waits.keep_only(frozenset())
         self.assertEqual(self.wait_s(5.0), 0.0)
@@ -419,19 +421,19 @@
     def setUp(self) -> None:
         self.waits = slot_waits.SlotWaits()
 
-    def test_a_free_slot_is_no_wait(self) -> None:
+    def test_with_a_free_slot_there_is_no_wait(self) -> None:
         self.assertEqual(self.waits.wait_s("e", 47, 48), 0.0)
 
-    def test_a_full_batch_is_a_wait(self) -> None:
-        """Prompts are handed to an engine with a hundred requests waiting.
+    def test_a_full_batch_causes_a_wait(self) -> None:
+        """Guards against prompts handed to an engine with a hundred waiting.
 
-        Sequence: all slots are taken; the handover itself takes 15 ms. Cause:
-        only the reading of prompts was counted.
+        All its slots are taken, and the handover itself takes 15 ms. Only the
+        prefill was counted, not the wait for a slot.
         """
         self.assertAlmostEqual(self.waits.wait_s("e", 48, 48), 0.25 / 48)
         self.assertAlmostEqual(self.waits.wait_s("e", 143, 48), 0.5)
 
-    def test_runs_that_take_long_make_waits_long(self) -> None:
+    def test_waits_grow_with_the_duration_of_runs(self) -> None:
         for _ in range(100):
             self.waits.note_run("e", 1.0)
         self.assertAlmostEqual(self.waits.wait_s("e", 95, 48), 1.0, delta=0.01)
@@ -440,20 +442,20 @@
 
 
 class BackgroundWorkTest(unittest.TestCase):
-    def test_own_work_stands_for_all(self) -> None:
+    def test_work_of_all_gateways_is_extrapolated_from_own_work(self) -> None:
         work = background_work.BackgroundWork()
         for step in range(400):
             work.add(0.005, step * 0.1)
-        # 0.05 s of work a second of one of nine gateways, on three engines.
+        # One of nine gateways has 0.05 s of work per second, on three engines.
         share = work.share(9, 3, 39.9)
         self.assertAlmostEqual(share, 0.15, delta=0.02)
 
-    def test_it_fades(self) -> None:
+    def test_background_work_decays(self) -> None:
         work = background_work.BackgroundWork()
         work.add(0.05, 0.0)
         self.assertLess(work.share(9, 3, 5.0), 0.01)
 
-    def test_it_never_fills_an_engine(self) -> None:
+    def test_the_share_is_limited(self) -> None:
         work = background_work.BackgroundWork()
         work.add(50.0, 0.0)
         self.assertEqual(work.share(9, 3, 0.0), background_work.LARGEST_SHARE)
@@ -468,31 +470,31 @@
             prospect._replace(**changes), random.Random(1)
         )
 
-    def test_what_comes_in_time_is_admitted(self) -> None:
+    def test_a_request_in_time_is_admitted(self) -> None:
         self.assertIsNone(self.decide())
 
-    def test_a_long_queue_refuses(self) -> None:
+    def test_a_request_behind_a_long_queue_is_refused(self) -> None:
         refusal = self.decide(first_token_s=0.9, queue_s=0.7)
         assert refusal is not None
         self.assertGreaterEqual(refusal.retry_after_s, 0.7)
         self.assertLessEqual(refusal.retry_after_s, 1.5)
 
     def test_a_large_prompt_is_not_refused_for_its_size(self) -> None:
-        """The largest prompts are never served.
+        """Guards against large prompts that are never served.
 
-        Sequence: a prompt takes 0.7 s to read at an idle engine, the target
-        is 0.4 s; its caller comes back and is refused again. Cause: its own
-        reading counted like a queue.
+        A prompt's prefill takes 0.7 s at an idle engine, and the target is
+        0.4 s. Its own prefill counted like a queue, so its caller was refused
+        at each retry.
         """
         self.assertIsNone(self.decide(first_token_s=0.75, queue_s=0.05))
 
-    def test_what_cannot_come_before_the_deadline_is_refused(self) -> None:
+    def test_a_request_that_would_miss_its_deadline_is_refused(self) -> None:
         self.assertIsNotNone(self.decide(first_token_s=0.75, left_s=0.5))
         self.assertIsNotNone(
             self.decide(first_token_s=0.75, left_s=0.5, target_s=None)
         )
 
-    def test_callers_are_spread(self) -> None:
+    def test_retry_after_has_jitter(self) -> None:
         rng = random.Random(1)
         prospect = prompt_admission.Prospect(0.9, 0.7, 0.4, 5.0)
         waits = set()
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -1,4 +1,4 @@
-"""The servers that the store lists, in calm times and through outages."""
+"""The server list, with a working store and through its outages."""
 
 import unittest
 
@@ -30,23 +30,23 @@
             lambda: len(self.list.usable("plain")) == count, limit_s
         )
 
-    def test_a_draining_server_gets_no_new_work(self) -> None:
+    def test_a_draining_server_gets_no_new_requests(self) -> None:
         self.store.put(KEY, build.server_value(state="draining"))
         self.assertTrue(self.wait_usable(0))
         self.assertIsNotNone(self.list.find("i-1"))
 
-    def test_one_that_says_that_it_leaves_stays_out_whatever_is_recorded(
+    def test_a_live_record_does_not_clear_an_announced_leaving(
         self,
     ) -> None:
-        """An older word of a server brings it back into use."""
+        """Guards against an older record that makes a leaving server usable."""
         first = fleet.ServerStart("i-1")
         self.list.says_it_leaves(first)
         self.assertEqual(self.list.usable("plain"), ())
         self.store.put(KEY, build.server_value(sequence=2))
         self.assertFalse(self.wait_usable(1, limit_s=0.5))
 
-    def test_the_next_start_of_one_that_left_is_used(self) -> None:
-        """A server that began again under its id gets no work."""
+    def test_the_next_start_of_a_server_that_left_is_used(self) -> None:
+        """Guards against a restarted server that gets no requests."""
         self.store.put(KEY, build.server_value(born=100))
         first = fleet.ServerStart("i-1", 100)
         self.assertTrue(
@@ -57,11 +57,13 @@
         self.list.says_it_leaves(first)
         self.store.put(KEY, build.server_value(born=200))
         self.assertTrue(self.wait_usable(1))
-        # What came late from the start before says nothing of this one.
+        # A late message of the earlier start doesn't affect the new one.
         self.list.says_it_leaves(first)
         self.assertEqual(len(self.list.usable("plain")), 1)
 
-    def test_one_without_a_start_that_registers_anew_is_used(self) -> None:
+    def test_a_server_without_start_is_used_after_registering_again(
+        self,
+    ) -> None:
         self.list.says_it_leaves(fleet.ServerStart("i-1"))
         self.store.delete(KEY)
         self.assertTrue(
@@ -70,21 +72,21 @@
         self.store.put(KEY, build.server_value())
         self.assertTrue(self.wait_usable(1))
 
-    def test_a_record_that_vanishes_in_calm_times_is_a_leaving(self) -> None:
-        """A server that left without a word gets requests for seconds.
+    def test_without_an_outage_a_vanished_record_drops_the_server(self) -> None:
+        """Guards against requests to a server that left unannounced.
 
-        Sequence: its record is deleted while the store is well. Cause: the
-        server was kept as in an outage.
+        Its record is deleted while the store works, and the server was kept for
+        seconds as in an outage.
         """
         self.store.delete(KEY)
         self.assertTrue(self.wait_usable(0, limit_s=HOLD_S / 2))
 
-    def test_a_record_that_lapsed_in_an_outage_is_kept(self) -> None:
-        """All callers are refused after an outage of the store.
+    def test_a_server_whose_record_expired_in_an_outage_is_kept(self) -> None:
+        """Guards against refusing all callers after an outage of the store.
 
-        Sequence: the store is away, the servers can't renew and their records
-        lapse, the store comes back, the records follow a moment later. Cause:
-        a missing record was taken for a server that left.
+        During the outage servers can't renew their records, which expire; they
+        are written again a moment after the store returns. A missing record was
+        taken for a server that had left.
         """
         self.store.faults = {"down": True}
         builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
@@ -95,16 +97,15 @@
         self.store.put(KEY, build.server_value())
         self.assertFalse(self.wait_usable(0, limit_s=2 * HOLD_S))
 
-    def test_a_server_that_leaves_after_an_outage_is_dropped_in_time(
+    def test_a_server_that_leaves_just_after_an_outage_is_dropped_in_time(
         self,
     ) -> None:
-        """A server gets requests 2.4 s after it said that it leaves.
+        """Guards against requests to a server 2.4 s after it announced leaving.
 
-        Symptom: of all gateways one goes on sending; it had lost the store
-        for 7 s, alone, and had it back for 1.7 s. Sequence: the store is away
-        and comes back; just before the time is over in which servers are
-        back, a server that leaves deletes its record. Cause: the time was
-        counted anew from the deletion.
+        A server deletes its record just before the end of the time in which
+        servers register again after an outage. That time was counted from the
+        deletion. One gateway, which alone had lost the store for 7 s and had it
+        back for 1.7 s, went on sending.
         """
         self.store.faults = {"down": True}
         builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
@@ -115,11 +116,11 @@
         self.store.delete(KEY)
         self.assertTrue(self.wait_usable(0, limit_s=0.7 * HOLD_S))
 
-    def test_a_record_that_does_not_come_back_is_dropped(self) -> None:
-        """Requests go on to a server that died in an outage.
+    def test_a_server_that_does_not_register_again_is_dropped(self) -> None:
+        """Guards against requests to a server that died in an outage.
 
-        Sequence: as above, but the record stays away. Cause: a server kept
-        for the outage was never given up.
+        Its record expires in the outage and is not written again, and the
+        server was kept forever.
         """
         self.store.faults = {"down": True}
         builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
@@ -127,12 +128,12 @@
         self.store.faults = {}
         self.assertTrue(self.wait_usable(0, limit_s=10 * HOLD_S))
 
-    def test_a_record_of_another_writer_names_no_server(self) -> None:
-        """Work goes to a server of which nobody knows whether it is there.
+    def test_a_server_whose_record_was_overwritten_is_not_used(self) -> None:
+        """Guards against requests to a server that may no longer run.
 
-        Sequence: another program writes over a server's record, and registers
-        what is no server. Cause: a record that could not be read was passed
-        over, so that the server stayed as its record had been before.
+        Another program overwrites a server's record, and writes a record that
+        is no server's. Records that could not be decoded were skipped, so the
+        server stayed listed with its previous record.
         """
         second = documents.SERVERS_PREFIX + "i-2"
         self.store.put(second, build.server_value())
@@ -145,7 +146,7 @@
         self.store.put(KEY, build.server_value())
         self.assertTrue(self.wait_usable(2))
 
-    def test_pages_are_read_to_the_end(self) -> None:
+    def test_all_pages_of_records_are_read(self) -> None:
         self.store.page_count = 2
         for number in range(2, 8):
             key = f"{documents.SERVERS_PREFIX}i-{number}"
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -1,8 +1,8 @@
-"""Servers that start again under the id that they had.
+"""Servers that restart under the same id.
 
-Such a server holds and knows nothing of before, and counts anew. A gateway that
-goes by the id alone sends prompts where their parts were held, waits for work
-that nobody does any more, and counts orders that nobody took.
+A restarted server has an empty cache and starts its counts at zero. A gateway
+that identifies servers by the id alone sends prompts to caches that are gone,
+waits for work that nobody does, and counts orders that nobody took.
 """
 
 import unittest
@@ -36,7 +36,7 @@
         return True
 
     def add(self, *_: object) -> None:
-        """Tells nobody."""
+        """Sends no notice."""
 
 
 class RestartTest(unittest.TestCase):
@@ -72,22 +72,22 @@
         assert found is not None
         return found
 
-    def read_a_prompt(self) -> tuple[part_caches.ChainPart, ...]:
-        """Lets a gateway tell that the engine has read a prompt."""
+    def announce_prefill(self) -> tuple[part_caches.ChainPart, ...]:
+        """Applies a notice that the engine prefills a prompt."""
         parts = prompt_parts.chain_of(build.prompt())
         held = tuple(part.held for part in parts)
         server = self.list.usable("plain")[0]
-        told = codec.Placement(
+        placement = codec.Placement(
             codec.key_of_server(server.start), 5.0, held, 3_000
         )
-        self.account.on_notice(codec.Notice(1, 1, (told,)))
+        self.account.on_notice(codec.Notice(1, 1, (placement,)))
         return parts
 
-    def test_a_new_start_holds_nothing(self) -> None:
-        """Prompts go where their parts were held, and are read anew there."""
+    def test_a_restarted_engine_has_an_empty_cache_and_queue(self) -> None:
+        """Guards against prompts sent to a cache that was lost in a restart."""
         for born in (LATER, EARLIER):
             with self.subTest(born=born):
-                parts = self.read_a_prompt()
+                parts = self.announce_prefill()
                 before = self.list.usable("plain")[0]
                 view = self.account.view(before, parts, 1.0)
                 self.assertGreater(view.cached_tokens, 0)
@@ -97,8 +97,8 @@
                 self.assertEqual(view.cached_tokens, 0)
                 self.assertLess(view.wait_s, 1.0)
 
-    def test_a_new_start_is_not_suspected(self) -> None:
-        """A fresh server gets no work for what the start before it did."""
+    def test_a_restarted_server_is_not_avoided(self) -> None:
+        """Guards against blaming a server for failures of its earlier start."""
         before = self.list.usable("plain")[0]
         now_s = self.clock.monotonic_s()
         self.book.unreachable(before.start, now_s)
@@ -107,8 +107,8 @@
         self.assertTrue(self.book.may_use(after.start, now_s))
         self.assertEqual(self.book.others_count(after.start, now_s), 0.0)
 
-    def test_requests_of_the_start_before_are_not_counted(self) -> None:
-        """A stream that broke off with its start takes no place behind it."""
+    def test_requests_of_the_earlier_start_are_not_counted(self) -> None:
+        """Guards against counting streams that broke off in the restart."""
         before = self.list.usable("plain")[0]
         self.book.began(before.start, 0.0)
         after = self.restart(LATER)
@@ -117,8 +117,8 @@
         self.book.ended(before.start)
         self.assertEqual(self.book.own_count(after.start), 0)
 
-    def test_late_notices_of_the_start_before_are_not_heard(self) -> None:
-        """A peer tells what it placed a moment before the restart."""
+    def test_late_notices_about_the_earlier_start_are_ignored(self) -> None:
+        """A peer's notice about the earlier start arrives after the restart."""
         before = self.list.usable("plain")[0]
         after = self.restart(LATER)
         old = codec.Load(codec.key_of_server(before.start), 9, 0.1)
@@ -126,12 +126,12 @@
         view = self.account.view(after, (), 1.0)
         self.assertEqual(view.running_share, 0.0)
 
-    def test_late_records_of_the_start_before_are_ignored(self) -> None:
-        """A server that is ready again gets no work.
+    def test_late_records_of_the_earlier_start_are_ignored(self) -> None:
+        """Guards against a restarted server that gets no requests.
 
-        Sequence: a server announces its leaving, and the write is carried out
-        seconds late; meanwhile it has started again. Cause: the announcement
-        was taken for the new start's.
+        A server announces that it leaves, and the store applies the write
+        seconds later, after the server has restarted. The announcement was
+        attributed to the new start.
         """
         self.restart(LATER)
         self.write(born=FIRST, state="draining")
@@ -141,13 +141,15 @@
         self.assertTrue(self.wait_for(lambda: len(self.usable()) == 2))
         self.assertIn(LATER, self.usable())
 
-    def test_a_new_start_is_not_leaving(self) -> None:
+    def test_a_restarted_server_is_not_draining(self) -> None:
         self.write(born=FIRST, state="draining")
         self.assertTrue(self.wait_for(lambda: not self.usable()))
         self.restart(LATER)
 
-    def test_a_start_that_is_told_by_the_server_first(self) -> None:
-        """Until its record shows the new start, nothing of it is known."""
+    def test_a_server_that_reports_a_newer_start_is_not_used_until_recorded(
+        self,
+    ) -> None:
+        """Until its record shows the new start, its state is unknown."""
         before = self.list.usable("plain")[0].start
         later = before._replace(started_unix_ms=LATER)
         self.list.superseded(before, later)
@@ -157,20 +159,21 @@
         self.list.superseded(before, later)
         self.assertEqual(self.usable(), [LATER])
 
-    def test_a_start_that_is_over_supersedes_none(self) -> None:
-        """A server that runs gets no work until it starts once more.
+    def test_a_late_report_of_an_ended_start_is_ignored(self) -> None:
+        """Guards against a running server that gets no requests.
 
-        Sequence: a server starts again; what it told of itself before that
-        arrives late. Cause: whatever start was told last was taken for the one
-        that runs.
+        A server restarts, and a report of its earlier start arrives late. The
+        start reported last was taken for the running one.
         """
         before = self.list.usable("plain")[0].start
         after = self.restart(LATER)
         self.list.superseded(after.start, before)
         self.assertEqual(self.usable(), [LATER])
 
-    def test_a_record_without_a_start_beside_others_is_foreign(self) -> None:
-        """Work goes to what another program registered."""
+    def test_a_record_without_start_is_not_used_if_others_have_one(
+        self,
+    ) -> None:
+        """Guards against requests to an entry of another program."""
         self.store.put(documents.SERVERS_PREFIX + "i-0", build.server_value())
         self.store.put(
             documents.SERVERS_PREFIX + "i-2", build.server_value(born=LATER)
@@ -180,10 +183,10 @@
         self.assertNotIn(None, self.usable())
 
 
-class ListWithoutStartsTest(unittest.TestCase):
-    """Servers of some deployments don't tell their starts."""
+class ServersWithoutStartsTest(unittest.TestCase):
+    """In some deployments servers don't report their starts."""
 
-    def test_they_are_used_all_the_same(self) -> None:
+    def test_servers_without_starts_are_used(self) -> None:
         store = self.enterContext(build.running_store())
         client = build.store_client(store.port)
         self.addCleanup(client.close)
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -1,15 +1,15 @@
-"""A gateway whom the store turned away, and which has it back.
-
-Requests reached backend servers 12 s after these had announced that they
-leave. The store had not answered three of nine gateways for 12.7 s and served
-the others; in that time a server announced its leaving and its record was
-removed. Operators give a gateway 3 s behind the store's return. Its servers
-that left must be out of use by then, however the return goes: with its history
-dropped, with connections that stay silent, with calls from before the return
-that fail behind it. The evidence was the count of arrivals at the server after
-the return, and log lines of plays with the same faults: the present was read
-because the history was gone, and the server was kept as one that may only have
-lost its lease.
+"""Servers that left while a gateway could not reach the store.
+
+The store did not answer three of nine gateways for 12.7 s and served the
+others. Meanwhile a backend server announced that it leaves, and its record was
+removed.
+The gateways read all records again, because the store's history was dropped,
+and kept the server as one whose lease may only have expired: it still got
+requests 12 s after its announcement.
+
+Operators allow a gateway 3 s after the store's return to stop using such
+servers. That must hold with a dropped history, with connections that stay
+silent, and with calls from before the return that fail after it.
 """
 
 import time
@@ -32,8 +32,8 @@
 KEY = documents.SERVERS_PREFIX + "i-1"
 
 
-def leave_unheard(standin: Any) -> None:
-    """Lets the server announce its leaving and go, and no watch see it."""
+def leave_unobserved(standin: Any) -> None:
+    """Lets the server leave, with dropped history so that no watch shows it."""
     standin.put(KEY, build.server_value(state="draining"))
     standin.delete(KEY)
     standin.drop_history()
@@ -59,23 +59,22 @@
     def get(self) -> Any:
         return self.client.get(KEY, purpose="test")
 
-    def test_silent_connections_do_not_keep_a_server(self) -> None:
-        """A server that left gets requests for seconds after an outage.
+    def test_silent_connections_do_not_delay_dropping_a_server(self) -> None:
+        """Guards against requests to a server that left in an outage.
 
-        Symptom: 3.2 s after the store's return a gateway still sends to a
-        server that left in the outage. Sequence: the gateway has idle
-        connections to the store; the store falls silent for it, the server
-        announces its leaving and goes, the history is dropped; the store
-        returns, but the connections from before stay silent. Cause: each
-        reading of the present took one of them and failed, and each such
-        failure counted as an outage in which live servers lose their lease.
+        The gateway has idle connections to the store when it stops responding.
+        The server leaves, the history is dropped and the store returns, but the
+        old connections stay silent. Each read of the records took one of them
+        and failed, and each failure counted as an outage in which live servers
+        lose their lease. 3.2 s after the store's return the gateway still sent
+        requests to the server.
         """
         listed = self.start_list(self.client)
         self.assertTrue(wait_for(lambda: listed.usable("plain")))
         gevent.joinall([gevent.spawn(self.get) for _ in range(8)])
         self.store.faults = SILENT
         self.store.mute_connections()
-        leave_unheard(self.store)
+        leave_unobserved(self.store)
         wait_for(lambda: self.client.trouble_age_s() < 1.0)
         self.store.faults = {}
         self.assertTrue(
@@ -84,20 +83,20 @@
             )
         )
 
-    def test_a_call_from_before_the_return_does_not_keep_a_server(
+    def test_a_late_failure_of_an_old_call_does_not_delay_dropping_a_server(
         self,
     ) -> None:
-        """A server that left is kept for longer than its record may miss.
+        """Guards against keeping a server that left for too long.
 
-        Sequence: a call is sent just before the store returns and is never
-        answered; other calls are; the call fails by its timeout; the watch
-        finds that the record is gone. Cause: the time in which records may
-        come back was counted from that failure, which tells of the time when
-        the call was sent.
+        A call sent just before the store returns is never answered, while later
+        calls are. It times out, and then the watch shows that the record is
+        gone. The time in which records may come back was counted from that
+        timeout, although it only shows that the store was away when the call
+        was sent.
         """
-        watching = _WatchByHand(self.client)
-        listed = self.start_list(watching)
-        watching.bring("put", build.server_value())
+        manual_client = _ManualWatchClient(self.client)
+        listed = self.start_list(manual_client)
+        manual_client.deliver("put", build.server_value())
         self.store.faults = SILENT
         late = gevent.spawn(self.get)
         gevent.sleep(0.05)
@@ -106,7 +105,7 @@
         returned_s = time.monotonic()
         gevent.sleep(CALL_TIMEOUT_S)
         late.join()
-        watching.bring("delete", b"")
+        manual_client.deliver("delete", b"")
         gone_s = returned_s + HOLD_S + 0.2 - time.monotonic()
         self.assertTrue(
             builders_platform.wait_until(
@@ -114,41 +113,42 @@
             )
         )
 
-    def test_a_call_beyond_the_rate_is_no_outage(self) -> None:
-        """A server that left in calm times gets requests for 2.4 s more.
+    def test_a_rate_limited_call_does_not_count_as_outage(self) -> None:
+        """Guards against requests to a server for 2.4 s after it left.
 
-        Sequence: a call of this gateway is refused for the rate of calls that
-        all share; a server leaves a moment later. Cause: the refusal counted
-        as an outage, in which live servers lose their records, although the
-        store takes their writes all the while.
+        A call of this gateway exceeds the rate limit that all callers of the
+        store share, and a server leaves a moment later. The refusal counted as
+        an outage in which live servers lose their records, although the store
+        accepts their writes all the time.
         """
-        # By hand: the store's watch may meet the refusal as well, and then
-        # tells of the leaving only behind its pause.
-        watching = _WatchByHand(self.client)
-        listed = self.start_list(watching)
-        watching.bring("put", build.server_value())
+        # The store's own watch may be refused too, and would then report the
+        # deletion only after its retry delay. So events are delivered manually.
+        manual_client = _ManualWatchClient(self.client)
+        listed = self.start_list(manual_client)
+        manual_client.deliver("put", build.server_value())
         self.assertTrue(listed.usable("plain"))
         self.store.faults = {"status": 429}
         self.assertTrue(self.get().is_err())
-        watching.bring("delete", b"")
+        manual_client.deliver("delete", b"")
         self.assertEqual(listed.usable("plain"), ())
 
-    def test_a_dropped_history_is_read_over_at_once(self) -> None:
-        """Gateways learn of changes up to a second late behind an outage.
+    def test_after_dropped_history_records_are_read_again_at_once(self) -> None:
+        """Guards against changes seen up to a second late after an outage.
 
-        Sequence: the store is silent for some seconds and drops its history;
-        the first call after its return says so. Cause: the reading of the
-        present waited for the long pause that is meant for a store that does
-        not answer, although it just had.
+        The store is silent for some seconds and drops its history; the first
+        call after its return reports that. The read of all records waited for
+        the long retry delay meant for a store that does not answer, although it
+        had just answered.
         """
         listed = self.start_list(self.client)
         self.assertTrue(wait_for(lambda: listed.usable("plain")))
         with mock.patch("random.uniform", side_effect=max):
             self.store.faults = SILENT
-            # The watch that waits would still be told of the dropped history.
+            # A watch that is still waiting would be told of the dropped
+            # history.
             gevent.sleep(1.0)
-            leave_unheard(self.store)
-            # Long enough for the pause to grow to its limit.
+            leave_unobserved(self.store)
+            # Long enough for the retry delay to grow to its limit.
             gevent.sleep(3.0)
             self.store.faults = {}
             unanswered_count = self.calls_of("/kv-watch")
@@ -165,8 +165,8 @@
         return sum(called == path for _, called in self.store.calls)
 
 
-class _WatchByHand:
-    """The client of the store, whose watch brings what a test hands it."""
+class _ManualWatchClient:
+    """Client of the store whose watch delivers events given by the test."""
 
     def __init__(self, client: key_value.KeyValueClient):
         self._client = client
@@ -181,9 +181,9 @@
         return self
 
     def close(self) -> None:
-        """Ends no watch: there is none."""
+        """Does nothing: there is no real watch."""
 
-    def bring(self, kind: Any, value: bytes) -> None:
+    def deliver(self, kind: Any, value: bytes) -> None:
         assert self._on_change is not None
         kv = key_value_types.KeyValue(KEY, value, 1, 1, 0)
         self._on_change(key_value_types.WatchEvent(kind, kv))
