--- a/src/mulberrywharf/forwarding/engine_account.py
+++ b/src/mulberrywharf/forwarding/engine_account.py
@@ -82,14 +82,14 @@
         is_in_order: Whether the engine prefills the prompt after everything
             that was queued before it, so that its answer may correct the
             estimate.
-        counted: The prompt's entry at the owner of the prefill queue, None
+        owner_ticket: The prompt's entry at the owner of the prefill queue, None
             where queues have no owners.
     """
 
     plan: prompt_placement.Plan
     ticket: engine_queues.Ticket
     is_in_order: bool
-    counted: queue_owners.Ticket | None = None
+    owner_ticket: queue_owners.Ticket | None = None
 
 
 class EngineAccount:
@@ -354,7 +354,7 @@
             reported = prompt_parts.reported_parts(
                 prompt_parts.chain_of(wanted.prompt)
             )
-            counted = self._queue_accounts.placed(
+            owner_ticket = self._queue_accounts.placed(
                 plan.reader.server,
                 work_s,
                 min(priority, LEAST_PRIORITY),
@@ -369,7 +369,9 @@
                 0.0,
                 service.engine.kv_tokens,
             )
-            return Placed(plan, ticket, is_in_order=False, counted=counted)
+            return Placed(
+                plan, ticket, is_in_order=False, owner_ticket=owner_ticket
+            )
         is_announced = self._note_prompt(
             wanted.prompt,
             plan.reader.server,
@@ -434,8 +436,8 @@
         self._observed_waits.answered(awaited, now_s)
         if awaited.matter == "read" and placed.is_in_order:
             self._queues.finished(placed.ticket, now_s)
-        if awaited.matter == "read" and placed.counted is not None:
-            self._queue_accounts.read(placed.counted)
+        if awaited.matter == "read" and placed.owner_ticket is not None:
+            self._queue_accounts.read(placed.owner_ticket)
         self._update_speeds(placed, awaited, now_s)
 
     def _update_speeds(
@@ -474,8 +476,8 @@
             awaited: The result of ``reading`` or ``starting``.
         """
         self._observed_waits.failed(awaited)
-        if awaited.matter == "read" and placed.counted is not None:
-            self._queue_accounts.withdrawn(placed.counted)
+        if awaited.matter == "read" and placed.owner_ticket is not None:
+            self._queue_accounts.withdrawn(placed.owner_ticket)
 
     def ended(self, server: fleet.Server, run_s: float) -> None:
         """Records that an engine has finished a stream.
