--- a/src/mulberrywharf/engines/__init__.py
+++ b/src/mulberrywharf/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, orders, loads and cache events of the engines."""
+"""Clients of the engines: requests, orders, load reports and cache events."""
--- a/src/mulberrywharf/engines/loads.py
+++ b/src/mulberrywharf/engines/loads.py
@@ -1,4 +1,4 @@
-"""What this node knows of each engine's load, read at intervals."""
+"""Polls engines for load reports and cache events."""
 
 import json
 import math
@@ -30,7 +30,7 @@
 _TIMEOUT_S = 2.0
 _ANSWER_LIMIT_BYTES = 1024 * 1024
 _OK = 200
-_MALFORMED = (KeyError, OverflowError, RecursionError, TypeError, ValueError)
+_PARSE_ERRORS = (KeyError, OverflowError, RecursionError, TypeError, ValueError)
 _BLOCK_HASH = re.compile(r"[0-9a-f]{1,16}")
 
 _REPORT_ADAPTER = pydantic.TypeAdapter(fleet.LoadReport)
@@ -43,7 +43,7 @@
 
 
 class CacheEventSink(Protocol):
-    """Takes cache events; ``policy.prefix_index.PrefixIndex`` is one."""
+    """Receives cache events, as ``policy.prefix_index.PrefixIndex`` does."""
 
     def apply(
         self,
@@ -52,19 +52,19 @@
         last_sequence: int,
         now_s: float,
     ) -> None:
-        """Takes one batch; gaps show in the sequence numbers."""
+        """Applies one batch; gaps in the sequence numbers mean lost events."""
         ...
 
     def forget(self, engine_id: str) -> None:
-        """Drops all that is known of an engine that left."""
+        """Drops all data about an engine that left the VM list."""
         ...
 
 
 class LoadReader:
-    """Reads engines' loads and cache events, one greenlet for each engine.
+    """Polls engines for loads and cache events, one greenlet per engine.
 
-    It also counts this node's own requests, so that ``views()`` shows what
-    the lagging reports cannot yet contain.
+    It also counts this node's own requests, so that ``views()`` includes
+    requests that are too recent for the engines' reports.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._interval_s = interval_s
         self._sink = sink
         self._clock = now
-        self._chance = chance
+        self._random = chance
         self._pool = _connections.ConnectionPool(idle_limit_count=1)
         self._loads: dict[str, engine_load.EngineLoad] = {}
         self._readers: dict[str, gevent.Greenlet] = {}
@@ -94,13 +94,14 @@
         now: clock.Clock | None = None,
         chance: random.Random | None = None,
     ) -> "LoadReader":
-        """Makes a reader that knows no engines yet.
+        """Returns a reader without engines; ``set_vms`` adds them.
 
         Args:
-            config: The ``engines`` part of the settings.
-            sink: Where cache events go, such as the prefix index.
-            now: The clock.
-            chance: Spreads the reads, so that nodes do not ask in step.
+            config: The ``engines`` section of the settings.
+            sink: Receives cache events, such as the prefix index.
+            now: The clock; the system clock if None.
+            chance: Random source of the jitter on the interval, which keeps
+                nodes from polling an engine at the same time.
         """
         engines: Any = config or {}
         return cls(
@@ -111,18 +112,18 @@
         )
 
     def start(self) -> None:
-        """Begins to read."""
+        """Starts polling."""
         self._started = True
-        self._match_readers()
+        self._sync_readers()
 
     def close(self) -> None:
-        """Stops reading and closes connections."""
+        """Stops polling and closes the connections."""
         self._started = False
-        self._match_readers()
+        self._sync_readers()
         self._pool.close()
 
     def set_vms(self, vms: Iterable[fleet.VmRecord]) -> None:
-        """Takes the VM list; engines that went are forgotten."""
+        """Applies a VM list; drops engines that are gone or changed address."""
         engines = {vm.vm_id: vm for vm in vms if vm.kind == "engine"}
         for engine_id in set(self._loads) - set(engines):
             self._forget(engine_id)
@@ -135,30 +136,30 @@
                 self._loads[engine_id] = engine_load.EngineLoad(vm)
             else:
                 load.vm = vm
-        self._match_readers()
+        self._sync_readers()
 
     def set_drained(self, engine_ids: Collection[str]) -> None:
-        """Names the engines that must get no new work."""
+        """Sets the engines that must get no new work."""
         self._drained = frozenset(engine_ids)
 
     def set_slice(self, engine_ids: Collection[str] | None) -> None:
-        """Names the engines that this node reads itself; None reads all."""
+        """Sets the engines that this node polls itself; None polls all."""
         self._slice = None if engine_ids is None else frozenset(engine_ids)
-        self._match_readers()
+        self._sync_readers()
 
     def accept(self, report: fleet.LoadReport, age_s: float) -> None:
-        """Takes a report that another node read, if it is newer.
+        """Stores a report that another node read, unless a newer one is known.
 
         Args:
-            report: What the engine said.
-            age_s: How long ago it said so.
+            report: The engine's load report.
+            age_s: Age of its figures.
         """
         load = self._loads.get(report.engine_id)
         if load is not None:
-            load.take_report(report, self._clock.monotonic_s() - age_s)
+            load.record_report(report, self._clock.monotonic_s() - age_s)
 
     def views(self) -> list[fleet.EngineView]:
-        """Returns every known engine as it looks from here, now."""
+        """Returns this node's current view of every known engine."""
         now_s = self._clock.monotonic_s()
         return [
             load.view(now_s, engine_id in self._drained)
@@ -166,7 +167,7 @@
         ]
 
     def view(self, engine_id: str) -> fleet.EngineView | None:
-        """Returns one engine as it looks from here, or None."""
+        """Returns the current view of one engine, or None if it is unknown."""
         load = self._loads.get(engine_id)
         if load is None:
             return None
@@ -174,22 +175,22 @@
         return load.view(now_s, engine_id in self._drained)
 
     def begin(self, engine_id: str, prompt_tokens: int) -> None:
-        """Notes that a request goes to an engine now.
+        """Records that a request is sent to an engine.
 
         Args:
             engine_id: The engine.
-            prompt_tokens: Prompt tokens that it has to prefill, 0 if the
-                request brings its KV cache along.
+            prompt_tokens: Prompt tokens that it has to prefill, 0 if it
+                fetches the KV cache from another engine.
         """
         load = self._loads.get(engine_id)
         if load is not None:
-            load.begin(prompt_tokens, self._clock.monotonic_s())
+            load.request_started(prompt_tokens, self._clock.monotonic_s())
 
     def end(self, engine_id: str, failed: bool) -> None:
-        """Notes that a request left an engine, after exactly one begin."""
+        """Records that a request at an engine ended; once per ``begin``."""
         load = self._loads.get(engine_id)
         if load is not None:
-            load.end(failed, self._clock.monotonic_s())
+            load.request_finished(failed, self._clock.monotonic_s())
 
     def _forget(self, engine_id: str) -> None:
         load = self._loads.pop(engine_id)
@@ -200,36 +201,37 @@
         if self._sink is not None:
             self._sink.forget(engine_id)
 
-    def _match_readers(self) -> None:
+    def _sync_readers(self) -> None:
         wanted = set()
         if self._started:
-            wanted = {e for e in self._loads if self._is_mine(e)}
+            wanted = {e for e in self._loads if self._is_in_slice(e)}
         for engine_id in set(self._readers) - wanted:
             self._readers.pop(engine_id).kill(block=False)
         for engine_id in wanted - set(self._readers):
             load = self._loads[engine_id]
-            self._readers[engine_id] = gevent.spawn(self._read_on, load)
+            self._readers[engine_id] = gevent.spawn(self._poll, load)
 
-    def _is_mine(self, engine_id: str) -> bool:
+    def _is_in_slice(self, engine_id: str) -> bool:
         return self._slice is None or engine_id in self._slice
 
-    def _read_on(self, load: engine_load.EngineLoad) -> None:
-        was_read = True
+    def _poll(self, load: engine_load.EngineLoad) -> None:
+        last_succeeded = True
         while True:
-            read = self._read_once(load)
-            is_read = isinstance(read, Ok)
-            if not is_read:
-                load.fail(self._clock.monotonic_s())
+            read = self._poll_once(load)
+            succeeded = isinstance(read, Ok)
+            if not succeeded:
+                load.record_failure(self._clock.monotonic_s())
                 _failed_reads.inc({"engine": load.vm.vm_id})
-            if is_read != was_read:
+            if succeeded != last_succeeded:
                 logger.bind(engine_id=load.vm.vm_id).info(
-                    "load of engine is {}", "read" if is_read else "not read"
+                    "load of engine is {}",
+                    "read" if succeeded else "not read",
                 )
-            was_read = is_read
-            spread = self._chance.uniform(-_JITTER_SHARE, _JITTER_SHARE)
-            gevent.sleep(self._interval_s * (1 + spread))
+            last_succeeded = succeeded
+            jitter = self._random.uniform(-_JITTER_SHARE, _JITTER_SHARE)
+            gevent.sleep(self._interval_s * (1 + jitter))
 
-    def _read_once(
+    def _poll_once(
         self, load: engine_load.EngineLoad
     ) -> Result[None, errors.EngineError]:
         fetched = self._fetch(load.vm.address, "/load")
@@ -239,16 +241,20 @@
         if isinstance(report, Err):
             return report
         if report.ok_value.engine_id != load.vm.vm_id:
-            # The address was given to another engine and the list lags.
-            message = f"{load.vm.vm_id} answers as {report.ok_value.engine_id}"
+            # The platform gave the address to another engine; the VM list is
+            # not up to date yet.
+            message = (
+                f"the load report of {load.vm.vm_id} came from"
+                f" {report.ok_value.engine_id}"
+            )
             return Err(errors.EngineError(message))
         lag_s = engine_load.report_lag_s(report.ok_value, self._clock.unix_s())
-        load.take_report(report.ok_value, self._clock.monotonic_s() - lag_s)
+        load.record_report(report.ok_value, self._clock.monotonic_s() - lag_s)
         if self._sink is None:
             return Ok(None)
-        return self._read_events(load, self._sink)
+        return self._read_cache_events(load, self._sink)
 
-    def _read_events(
+    def _read_cache_events(
         self, load: engine_load.EngineLoad, sink: CacheEventSink
     ) -> Result[None, errors.EngineError]:
         path = f"/cache_events?after={load.last_sequence}"
@@ -259,10 +265,14 @@
             document = json.loads(fetched.ok_value)
             events = _EVENTS_ADAPTER.validate_python(document["events"])
             last_sequence = int(document["last_sequence"])
-        except _MALFORMED as error:
+        except _PARSE_ERRORS as error:
             return Err(errors.EngineError(f"malformed cache events: {error}"))
         if not all(_BLOCK_HASH.fullmatch(e.block_hash) for e in events):
-            return Err(errors.EngineError("a block hash is not hexadecimal"))
+            return Err(
+                errors.EngineError(
+                    "a cache event has a block hash that is not hexadecimal"
+                )
+            )
         now_s = self._clock.monotonic_s()
         sink.apply(load.vm.vm_id, events, last_sequence, now_s)
         restarted = last_sequence < load.last_sequence
@@ -283,7 +293,7 @@
             return fetched
         answer, body = fetched.ok_value
         if answer.status_code != _OK:
-            message = f"{address}{path} answered {answer.status_code}"
+            message = f"{address}{path} returned status {answer.status_code}"
             return Err(errors.EngineError(message))
         return Ok(body)
 
@@ -291,7 +301,7 @@
 def parse_report(
     body: bytes,
 ) -> Result[fleet.LoadReport, errors.EngineError]:
-    """Reads a load report; fields that we do not know are left out."""
+    """Parses a load report from JSON and ignores unknown fields."""
     try:
         document = json.loads(body)
         known = {
@@ -300,15 +310,17 @@
             if name in document
         }
         report = _REPORT_ADAPTER.validate_python(known)
-    except _MALFORMED as error:
+    except _PARSE_ERRORS as error:
         return Err(errors.EngineError(f"malformed load report: {error}"))
     if not _is_plausible(report):
-        return Err(errors.EngineError("a load report has impossible figures"))
+        return Err(
+            errors.EngineError("load report has negative or non-finite figures")
+        )
     return Ok(report)
 
 
 def _is_plausible(report: fleet.LoadReport) -> bool:
-    # One NaN makes every comparison of scores false, and with it every
-    # choice of engine arbitrary; nothing would show but bad latencies.
+    # A NaN makes every comparison of engine scores false and so every choice of
+    # engine arbitrary. Bad latencies would be the only symptom.
     figures = [field for field in report if isinstance(field, (int, float))]
     return all(math.isfinite(figure) and figure >= 0 for figure in figures)
--- a/src/mulberrywharf/engines/state.py
+++ b/src/mulberrywharf/engines/state.py
@@ -1,4 +1,4 @@
-"""Reads one engine's own word about itself."""
+"""Fetches the load report of one engine."""
 
 import json
 from typing import Any
@@ -13,20 +13,20 @@
 _LOAD_PATH = "/load"
 _OK_STATUS = 200
 _BODY_LIMIT_BYTES = 1 << 20
-_ADAPTER = pydantic.TypeAdapter(fleet.LoadReport)
+_REPORT_ADAPTER = pydantic.TypeAdapter(fleet.LoadReport)
 
 
 def read_load(
     address: fleet.Address, *, timeout_s: float
 ) -> Result[fleet.LoadReport, errors.EngineError]:
-    """Asks an engine for its load report, over a connection of its own.
+    """Fetches an engine's load report over a new connection.
 
     Args:
-        address: Where the engine answers.
-        timeout_s: Bound on connecting and on each wait for bytes.
+        address: The engine's address.
+        timeout_s: Timeout of the connect and of each read, in seconds.
 
     Returns:
-        The report, or EngineUnreachableError when none could be had.
+        The report, or EngineUnreachableError if there is no valid report.
     """
     client = geventhttpclient.HTTPClient(
         address.ip,
@@ -40,7 +40,7 @@
         if answer.status_code != _OK_STATUS:
             return Err(
                 errors.EngineUnreachableError(
-                    f"{address}: load answered {answer.status_code}"
+                    f"{address}: /load returned status {answer.status_code}"
                 )
             )
         return parse_load(body)
@@ -51,10 +51,12 @@
 
 
 def parse_load(body: bytes) -> Result[fleet.LoadReport, errors.EngineError]:
-    """Reads a load report from JSON; unknown fields are ignored."""
+    """Parses a load report from JSON and ignores unknown fields."""
     try:
         fields: dict[str, Any] = json.loads(body)
         known = {k: fields[k] for k in fleet.LoadReport._fields if k in fields}
-        return Ok(_ADAPTER.validate_python(known))
+        return Ok(_REPORT_ADAPTER.validate_python(known))
     except (ValueError, TypeError) as error:
-        return Err(errors.EngineUnreachableError(f"bad load report: {error}"))
+        return Err(
+            errors.EngineUnreachableError(f"malformed load report: {error}")
+        )
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""What a node knows of engines' loads."""
+"""Tests of LoadReader: polling engines and counting own requests."""
 
 import json
 import random
@@ -23,7 +23,7 @@
 
 
 class FakeEngine:
-    """Answers /load and /cache_events from its attributes."""
+    """Serves /load and /cache_events from its attributes."""
 
     def __init__(self, engine_id: str = "e1"):
         self.report: dict[str, Any] = {
@@ -35,7 +35,7 @@
         }
         self.events: list[dict[str, Any]] = []
         self.last_sequence = 0
-        self.asked_after: list[int] = []
+        self.requested_after: list[int] = []
         self.server = build.ScriptedServer(self._answer)
 
     def _answer(self, sock: Any, request: bytes) -> None:
@@ -43,7 +43,7 @@
         document: dict[str, Any] = self.report
         if path.startswith("/cache_events"):
             after = int(path.partition("after=")[2])
-            self.asked_after.append(after)
+            self.requested_after.append(after)
             document = {
                 "events": [e for e in self.events if e["sequence"] > after],
                 "last_sequence": self.last_sequence,
@@ -95,7 +95,7 @@
         assert view is not None
         return view
 
-    def test_reads_again_and_again_on_one_connection(self) -> None:
+    def test_polls_repeatedly_on_one_connection(self) -> None:
         self.start()
         self.wait(lambda: len(self.engine.server.requests) >= 8)
         report = self.view().report
@@ -103,7 +103,7 @@
         self.assertEqual(report.models, (build.MODEL,))
         self.assertEqual(self.engine.server.connection_count, 1)
 
-    def test_a_gone_engine_keeps_its_report_which_ages(self) -> None:
+    def test_report_of_an_unreachable_engine_is_kept_and_ages(self) -> None:
         self.start()
         self.wait(lambda: self.view().report is not None)
         self.engine.server.close()
@@ -112,8 +112,8 @@
         self.wait(lambda: self.view().report_age_s > aged_s + 0.05)
         self.assertIsNotNone(self.view().report)
 
-    def test_bad_reports_count_as_failures(self) -> None:
-        bad: list[dict[str, Any]] = [
+    def test_invalid_reports_count_as_failures(self) -> None:
+        invalid: list[dict[str, Any]] = [
             {"engine_id": "another"},
             {"role": "cook"},
             {"kv_used_share": "much"},
@@ -121,31 +121,30 @@
             {"prefill_tokens_per_s": float("inf")},
             {"waiting_count": -1},
         ]
-        well = self.engine.report
-        for change in bad:
+        valid = self.engine.report
+        for change in invalid:
             with self.subTest(change):
-                self.engine.report = well | change
+                self.engine.report = valid | change
                 self.start()
                 self.wait(lambda: self.view().failures_recent_count > 0)
                 self.assertIsNone(self.view().report)
                 self.reader.set_vms([])
 
-    def test_cache_events_go_to_the_sink_with_their_gaps(self) -> None:
+    def test_cache_events_reach_the_sink_with_sequence_gaps(self) -> None:
         self.engine.events = [
             {"sequence": n, "kind": "stored", "block_hash": "0a"}
             for n in (1, 2, 5)
         ]
         self.engine.last_sequence = 6
         self.start()
-        self.wait(lambda: 6 in self.engine.asked_after)
+        self.wait(lambda: 6 in self.engine.requested_after)
         self.assertEqual(self.sink.batches[0], ("e1", [1, 2, 5], 6))
 
-    def test_a_malformed_event_does_not_end_the_reading(self) -> None:
-        """An engine's load is never read again.
+    def test_a_malformed_cache_event_does_not_stop_polling(self) -> None:
+        """Guards against polling that stops after one malformed cache event.
 
-        Symptom: its report ages for ever while the engine is well.
-        Sequence: it publishes one event that nobody can read. Cause: the
-        reader's greenlet dies of it.
+        If the parse error killed the reader's greenlet, the report of a
+        healthy engine would never be refreshed.
         """
         event = {"sequence": 1, "kind": "stored", "block_hash": "not hex"}
         index = prefix_index.PrefixIndex.from_config()
@@ -155,18 +154,20 @@
         self.addCleanup(self.reader.close)
         self.engine.events, self.engine.last_sequence = [event], 1
         self.start()
-        self.wait(lambda: len(self.engine.asked_after) >= 3)
+        self.wait(lambda: len(self.engine.requested_after) >= 3)
         self.assertGreater(self.view().failures_recent_count, 0)
 
-    def test_a_restarted_engine_is_read_from_the_start(self) -> None:
+    def test_cache_events_of_a_restarted_engine_are_read_from_the_start(
+        self,
+    ) -> None:
         self.engine.last_sequence = 9
         self.start()
-        self.wait(lambda: 9 in self.engine.asked_after)
+        self.wait(lambda: 9 in self.engine.requested_after)
         self.engine.last_sequence = 2
-        self.wait(lambda: self.engine.asked_after[-1] < 9)
-        self.assertIn(0, self.engine.asked_after)
+        self.wait(lambda: self.engine.requested_after[-1] < 9)
+        self.assertIn(0, self.engine.requested_after)
 
-    def test_the_prefix_index_is_a_sink(self) -> None:
+    def test_the_prefix_index_accepts_cache_events(self) -> None:
         index = prefix_index.PrefixIndex.from_config()
         self.reader = loads.LoadReader.from_config(
             {"load_interval_s": 0.01}, sink=index
@@ -179,7 +180,7 @@
         self.start()
         self.wait(lambda: index.last_sequence("e1") == 1)
 
-    def test_engines_that_go_or_move_are_forgotten(self) -> None:
+    def test_engines_that_leave_or_change_address_are_forgotten(self) -> None:
         self.start()
         self.wait(lambda: self.view().report is not None)
         self.reader.set_vms([_vm(build.closed_address())])
@@ -188,7 +189,9 @@
         self.assertEqual(self.reader.views(), [])
         self.assertEqual(self.sink.forgotten, ["e1", "e1"])
 
-    def test_a_slice_limits_what_is_read_and_others_are_offered(self) -> None:
+    def test_engines_outside_the_slice_are_not_polled_but_accept_reports(
+        self,
+    ) -> None:
         self.reader.set_slice([])
         self.start()
         report = fleet.LoadReport("e1", "decode", "ready", ())
@@ -198,7 +201,7 @@
         self.assertEqual(self.engine.server.requests, [])
 
 
-class BookTest(unittest.TestCase):
+class RequestCountTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
         self.reader = loads.LoadReader.from_config(now=self.clock)
@@ -210,15 +213,15 @@
     def report(self) -> fleet.LoadReport:
         return fleet.LoadReport("e1", "mixed", "ready", ())
 
-    def test_own_requests_are_counted_until_a_report_can_hold_them(
+    def test_own_requests_are_counted_until_a_report_includes_them(
         self,
     ) -> None:
-        """Every node sends to the engine that looked idle.
+        """Guards against sending all requests to one seemingly idle engine.
 
-        Symptom: one engine's queue grows while others idle. Sequence: a
-        report says idle, and until the next one each request goes there.
-        Cause: own requests since the report are left out of the picture; or
-        dropped at a report that lags and so does not hold them yet.
+        A node that ignores the requests it sent since the last report keeps
+        choosing the same engine until the next report, and its queue grows
+        while others idle. The same happens if a node drops them from its count
+        on a report whose figures are older than these requests.
         """
         self.reader.begin("e1", 100)
         self.clock.now_s += 1
@@ -236,7 +239,7 @@
         self.reader.accept(self.report(), age_s=2.0)
         self.assertEqual(self.view().report, newer)
 
-    def test_failures_are_forgotten(self) -> None:
+    def test_old_failures_are_not_counted(self) -> None:
         self.reader.begin("e1", 1)
         self.reader.end("e1", failed=True)
         self.assertEqual(self.view().failures_recent_count, 1)
