--- a/src/mulberrywharf/engines/engine_load.py
+++ b/src/mulberrywharf/engines/engine_load.py
@@ -69,8 +69,8 @@
 
     def request_finished(self, failed: bool, now_s: float) -> None:
         """Records that a request at the engine ended."""
-        # Not counted here if the request began before the engine left the VM
-        # list and returned, or before it changed its address.
+        # Stays at 0 for a request that began before this object replaced an
+        # earlier one, such as when the engine's address changed.
         self._in_flight_count = max(0, self._in_flight_count - 1)
         if failed:
             self.record_failure(now_s)
--- a/src/mulberrywharf/engines/handover.py
+++ b/src/mulberrywharf/engines/handover.py
@@ -1,4 +1,4 @@
-"""Prefill on one engine, decode on another: the KV cache is handed over."""
+"""Prefills on one engine and hands the KV cache over to another to decode."""
 
 import json
 from collections.abc import Callable
@@ -21,12 +21,12 @@
 
 
 class KvSource(TypedDict):
-    """Where a decode engine fetches a prompt's KV cache.
+    """The source from which a decode engine fetches a prompt's KV cache.
 
     Attributes:
-        ip: The prefill engine.
-        port: The prefill engine's port.
-        handle: Names the exported cache there.
+        ip: IP address of the prefill engine.
+        port: Port of the prefill engine.
+        handle: Identifies the exported cache at the prefill engine.
     """
 
     ip: str
@@ -39,12 +39,12 @@
     generation: resume.Generation,
     timeout_s: float = DEFAULT_PREFILL_TIMEOUT_S,
 ) -> Result[KvSource, errors.EngineError]:
-    """Has an engine prefill the prompt and keep its KV cache.
+    """Asks an engine to prefill the prompt and to keep its KV cache.
 
     Args:
         address: The prefill engine.
-        generation: Whose prompt it is.
-        timeout_s: For the connection and for each wait.
+        generation: The generation with the prompt.
+        timeout_s: Timeout of the connect and of each read, in seconds.
     """
     extension = {"priority": generation.priority, "prefill_only": True}
     body = {**generation.body, "stream": False, "mulberry": extension}
@@ -64,37 +64,37 @@
         return fetched
     answer, data = fetched.ok_value
     if answer.status_code != _OK:
-        return Err(refusals.refusal(address, answer, data))
-    return _source(address, data, generation.request_id)
+        return Err(refusals.error_from_answer(address, answer, data))
+    return _parse_kv_source(address, data, generation.request_id)
 
 
 def prepare(
     prefill_vm: fleet.VmRecord,
     generation: resume.Generation,
-    books: resume.Books,
+    tracker: resume.RequestTracker,
     timeout_s: float = DEFAULT_PREFILL_TIMEOUT_S,
     on_failed: Callable[[errors.EngineError], None] = lambda _: None,
 ) -> resume.Prepared:
-    """Prefills elsewhere and points the decode engine to the cache.
+    """Prefills on another engine and points the decode engine to the KV cache.
 
-    When that fails the decode engine prefills by itself, as it also does
-    when the exported cache is gone by the time it fetches it: a handover
-    saves time and is never needed for the answer.
+    A handover only saves time. If the prefill fails, or if the exported cache
+    is gone when the decode engine fetches it, the decode engine prefills the
+    prompt itself.
 
     Args:
         prefill_vm: The engine that prefills.
-        generation: Whose prompt it is.
-        books: Told of the prefill's begin and end.
-        timeout_s: For the connection and for each wait.
-        on_failed: Called with what made the prefill fail.
+        generation: The generation with the prompt.
+        tracker: Notified when the prefill begins and ends.
+        timeout_s: Timeout of the connect and of each read, in seconds.
+        on_failed: Called with the error if the prefill fails.
     """
-    books.begin(prefill_vm.vm_id, generation.prompt_tokens)
+    tracker.begin(prefill_vm.vm_id, generation.prompt_tokens)
     failed = False
     try:
         prefilled = prefill(prefill_vm.address, generation, timeout_s)
         failed = isinstance(prefilled, Err)
     finally:
-        books.end(prefill_vm.vm_id, failed)
+        tracker.end(prefill_vm.vm_id, failed)
     if isinstance(prefilled, Err):
         on_failed(prefilled.err_value)
         _failed_handovers.inc({"engine": prefill_vm.vm_id})
@@ -106,18 +106,19 @@
     return resume.Prepared({**generation.body, "mulberry": extension}, 0)
 
 
-def _source(
+def _parse_kv_source(
     address: fleet.Address, data: bytes, request_id: str
 ) -> Result[KvSource, errors.EngineError]:
     try:
         document = json.loads(data)
-        answered_id = document["id"]
+        answer_id = document["id"]
         handle = str(document["kv_handle"])
     except (KeyError, RecursionError, TypeError, ValueError) as error:
         return Err(errors.EngineError(f"malformed prefill answer: {error!r}"))
-    if answered_id != request_id:
-        # A crossed handle would lead to another caller's KV cache.
+    if answer_id != request_id:
+        # A handle from another request's answer would make the decode engine
+        # fetch another caller's KV cache.
         _answers.count_foreign(address)
-        message = f"{address} answered another request's prefill"
+        message = f"{address} sent a prefill answer with another request's id"
         return Err(errors.ForeignAnswerError(message))
     return Ok({"ip": address.ip, "port": address.port, "handle": handle})
--- a/src/mulberrywharf/engines/plain.py
+++ b/src/mulberrywharf/engines/plain.py
@@ -1,7 +1,7 @@
-"""A completion without streaming, put together from the stream.
+"""Assembles a non-streaming completion from a stream.
 
-Towards the engines every generation is a stream, so a plain answer too can be
-carried on by another engine.
+Engines are always asked for a stream, so that a non-streaming answer can be
+resumed at another engine as well.
 """
 
 from collections.abc import Iterator
@@ -23,20 +23,20 @@
     chat: bool,
     limit_characters: int = DEFAULT_LIMIT_CHARACTERS,
 ) -> Result[dict[str, Any], errors.AnswerTooLargeError]:
-    """Reads a stream to its checked end.
+    """Reads a stream to its end and returns the completion.
 
     Args:
-        batches: Of an ``EngineStream`` or a ``ResumingStream``.
-        request_id: Becomes the answer's ``id``.
-        model: The model that the caller named.
-        chat: Whether the answer is a message instead of text.
-        limit_characters: Bound on the answer kept in memory.
+        batches: The batches of an ``EngineStream`` or ``ResumingStream``.
+        request_id: Used as the ``id`` of the answer.
+        model: The model that the caller requested.
+        chat: Whether to return a chat completion instead of a text completion.
+        limit_characters: Maximum length of the answer, which is held in memory.
 
     Returns:
-        The answer in OpenAI's shape, its usage over all engines.
+        The answer in the OpenAI format, with the usage of all engines.
 
     Raises:
-        MulberryError: As the stream does.
+        MulberryError: The stream raised it.
     """
     texts: list[str] = []
     size_characters = 0
@@ -50,10 +50,10 @@
             message = f"the answer exceeds {limit_characters} characters"
             return Err(errors.AnswerTooLargeError(message))
     text = "".join(texts)
-    return Ok(_document(text, last, request_id, model, chat))
+    return Ok(_completion(text, last, request_id, model, chat))
 
 
-def _document(
+def _completion(
     text: str,
     last: streams.Token | None,
     request_id: str,
--- a/src/mulberrywharf/engines/refusals.py
+++ b/src/mulberrywharf/engines/refusals.py
@@ -1,4 +1,4 @@
-"""What an engine's answer means when it is not a success."""
+"""Converts unsuccessful engine answers to typed errors."""
 
 import json
 
@@ -7,19 +7,19 @@
 _SERVICE_UNAVAILABLE = 503
 
 
-def refusal(
+def error_from_answer(
     address: fleet.Address, answer: _answers.Answer, body: bytes
 ) -> errors.EngineError:
-    """Types an answer that is not a success.
+    """Returns the error for an unsuccessful answer.
 
-    A 503 with a ``type``, and any 4xx, say that the engine did not run the
-    request; whatever else comes leaves that open.
+    A 503 whose body has a ``type``, and any 4xx, mean that the engine did not
+    run the request. Any other status leaves it unknown.
     """
     status = answer.status_code
-    reason = _reason(body)
-    message = f"{address} answered {status} {reason}".rstrip()
-    unavailable = status == _SERVICE_UNAVAILABLE and reason
-    if unavailable or 400 <= status < 500:
+    reason = _parse_reason(body)
+    message = f"{address} returned status {status} {reason}".rstrip()
+    is_unavailable = status == _SERVICE_UNAVAILABLE and reason
+    if is_unavailable or 400 <= status < 500:
         return errors.EngineRefusedError(
             message,
             status=status,
@@ -30,7 +30,7 @@
     return errors.EngineError(message)
 
 
-def _reason(body: bytes) -> str:
+def _parse_reason(body: bytes) -> str:
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
--- a/src/mulberrywharf/engines/streams.py
+++ b/src/mulberrywharf/engines/streams.py
@@ -1,4 +1,4 @@
-"""One request to one engine, read as a checked stream of tokens."""
+"""Sends a request to an engine and validates the streamed answer."""
 
 import json
 from collections.abc import Iterator
@@ -18,15 +18,15 @@
 _EVENT_END = b"\n\n"
 _DATA_PREFIX = b"data: "
 _DONE = b"[DONE]"
-# Takes what orjson refuses, such as half a surrogate pair in a token's text.
-_DECODER = json.JSONDecoder()
+# Accepts JSON that orjson rejects, such as a lone surrogate in a token's text.
+_STDLIB_DECODER = json.JSONDecoder()
 _EVENT_LIMIT_BYTES = 1024 * 1024
 _ERROR_BODY_LIMIT_BYTES = 64 * 1024
 _CANCEL_TIMEOUT_S = 1.0
 _DRAIN_LIMIT_S = 1.0
 _CANCEL_ANSWER_LIMIT_BYTES = 4096
 _OK = 200
-_MALFORMED = (
+_PARSE_ERRORS = (
     AttributeError,
     IndexError,
     KeyError,
@@ -37,11 +37,11 @@
 
 
 class Usage(NamedTuple):
-    """What an answer cost.
+    """Token counts of an answer.
 
     Attributes:
-        prompt_tokens: Tokens of the prompt.
-        completion_tokens: Tokens of the answer.
+        prompt_tokens: Tokens in the prompt.
+        completion_tokens: Tokens in the answer.
     """
 
     prompt_tokens: int
@@ -52,11 +52,11 @@
     """One token of an answer.
 
     Attributes:
-        index: Its place in the answer, from 0.
+        index: Its position in the answer, from 0.
         text: Its text.
         finish_reason: ``stop`` or ``length`` on the last token, else None.
-        raw: The engine's whole event, with its closing blank line.
-        usage: What the answer cost; only on the last token.
+        raw: The whole server-sent event, including the blank line at its end.
+        usage: Token counts of the answer; only on the last token.
     """
 
     index: int  # type: ignore[assignment]
@@ -67,11 +67,11 @@
 
 
 class TokenBatch(NamedTuple):
-    """Tokens that had already arrived together, to be written as one.
+    """Tokens that arrived together, to be sent in one write.
 
     Attributes:
         tokens: In order; may be empty in the last batch.
-        is_last: Whether the checked end of the stream was seen.
+        is_last: Whether the stream ended with a valid ``[DONE]``.
     """
 
     tokens: tuple[Token, ...]
@@ -79,16 +79,16 @@
 
     @property
     def raw(self) -> bytes:
-        """The events as bytes, with ``[DONE]`` in the last batch."""
+        """The events as bytes; the last batch ends with ``[DONE]``."""
         data = b"".join([token.raw for token in self.tokens])
         return data + DONE_EVENT if self.is_last else data
 
 
 class EngineStream:
-    """One streamed answer of one engine.
+    """The streamed answer to one request from one engine.
 
-    Iterate over ``batches()`` (one write for each) or over the stream itself
-    (one token at a time), then call ``close()``.
+    Iterate over ``batches()`` (tokens to be sent in one write) or over the
+    stream itself (single tokens), then call ``close()``.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self._request_id = request_id
         self._next_index = first_index
         self._idle_timeout_s = idle_timeout_s
-        self._rest = b""
+        self._buffer = b""
         self._finished = False
         self._done = False
         self._failed = False
@@ -127,17 +127,18 @@
 
         Args:
             address: The engine.
-            path: Such as ``/v1/completions``.
+            path: URL path, such as ``/v1/completions``.
             body: The OpenAI request as JSON, with ``stream`` true.
-            request_id: Echoed by the engine in each event.
-            first_index: Index that the first token must have; the resumed
-                count when an answer goes on elsewhere.
-            connect_timeout_s: For the connection.
-            idle_timeout_s: Silence after which the stream is broken.
+            request_id: Request id, which the engine repeats in each event.
+            first_index: Expected index of the first token; for an answer that
+                is resumed, the number of tokens already delivered.
+            connect_timeout_s: Timeout of the connect, in seconds.
+            idle_timeout_s: Time without data after which the stream counts as
+                broken, in seconds.
 
         Returns:
             The stream; or ``EngineUnreachableError`` (nothing sent),
-            ``EngineRefusedError`` (the engine will not run it),
+            ``EngineRefusedError`` (the engine did not run it),
             ``ForeignAnswerError``, ``AnswerLostError`` or ``EngineError``.
         """
         opened = _exchange.Exchange.open(
@@ -154,37 +155,39 @@
             idle_timeout_s=idle_timeout_s,
         )
         try:
-            begun = stream._begin(path, body)
+            sent = stream._send(path, body)
         except BaseException:
             stream.close()
             raise
-        if isinstance(begun, Err):
+        if isinstance(sent, Err):
             stream.close()
-            return begun
+            return sent
         return Ok(stream)
 
     @property
     def address(self) -> fleet.Address:
-        """The engine."""
+        """The address of the engine."""
         return self._address
 
     @property
     def next_index(self) -> int:
-        """The index that the next token must have."""
+        """The expected index of the next token."""
         return self._next_index
 
     def __iter__(self) -> Iterator[Token]:
-        """Yields one token at a time; raises as ``batches`` does."""
+        """Yields single tokens; raises the same errors as ``batches``."""
         for batch in self.batches():
             yield from batch.tokens
 
     def batches(self) -> Iterator[TokenBatch]:
-        """Yields tokens as they arrive, those already here as one batch.
+        """Yields tokens as they arrive; those already received form one batch.
 
         Raises:
             ForeignAnswerError: An event carries another request's id.
-            StreamBrokenError: The stream went silent, left out or repeated a
-                token, or ended without a finish reason and ``[DONE]``.
+            StreamBrokenError: No data came within the idle timeout, an event
+                was malformed or reported an engine error, a token was missing
+                or repeated, or the stream ended without a finish reason and
+                ``[DONE]``.
         """
         while not self._done:
             tokens = self._parse(self._read_events())
@@ -192,13 +195,12 @@
                 yield TokenBatch(tuple(tokens), self._done)
 
     def close(self) -> None:
-        """Ends the exchange; an unfinished answer is cancelled.
+        """Closes the exchange and cancels an unfinished answer.
 
-        The engine cancels when it notices the closed connection, which may
-        be as late as its next write; the explicit order is sent as well, and
-        its failure changes nothing. After a failure there is only the closed
-        connection: the answer may go on at the same engine under the same
-        request id, and a late order would cancel that.
+        The engine may not notice the closed connection before its next write,
+        so a cancel request is sent as well; its result is ignored. No cancel
+        request follows a failed stream: the same engine may already resume the
+        answer under the same request id, and a late cancel would stop it.
         """
         if self._closed:
             return
@@ -212,9 +214,7 @@
             gevent.spawn(cancel, self._address, self._request_id)
         self._failed = True
 
-    def _begin(
-        self, path: str, body: bytes
-    ) -> Result[None, errors.EngineError]:
+    def _send(self, path: str, body: bytes) -> Result[None, errors.EngineError]:
         headers = {
             "content-type": "application/json",
             "x-request-id": self._request_id,
@@ -227,106 +227,112 @@
         answer = sent.ok_value
         if answer.status_code != _OK:
             self._failed = True
-            return Err(self._refusal(answer))
+            return Err(self._read_error(answer))
         echoed = answer.header("x-request-id")
         if echoed is not None and echoed != self._request_id:
-            return Err(self._foreign())
+            return Err(self._fail_foreign())
         return Ok(None)
 
-    def _refusal(self, answer: _answers.Answer) -> errors.EngineError:
+    def _read_error(self, answer: _answers.Answer) -> errors.EngineError:
         read = self._exchange.read_all(
             self._idle_timeout_s, _ERROR_BODY_LIMIT_BYTES
         )
         body = read.unwrap_or(b"")
-        return refusals.refusal(self._address, answer, body)
+        return refusals.error_from_answer(self._address, answer, body)
 
-    def _foreign(self) -> errors.ForeignAnswerError:
+    def _fail_foreign(self) -> errors.ForeignAnswerError:
         self._failed = True
         _answers.count_foreign(self._address)
         return errors.ForeignAnswerError(
             f"{self._address} sent an answer with another request's id"
         )
 
-    def _broken(self, what: str) -> errors.StreamBrokenError:
+    def _fail_broken(self, detail: str) -> errors.StreamBrokenError:
         self._failed = True
-        return errors.StreamBrokenError(f"{self._address}: {what}")
+        return errors.StreamBrokenError(f"{self._address}: {detail}")
 
     def _read_events(self) -> list[bytes]:
-        """Waits for at least one whole event; returns all that are here."""
+        """Waits for a complete event; returns all complete ones received."""
         while True:
-            some = self._exchange.read_some(self._idle_timeout_s)
-            if isinstance(some, Err):
-                raise self._broken(some.err_value.message)
-            if not some.ok_value:
-                raise self._broken("the stream ended before its end mark")
-            data = self._rest + some.ok_value
+            received = self._exchange.read_some(self._idle_timeout_s)
+            if isinstance(received, Err):
+                raise self._fail_broken(received.err_value.message)
+            if not received.ok_value:
+                raise self._fail_broken("the stream ended before [DONE]")
+            data = self._buffer + received.ok_value
             end = data.rfind(_EVENT_END)
             if end >= 0:
                 break
             if len(data) > _EVENT_LIMIT_BYTES:
-                raise self._broken("an event is too large")
-            self._rest = data
-        self._rest = data[end + len(_EVENT_END) :]
+                raise self._fail_broken("an event exceeds the size limit")
+            self._buffer = data
+        self._buffer = data[end + len(_EVENT_END) :]
         return data[:end].split(_EVENT_END)
 
     def _parse(self, events: list[bytes]) -> list[Token]:
         tokens = []
         for event in events:
             if not event.startswith(_DATA_PREFIX):
-                # Comments and other fields of server-sent events.
+                # Skips comments and other fields of server-sent events.
                 continue
             payload = event[len(_DATA_PREFIX) :]
             if payload == _DONE:
                 self._end()
                 break
-            tokens.append(self._token(payload, event))
+            tokens.append(self._parse_token(payload, event))
         return tokens
 
     def _end(self) -> None:
         if not self._finished:
-            raise self._broken("[DONE] came without a finish reason")
+            raise self._fail_broken("[DONE] arrived without a finish reason")
         self._done = True
 
-    def _token(self, payload: bytes, event: bytes) -> Token:
+    def _parse_token(self, payload: bytes, event: bytes) -> Token:
         try:
-            document = _decoded(payload)
+            document = _decode_json(payload)
             token = self._checked_token(document, event)
-        except _MALFORMED as error:
-            raise self._broken(f"malformed event: {error!r}") from error
+        except _PARSE_ERRORS as error:
+            raise self._fail_broken(f"malformed event: {error!r}") from error
         self._next_index = token.index + 1
         return token
 
     def _checked_token(self, document: Any, event: bytes) -> Token:
         if "error" in document:
-            raise self._broken(f"the engine failed: {document['error']}")
+            raise self._fail_broken(
+                f"the engine reported an error: {document['error']}"
+            )
         if document["id"] != self._request_id:
-            raise self._foreign()
+            raise self._fail_foreign()
         if self._finished:
-            raise self._broken("a token came after the finish reason")
+            raise self._fail_broken("a token arrived after the finish reason")
         index = document["token_index"]
         if index != self._next_index:
-            raise self._broken(f"token {index} came, not {self._next_index}")
+            raise self._fail_broken(
+                f"got token {index}, expected {self._next_index}"
+            )
         choice = document["choices"][0]
         reason = choice["finish_reason"]
         self._finished = reason is not None
-        usage = _usage(document) if self._finished else None
-        return Token(index, _text(choice), reason, event + _EVENT_END, usage)
+        usage = _parse_usage(document) if self._finished else None
+        return Token(
+            index, _choice_text(choice), reason, event + _EVENT_END, usage
+        )
 
 
-def _decoded(payload: bytes) -> Any:
+def _decode_json(payload: bytes) -> Any:
     try:
         return orjson.loads(payload)
     except orjson.JSONDecodeError:
-        return _DECODER.decode(payload.decode())
+        return _STDLIB_DECODER.decode(payload.decode())
 
 
-def _text(choice: Any) -> str:
+def _choice_text(choice: Any) -> str:
     if "text" in choice:
         return str(choice["text"])
     return str(choice["delta"].get("content") or "")
 
 
-def _usage(document: Any) -> Usage | None:
+def _parse_usage(document: Any) -> Usage | None:
     usage = document.get("usage")
     if usage is None:
         return None
@@ -334,10 +340,10 @@
 
 
 def cancel(address: fleet.Address, request_id: str) -> bool:
-    """Asks an engine to stop a request; best effort.
+    """Asks an engine to cancel a request; best effort.
 
     Returns:
-        Whether the engine says that it cancelled something.
+        Whether the engine answered that it cancelled the request.
     """
     body = json.dumps({"request_id": request_id}).encode()
     request = _exchange.Request(
--- a/tests/builders_engines.py
+++ b/tests/builders_engines.py
@@ -1,4 +1,4 @@
-"""Builders of engine answers and scripted back ends for tests."""
+"""Builders of engine answers, and scripted servers for tests."""
 
 import json
 import unittest
@@ -27,13 +27,13 @@
 
 
 class ScriptedServer:
-    """Answers each request on each connection by a script.
+    """A TCP server that calls a script for each request.
 
     Attributes:
-        requests: Every request that was read whole, head and body.
-        connection_count: Connections accepted.
-        carried_counts: Requests that each connection carried, of those that
-            carried any.
+        requests: Every complete request received, head and body.
+        connection_count: Number of accepted connections.
+        carried_counts: Number of requests per connection, for connections
+            with at least one request.
     """
 
     def __init__(self, script: Script):
@@ -48,11 +48,11 @@
 
     @property
     def address(self) -> fleet.Address:
-        """Where it listens."""
+        """The address on which it listens."""
         return fleet.Address("127.0.0.1", self._server.server_port)
 
     def close(self) -> None:
-        """Stops listening and ends its connections."""
+        """Stops listening and closes its connections."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock: Any, address: Any) -> None:
@@ -73,17 +73,17 @@
 
 
 class ScriptedServerCase(unittest.TestCase):
-    """A test case whose back ends answer by scripts."""
+    """A test case with scripted servers."""
 
     def serve(self, script: Script) -> ScriptedServer:
-        """Starts a scripted back end that ends with the test."""
+        """Starts a scripted server, which is closed when the test ends."""
         server = ScriptedServer(script)
         self.addCleanup(server.close)
         return server
 
 
 def read_request(sock: Any) -> bytes:
-    """Reads one request with its body; nothing when the peer closed."""
+    """Reads a request with its body; empty if the peer closed."""
     data = b""
     while b"\r\n\r\n" not in data:
         some = sock.recv(65536)
@@ -98,7 +98,7 @@
 
 
 def header(head: bytes, name: bytes) -> bytes:
-    """Returns a header field of a request, or nothing."""
+    """Returns the value of a header field, or empty bytes."""
     for line in head.split(b"\r\n")[1:]:
         field, _, value = line.partition(b":")
         if field.lower() == name:
@@ -112,12 +112,12 @@
 
 
 def is_cancel(request: bytes) -> bool:
-    """Tells whether a request orders a cancel."""
+    """Returns whether a request is a cancel request."""
     return request.startswith(b"POST /v1/cancel ")
 
 
 def chunk(data: bytes) -> bytes:
-    """Returns data as one chunk."""
+    """Returns data as one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -128,7 +128,7 @@
     request_id: str = REQUEST_ID,
     usage_tokens: int | None = None,
 ) -> bytes:
-    """Returns the event of one token of the standard answer."""
+    """Returns the event for one token of the standard answer."""
     document: dict[str, Any] = {
         "id": request_id,
         "object": "text_completion",
@@ -149,20 +149,20 @@
 
 
 def events(first: int, end: int, whole: int) -> bytes:
-    """Returns events ``first`` to ``end - 1`` of a ``whole`` token answer."""
+    """Returns events ``first`` to ``end - 1`` of a ``whole``-token answer."""
     return b"".join(
         event(index, last=index == whole - 1) for index in range(first, end)
     )
 
 
 def whole_stream(first: int, whole: int) -> bytes:
-    """Returns a complete streamed answer as it goes over the wire."""
+    """Returns a complete HTTP answer that streams from token ``first``."""
     body = events(first, whole, whole) + DONE
     return STREAM_HEAD + chunk(body) + LAST_CHUNK
 
 
 def plain_answer(body: bytes, *, headers: bytes = b"") -> bytes:
-    """Returns a 200 with a length."""
+    """Returns a 200 answer with a content length."""
     return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n%s\r\n%s" % (
         len(body),
         headers,
@@ -171,14 +171,14 @@
 
 
 def answer_text(count: int) -> str:
-    """Returns the first ``count`` tokens of the standard answer."""
+    """Returns the text of the first ``count`` tokens of the answer."""
     return "".join(
         engine_tokens.token_text(MODEL, PROMPT, index) for index in range(count)
     )
 
 
 def request_body(max_tokens: int = 8) -> dict[str, Any]:
-    """Returns the standard request."""
+    """Returns the body of the standard request."""
     return {
         "model": MODEL,
         "prompt": PROMPT,
@@ -188,7 +188,7 @@
 
 
 def closed_address() -> fleet.Address:
-    """Returns an address where nothing listens."""
+    """Returns an address on which nothing listens."""
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     port = sock.getsockname()[1]
@@ -197,7 +197,7 @@
 
 
 def wait_until(condition: Callable[[], bool], bound_s: float = 20.0) -> bool:
-    """Waits for a condition; returns whether it came true in time."""
+    """Waits until a condition holds; returns whether it did in time."""
     with gevent.Timeout(bound_s, False):
         while not condition():
             gevent.sleep(0.005)
--- a/tests/router_without.py
+++ b/tests/router_without.py
@@ -99,7 +99,7 @@
         try:
             return read(stream)
         except errors.StreamBrokenError as error:
-            if "end mark" not in error.message:
+            if "ended before [DONE]" not in error.message:
                 raise
             stream._failed = False
             stream._done = True
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""One whole answer over several engines."""
+"""Tests of ResumingStream: one complete answer from several engines."""
 
 import json
 import unittest
@@ -13,13 +13,13 @@
 from tests import builders_engines as build
 from tests import processes
 
-_WHOLE = 8
+_TOKEN_COUNT = 8
 _STAND_IN_TOKENS = 20
 _ATTEMPTS_LIMIT_COUNT = 3
 
 
-class Books:
-    """Records begins and ends."""
+class RecordingTracker:
+    """Records when requests begin and end."""
 
     def __init__(self) -> None:
         self.begun: list[tuple[str, int]] = []
@@ -32,8 +32,8 @@
         self.ended.append((engine_id, failed))
 
 
-class Chooser:
-    """Offers the first engine that is not excluded."""
+class FirstEngineChooser:
+    """Returns the first engine that is not excluded."""
 
     def __init__(self, views: list[fleet.EngineView]):
         self._views = views
@@ -55,26 +55,26 @@
     return fleet.EngineView(vm, report, 0.0)
 
 
-def _retry_few(
-    tried: resume.FailedTry,
+def _decide_retry(
+    attempt: resume.FailedTry,
 ) -> retry_budget.Retry | retry_budget.GiveUp:
-    if tried.attempt_count < _ATTEMPTS_LIMIT_COUNT:
+    if attempt.attempt_count < _ATTEMPTS_LIMIT_COUNT:
         return retry_budget.Retry(0.0)
-    error = errors.BackEndLostError(tried.error.message, outcome="unknown")
+    error = errors.BackEndLostError(attempt.error.message, outcome="unknown")
     return retry_budget.GiveUp(error)
 
 
 class ResumeCase(build.ScriptedServerCase):
     def setUp(self) -> None:
-        self.books = Books()
-        self.tries: list[resume.FailedTry] = []
+        self.tracker = RecordingTracker()
+        self.failed_attempts: list[resume.FailedTry] = []
         self.retry_limit_count = 3
 
     def decide(
-        self, tried: resume.FailedTry
+        self, attempt: resume.FailedTry
     ) -> retry_budget.Retry | retry_budget.GiveUp:
-        self.tries.append(tried)
-        if len(self.tries) > self.retry_limit_count:
+        self.failed_attempts.append(attempt)
+        if len(self.failed_attempts) > self.retry_limit_count:
             error = errors.BackEndLostError("given up", outcome="unknown")
             return retry_budget.GiveUp(error)
         return retry_budget.Retry(0.0)
@@ -82,7 +82,7 @@
     def engine(
         self, *answers: bytes, vm_id: str = "e1", version: str = "v1"
     ) -> tuple[fleet.EngineView, build.ScriptedServer]:
-        """Makes an engine that gives these answers, each then cut off."""
+        """Starts an engine that sends these answers and closes after each."""
         left = list(answers)
 
         def script(sock: Any, request: bytes) -> None:
@@ -95,15 +95,15 @@
     def stream(
         self, *views: fleet.EngineView, **options: Any
     ) -> resume.ResumingStream:
-        body = build.request_body(_WHOLE)
+        body = build.request_body(_TOKEN_COUNT)
         generation = resume.Generation(
             "/v1/completions", body, build.REQUEST_ID, 3
         )
         return resume.ResumingStream(
             generation,
-            next_engine=Chooser(list(views)),
+            next_engine=FirstEngineChooser(list(views)),
             decide=self.decide,
-            books=self.books,
+            books=self.tracker,
             **options,
         )
 
@@ -112,37 +112,44 @@
 
     def assert_whole(self, raw: bytes) -> None:
         self.assertEqual(
-            raw, build.events(0, _WHOLE, _WHOLE) + build.DONE, raw.decode()
+            raw,
+            build.events(0, _TOKEN_COUNT, _TOKEN_COUNT) + build.DONE,
+            raw.decode(),
         )
 
 
-def _cut(first: int, end: int) -> bytes:
-    """A streamed answer whose connection breaks before token ``end``."""
-    events = build.events(first, end, _WHOLE)
+def _broken_answer(first: int, end: int) -> bytes:
+    """Returns a streamed answer whose connection breaks at token ``end``."""
+    events = build.events(first, end, _TOKEN_COUNT)
     return build.STREAM_HEAD + (build.chunk(events) if events else b"")
 
 
-def _short(end: int) -> bytes:
-    """A streamed answer that ends cleanly before token ``end``."""
-    return _cut(0, end) + build.LAST_CHUNK
+def _short_answer(end: int) -> bytes:
+    """Returns a streamed answer that ends cleanly before token ``end``."""
+    return _broken_answer(0, end) + build.LAST_CHUNK
 
 
 class ResumingTest(ResumeCase):
-    """An answer is cut short or repeats itself when its engine is lost.
+    """Guards against truncated or repeated text when an engine fails.
 
-    Symptom: a verdict lacks its end, or has a part twice. Sequence: an
-    engine dies after some tokens and another one is asked. Cause: the second
-    begins anew, or the first's end is taken for the answer's.
+    An engine dies after some tokens and another one takes over. Text is
+    repeated if the second engine starts from the beginning, and missing if the
+    end of the first engine's stream counts as the end of the answer.
     """
 
-    def test_goes_on_after_the_delivered_tokens(self) -> None:
-        for lost in (_cut(0, 3), _short(3), _cut(0, 0), b""):
+    def test_resumes_after_the_delivered_tokens(self) -> None:
+        for lost in (
+            _broken_answer(0, 3),
+            _short_answer(3),
+            _broken_answer(0, 0),
+            b"",
+        ):
             with self.subTest(lost[-40:]):
                 self.setUp()
                 delivered = 3 if build.event(0) in lost else 0
                 first, _ = self.engine(lost)
                 second, server = self.engine(
-                    build.whole_stream(delivered, _WHOLE), vm_id="e2"
+                    build.whole_stream(delivered, _TOKEN_COUNT), vm_id="e2"
                 )
                 self.assert_whole(self.read(self.stream(first, second)))
                 sent = build.document_of(server.requests[0])["mulberry"]
@@ -151,43 +158,45 @@
                     sent.get("resume_text", ""), build.answer_text(delivered)
                 )
                 self.assertEqual(
-                    self.books.ended, [("e1", True), ("e2", False)]
+                    self.tracker.ended, [("e1", True), ("e2", False)]
                 )
 
-    def test_a_skipped_token_is_not_passed_on(self) -> None:
-        events = build.events(0, 3, _WHOLE) + build.event(5)
+    def test_tokens_after_a_skipped_one_are_not_passed_on(self) -> None:
+        events = build.events(0, 3, _TOKEN_COUNT) + build.event(5)
         first, _ = self.engine(build.STREAM_HEAD + build.chunk(events))
-        second, _ = self.engine(build.whole_stream(0, _WHOLE), vm_id="e2")
+        second, _ = self.engine(build.whole_stream(0, _TOKEN_COUNT), vm_id="e2")
         self.assert_whole(self.read(self.stream(first, second)))
 
-    def test_a_crossed_answer_is_not_passed_on(self) -> None:
+    def test_tokens_of_another_request_are_not_passed_on(self) -> None:
         foreign = build.event(3, request_id="other")
-        events = build.events(0, 3, _WHOLE) + foreign
+        events = build.events(0, 3, _TOKEN_COUNT) + foreign
         first, _ = self.engine(build.STREAM_HEAD + build.chunk(events))
-        second, _ = self.engine(build.whole_stream(0, _WHOLE), vm_id="e2")
+        second, _ = self.engine(build.whole_stream(0, _TOKEN_COUNT), vm_id="e2")
         self.assert_whole(self.read(self.stream(first, second)))
 
-    def test_only_the_end_mark_was_lost(self) -> None:
-        first, _ = self.engine(_cut(0, _WHOLE))
+    def test_an_answer_that_lacks_only_done_is_complete(self) -> None:
+        first, _ = self.engine(_broken_answer(0, _TOKEN_COUNT))
         self.assert_whole(self.read(self.stream(first)))
-        self.assertEqual(self.tries, [])
+        self.assertEqual(self.failed_attempts, [])
 
-    def test_the_only_engine_may_be_asked_again(self) -> None:
-        only, server = self.engine(_cut(0, 2), build.whole_stream(2, _WHOLE))
+    def test_the_only_engine_is_retried(self) -> None:
+        only, server = self.engine(
+            _broken_answer(0, 2), build.whole_stream(2, _TOKEN_COUNT)
+        )
         self.assert_whole(self.read(self.stream(only)))
         self.assertEqual(len(server.requests), 2)
 
-    def test_never_goes_on_with_another_version(self) -> None:
-        first, _ = self.engine(_cut(0, 2))
+    def test_never_resumes_with_another_model_version(self) -> None:
+        first, _ = self.engine(_broken_answer(0, 2))
         other, server = self.engine(vm_id="e2", version="v2")
-        third, _ = self.engine(build.whole_stream(2, _WHOLE), vm_id="e3")
+        third, _ = self.engine(build.whole_stream(2, _TOKEN_COUNT), vm_id="e3")
         self.assert_whole(self.read(self.stream(first, other, third)))
         self.assertEqual(server.requests, [])
 
     def test_usage_counts_both_engines(self) -> None:
-        first, _ = self.engine(_cut(0, 5))
-        events = build.events(5, _WHOLE - 1, _WHOLE) + build.event(
-            _WHOLE - 1, last=True, usage_tokens=3
+        first, _ = self.engine(_broken_answer(0, 5))
+        events = build.events(5, _TOKEN_COUNT - 1, _TOKEN_COUNT) + build.event(
+            _TOKEN_COUNT - 1, last=True, usage_tokens=3
         )
         second, _ = self.engine(
             build.STREAM_HEAD
@@ -201,21 +210,21 @@
             model=build.MODEL,
             chat=False,
         ).unwrap()
-        self.assertEqual(answer["usage"]["completion_tokens"], _WHOLE)
+        self.assertEqual(answer["usage"]["completion_tokens"], _TOKEN_COUNT)
         choice = answer["choices"][0]
-        self.assertEqual(choice["text"], build.answer_text(_WHOLE))
+        self.assertEqual(choice["text"], build.answer_text(_TOKEN_COUNT))
         self.assertEqual(choice["finish_reason"], "stop")
 
 
 class GivingUpTest(ResumeCase):
-    def test_a_clear_failure_when_the_budget_is_spent(self) -> None:
+    def test_raises_an_error_when_retries_are_denied(self) -> None:
         self.retry_limit_count = 0
-        first, _ = self.engine(_cut(0, 3))
+        first, _ = self.engine(_broken_answer(0, 3))
         stream = self.stream(first)
         with self.assertRaises(errors.BackEndLostError):
             self.read(stream)
         self.assertEqual(stream.delivered_count, 3)
-        self.assertEqual(self.tries[0].progress, "answer-began")
+        self.assertEqual(self.failed_attempts[0].progress, "answer-began")
 
     def test_progress_and_outcome_of_attempts(self) -> None:
         busy = build.plain_answer(b'{"type": "queue-full"}').replace(
@@ -227,12 +236,14 @@
         self.retry_limit_count = 2
         with self.assertRaises(errors.BackEndLostError):
             self.read(self.stream(gone, refusing, lost))
-        progress = [tried.progress for tried in self.tries]
+        progress = [attempt.progress for attempt in self.failed_attempts]
         self.assertEqual(progress, ["nothing-sent", "refused", "sent"])
-        outcomes = {tried.outcome for tried in self.tries}
+        outcomes = {attempt.outcome for attempt in self.failed_attempts}
         self.assertEqual(outcomes, {"not-run"})
 
-    def test_nobody_left_after_a_maybe_run_is_unknown(self) -> None:
+    def test_no_engine_left_after_a_possible_run_has_outcome_unknown(
+        self,
+    ) -> None:
         lost, _ = self.engine(b"")
         offered = iter([Ok(lost)])
 
@@ -245,7 +256,7 @@
             self.read(stream)
         self.assertEqual(caught.exception.outcome, "unknown")
 
-    def test_a_bad_request_is_not_tried_elsewhere(self) -> None:
+    def test_a_bad_request_is_not_retried_at_another_engine(self) -> None:
         bad = build.plain_answer(b'{"type": "bad-request"}').replace(
             b"200 OK", b"400 Bad"
         )
@@ -254,18 +265,18 @@
         with self.assertRaises(errors.BadRequestError):
             self.read(self.stream(first, second))
         self.assertEqual(server.requests, [])
-        self.assertEqual(self.books.ended, [("e1", False)])
+        self.assertEqual(self.tracker.ended, [("e1", False)])
 
-    def test_a_caller_that_leaves_is_no_failure_of_the_engine(self) -> None:
-        first, _ = self.engine(_cut(0, 3))
+    def test_a_closed_answer_does_not_count_as_engine_failure(self) -> None:
+        first, _ = self.engine(_broken_answer(0, 3))
         batches = self.stream(first).batches()
         next(batches)
         assert isinstance(batches, Iterator)
         batches.close()  # type: ignore[attr-defined]
-        self.assertEqual(self.books.ended, [("e1", False)])
+        self.assertEqual(self.tracker.ended, [("e1", False)])
 
-    def test_a_plain_answer_is_bounded(self) -> None:
-        first, _ = self.engine(build.whole_stream(0, _WHOLE))
+    def test_an_assembled_answer_has_a_size_limit(self) -> None:
+        first, _ = self.engine(build.whole_stream(0, _TOKEN_COUNT))
         error = plain.assemble(
             self.stream(first).batches(),
             request_id=build.REQUEST_ID,
@@ -276,8 +287,8 @@
         self.assertIsInstance(error, errors.AnswerTooLargeError)
 
 
-class StandInTest(unittest.TestCase):
-    """The same with real engine processes that batch and fail."""
+class EngineProcessTest(unittest.TestCase):
+    """Resuming and handover with stand-in engine processes and faults."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -312,9 +323,9 @@
     def assert_whole(self, **options: Any) -> None:
         stream = resume.ResumingStream(
             self.generation(),
-            next_engine=Chooser(self.views),
-            decide=_retry_few,
-            books=Books(),
+            next_engine=FirstEngineChooser(self.views),
+            decide=_decide_retry,
+            books=RecordingTracker(),
             **options,
         )
         tokens = [t for batch in stream.batches() for t in batch.tokens]
@@ -324,7 +335,7 @@
         assert usage is not None
         self.assertEqual(usage.completion_tokens, _STAND_IN_TOKENS)
 
-    def test_whole_answer_through_every_fault(self) -> None:
+    def test_answer_is_complete_after_every_stream_fault(self) -> None:
         last = _STAND_IN_TOKENS - 1
         for name in ("cut_stream_after_tokens", "short_stream"):
             for after in (0, 1, last, _STAND_IN_TOKENS):
@@ -332,30 +343,36 @@
                     self.set_fault(self.views[0], **{name: after})
                     self.assert_whole()
 
-    def test_whole_answer_when_the_engine_falls_silent(self) -> None:
+    def test_answer_is_complete_when_the_engine_sends_no_more_data(
+        self,
+    ) -> None:
         self.set_fault(self.views[0], silent_after_tokens=3)
         self.assert_whole(idle_timeout_s=0.5)
 
-    def test_handover_and_the_export_that_is_gone(self) -> None:
-        books = Books()
+    def test_handover_works_with_and_without_the_exported_cache(
+        self,
+    ) -> None:
+        tracker = RecordingTracker()
         generation = self.generation()
-        prepared = handover.prepare(self.views[1].vm, generation, books)
+        prepared = handover.prepare(self.views[1].vm, generation, tracker)
         self.assertEqual(prepared.prompt_tokens, 0)
         source = prepared.body["mulberry"]["kv_source"]
         self.assertEqual(source["port"], self.views[1].vm.address.port)
-        self.assertEqual(books.ended, [("e2", False)])
+        self.assertEqual(tracker.ended, [("e2", False)])
         for handle in (source["handle"], "gone"):
             with self.subTest(handle):
                 source["handle"] = handle
                 self.assert_whole(prepare=lambda view: prepared)
 
-    def test_handover_without_its_prefill_engine(self) -> None:
+    def test_decode_engine_prefills_when_the_prefill_engine_is_unreachable(
+        self,
+    ) -> None:
         vm = _view("e3", build.closed_address()).vm
-        books = Books()
-        prepared = handover.prepare(vm, self.generation(), books)
+        tracker = RecordingTracker()
+        prepared = handover.prepare(vm, self.generation(), tracker)
         self.assertEqual(prepared.prompt_tokens, 3)
         self.assertNotIn("mulberry", prepared.body)
-        self.assertEqual(books.ended, [("e3", True)])
+        self.assertEqual(tracker.ended, [("e3", True)])
 
 
 if __name__ == "__main__":
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""EngineStream: whole, own answers or a typed failure."""
+"""Tests of EngineStream: it yields a complete answer or raises an error."""
 
 import itertools
 import json
@@ -48,7 +48,7 @@
         self.assertEqual(tokens[-1].finish_reason, "stop")
         self.assertEqual(tokens[-1].usage, streams.Usage(3, 8))
 
-    def test_coalesces_what_already_arrived(self) -> None:
+    def test_tokens_received_together_form_one_batch(self) -> None:
         stream = self.open(self.serve_bytes(build.whole_stream(0, 8)))
         batches = list(stream.batches())
         raw = b"".join(batch.raw for batch in batches)
@@ -56,12 +56,13 @@
         self.assertLess(len(batches), 8)
         self.assertTrue(batches[-1].is_last)
 
-    def test_takes_all_that_json_allows(self) -> None:
-        """A correct answer is cut off.
+    def test_accepts_every_valid_json_encoding_of_a_token(
+        self,
+    ) -> None:
+        """Guards against cutting off a correct answer within an emoji.
 
-        Symptom: an engine is taken for broken in the middle of an emoji.
-        Sequence: it sends each half of a surrogate pair as one token.
-        Cause: the fast decoder refuses what the standard one reads.
+        An engine may send each half of a surrogate pair as one token. orjson
+        rejects such text; the standard library's decoder accepts it.
         """
         cases = {
             "half a surrogate pair": (rb'"\ud83d"', "\ud83d"),
@@ -71,9 +72,9 @@
         for name, (encoded, text) in cases.items():
             with self.subTest(name):
                 first = build.event(0)
-                own = json.dumps(build.answer_text(1)).encode()
-                self.assertIn(own, first)
-                raw = first.replace(own, encoded) + build.events(1, 3, 3)
+                first_text = json.dumps(build.answer_text(1)).encode()
+                self.assertIn(first_text, first)
+                raw = first.replace(first_text, encoded) + build.events(1, 3, 3)
                 data = build.STREAM_HEAD + build.chunk(raw + build.DONE)
                 stream = self.open(self.serve_bytes(data + build.LAST_CHUNK))
                 batches = list(stream.batches())
@@ -81,7 +82,7 @@
                 passed = b"".join(batch.raw for batch in batches)
                 self.assertEqual(passed, raw + build.DONE)
 
-    def test_events_cut_anywhere_are_put_together(self) -> None:
+    def test_events_split_across_chunks_are_reassembled(self) -> None:
         body = build.events(0, 3, 3) + build.DONE
 
         def script(sock: Any, request: bytes) -> None:
@@ -101,29 +102,34 @@
 
 
 class BrokenStreamTest(StreamCase):
-    """A short or foreign answer passes for a whole one.
+    """Guards against passing on an incomplete answer or another caller's.
 
-    Symptom: a caller acts on a verdict that lost its end, or on another
-    caller's. Sequence: an engine dies, skips a token or crosses two answers,
-    and the bytes up to there look well formed. Cause: an end of stream or an
-    event taken without check.
+    An engine may die, skip a token or mix up two answers while all bytes up to
+    that point are well formed. A caller would then act on a truncated answer or
+    on another caller's if the end of the stream or an event went unchecked.
     """
 
-    def test_every_unchecked_end_is_an_error(self) -> None:
+    def test_incomplete_or_malformed_streams_raise_an_error(self) -> None:
         head = build.STREAM_HEAD
         last = build.LAST_CHUNK
-        own = build.events(0, 4, 8)
+        first_four = build.events(0, 4, 8)
         cases = {
-            "cut after four tokens": head + build.chunk(own),
-            "clean end without finish_reason": head + build.chunk(own) + last,
+            "cut after four tokens": head + build.chunk(first_four),
+            "clean end without finish_reason": head
+            + build.chunk(first_four)
+            + last,
             "[DONE] without finish_reason": head
-            + build.chunk(own + build.DONE)
+            + build.chunk(first_four + build.DONE)
             + last,
             "finish_reason without [DONE]": head
             + build.chunk(build.events(0, 8, 8))
             + last,
-            "a token left out": head + build.chunk(own + build.event(5)) + last,
-            "a token twice": head + build.chunk(own + build.event(3)) + last,
+            "a token left out": head
+            + build.chunk(first_four + build.event(5))
+            + last,
+            "a token twice": head
+            + build.chunk(first_four + build.event(3))
+            + last,
             "token after the finish": head
             + build.chunk(build.events(0, 8, 8) + build.event(8))
             + last,
@@ -141,7 +147,9 @@
             )
             + last,
             "engine's error": head
-            + build.chunk(own + b'data: {"error": {"type": "crash"}}\n\n')
+            + build.chunk(
+                first_four + b'data: {"error": {"type": "crash"}}\n\n'
+            )
             + last,
         }
         for name, data in cases.items():
@@ -150,7 +158,7 @@
                 with self.assertRaises(errors.StreamBrokenError):
                     list(stream)
 
-    def test_a_crossed_event_is_foreign(self) -> None:
+    def test_an_event_with_another_request_id_is_a_foreign_answer(self) -> None:
         data = build.events(0, 2, 8) + build.event(2, request_id="other")
         stream = self.open(
             self.serve_bytes(build.STREAM_HEAD + build.chunk(data))
@@ -158,7 +166,7 @@
         with self.assertRaises(errors.ForeignAnswerError):
             list(stream)
 
-    def test_a_crossed_head_is_foreign(self) -> None:
+    def test_a_head_with_another_request_id_is_a_foreign_answer(self) -> None:
         data = build.whole_stream(0, 8).replace(
             b"\r\n\r\n", b"\r\nx-request-id: other\r\n\r\n", 1
         )
@@ -168,7 +176,7 @@
         )
         self.assertIsInstance(opened.unwrap_err(), errors.ForeignAnswerError)
 
-    def test_silence_of_a_half_open_engine_ends_the_wait(self) -> None:
+    def test_idle_timeout_ends_the_stream_of_a_silent_engine(self) -> None:
         data = build.STREAM_HEAD + build.chunk(build.events(0, 2, 8))
         server = self.serve_bytes(data, close=False)
         stream = self.open(server, idle_timeout_s=0.05)
@@ -182,17 +190,17 @@
             address, "/v1/completions", b"{}", build.REQUEST_ID
         ).unwrap_err()
 
-    def test_gone_before_connect_is_not_run(self) -> None:
+    def test_refused_connection_has_outcome_not_run(self) -> None:
         error = self.open_error(build.closed_address())
         self.assertIsInstance(error, errors.EngineUnreachableError)
         self.assertEqual(error.outcome, "not-run")
 
-    def test_gone_after_send_is_unknown(self) -> None:
+    def test_connection_lost_after_send_has_outcome_unknown(self) -> None:
         error = self.open_error(self.serve_bytes(b"").address)
         self.assertIsInstance(error, errors.AnswerLostError)
         self.assertEqual(error.outcome, "unknown")
 
-    def test_a_refusal_is_not_run_and_says_when_to_come_back(self) -> None:
+    def test_a_refusal_has_outcome_not_run_and_a_retry_delay(self) -> None:
         body = b'{"type": "queue-full"}'
         answer = build.plain_answer(body, headers=b"retry-after: 2\r\n")
         answer = answer.replace(b"200 OK", b"503 Busy")
@@ -202,7 +210,7 @@
         self.assertEqual(error.reason, "queue-full")
         self.assertEqual(error.retry_after_s, 2.0)
 
-    def test_a_500_leaves_open_whether_it_ran(self) -> None:
+    def test_a_500_answer_has_outcome_unknown(self) -> None:
         answer = build.plain_answer(b"").replace(b"200 OK", b"500 Oh")
         error = self.open_error(self.serve_bytes(answer).address)
         self.assertEqual(error.outcome, "unknown")
@@ -236,11 +244,10 @@
 
 class FinishTest(StreamCase):
     def test_a_finished_answer_is_read_to_its_last_byte(self) -> None:
-        """Engines log whole answers as broken off by the caller.
+        """Guards against engines counting complete answers as cancelled.
 
-        Symptom: an engine counts a cancel for each answer. Sequence: the
-        stream is closed at ``[DONE]``, before the chunked body's last bytes.
-        Cause: bytes that meet a closed connection reset it.
+        If the stream closes its connection at ``[DONE]``, the last bytes of the
+        chunked body arrive at a closed socket and reset the connection.
         """
         resets: list[OSError] = []
         ends: list[bytes] = []
@@ -264,37 +271,36 @@
 
 
 class FairnessTest(StreamCase):
-    """One always-busy stream starves the rest.
+    """Guards against one busy stream that delays all other greenlets.
 
-    Symptom: first tokens of other callers come 90 ms late. Sequence: an
-    engine sends faster than its stream is read, so reading never waits.
-    Cause: a greenlet that never waits never yields; one that only yields
-    lets others compute, but nobody polls their sockets.
+    If an engine sends faster than its stream is read, reading never blocks and
+    the greenlet never yields; first tokens of other callers came 90 ms late.
+    Yielding alone lets other greenlets run, but does not poll their sockets.
     """
 
-    def read_beside(self, turn: Callable[[], None]) -> list[int]:
-        """Returns how many tokens came between each two turns of another."""
+    def read_while_running(self, turn: Callable[[], None]) -> list[int]:
+        """Returns the tokens read between consecutive turns of a greenlet."""
         count = 5000
         server = self.serve_bytes(build.whole_stream(0, count), close=False)
         stream = self.open(server)
-        turns_at = [0]
+        turn_indices = [0]
 
         def other() -> None:
             while True:
                 turn()
-                turns_at.append(stream.next_index)
+                turn_indices.append(stream.next_index)
 
         greenlet = gevent.spawn(other)
         self.assertEqual(len(list(stream)), count)
         greenlet.kill()
-        turns_at.append(count)
-        return [b - a for a, b in itertools.pairwise(turns_at)]
+        turn_indices.append(count)
+        return [b - a for a, b in itertools.pairwise(turn_indices)]
 
-    def test_a_busy_stream_lets_others_run(self) -> None:
-        gaps = self.read_beside(lambda: gevent.sleep(0))
+    def test_a_busy_stream_lets_other_greenlets_run(self) -> None:
+        gaps = self.read_while_running(lambda: gevent.sleep(0))
         self.assertLessEqual(max(gaps), 256)
 
-    def test_a_busy_stream_lets_others_use_their_sockets(self) -> None:
+    def test_a_busy_stream_lets_other_greenlets_use_their_sockets(self) -> None:
         near, far = socket.socketpair()
         self.addCleanup(near.close)
         self.addCleanup(far.close)
@@ -310,7 +316,7 @@
             near.sendall(b"x")
             near.recv(1)
 
-        self.assertLessEqual(max(self.read_beside(round_trip)), 350)
+        self.assertLessEqual(max(self.read_while_running(round_trip)), 350)
 
 
 if __name__ == "__main__":
