--- a/src/mulberrywharf/engines/orders.py
+++ b/src/mulberrywharf/engines/orders.py
@@ -1,7 +1,7 @@
-"""Sends one order to one engine, over a connection of its own.
+"""Sends one order to one engine over a new connection.
 
-The connection is made so that no byte of an order outlives the authority
-behind it: see ``_OrderConnection``.
+``_OrderConnection`` makes sure that no byte of an order reaches the engine
+after the sender has lost its authority to give orders.
 """
 
 import json
@@ -31,13 +31,13 @@
     """One order to one engine.
 
     Attributes:
-        order_id: Repeating an id is harmless.
-        fencing_number: Of the lease under which it is sent.
-        action: What the engine shall do.
-        role: For ``set-role``.
-        model: For ``load-model``.
-        adapter: For ``load-model``, or empty.
-        version: For ``load-model``, or empty.
+        order_id: Unique id; sending the same id again has no further effect.
+        fencing_number: Fencing number of the lease under which it is sent.
+        action: The action that the engine must perform.
+        role: The new role, for ``set-role``.
+        model: The model to load, for ``load-model``.
+        adapter: The adapter to load, for ``load-model``; may be empty.
+        version: The model version, for ``load-model``; may be empty.
     """
 
     order_id: str
@@ -49,17 +49,17 @@
     version: str = ""
 
     def body(self) -> bytes:
-        """Returns the JSON body of the order; empty fields are left out."""
+        """Returns the order as JSON without its empty fields."""
         fields = {k: v for k, v in self._asdict().items() if v != ""}
         return json.dumps(fields).encode()
 
 
 class OrderAccepted(NamedTuple):
-    """The engine took the order on.
+    """The engine accepted the order.
 
     Attributes:
-        order_id: Of the order.
-        state: What the engine says that it is doing now.
+        order_id: Id of the order.
+        state: The engine's state after accepting it, or empty if not reported.
     """
 
     order_id: str
@@ -72,13 +72,13 @@
 
 
 class _OrderConnection(connectionpool.ConnectionPool):
-    """A connection whose bytes die with it.
+    """A connection that delivers no bytes after it was closed or timed out.
 
-    Without these options a partition that heals could deliver an order that
-    was written before it, minutes after the authority has passed on; the
-    engine would be seen to change without any order of the new holder.
-    TCP_USER_TIMEOUT ends retransmission; linger 0 makes a close, or the
-    kernel's close after a kill, drop what is still unsent.
+    With default socket options, the kernel could deliver an order minutes
+    later, once a network partition heals. By then another node may hold the
+    authority, and the engine would change without an order of that node.
+    TCP_USER_TIMEOUT limits retransmission. SO_LINGER with timeout 0 discards
+    unsent data when the socket is closed, also when the process is killed.
     """
 
     def __init__(
@@ -102,10 +102,10 @@
         self.was_connected = False
 
     def after_connect(self, sock: Any) -> None:
-        """Sets the options, then checks the authority a last time.
+        """Sets the socket options, then calls ``before_send``.
 
-        Connecting takes time; between here and the first byte nothing
-        yields, so the check is as late as a check can be.
+        The authority may be lost while connecting. No greenlet switch occurs
+        between this check and the first byte, so it cannot run any later.
         """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
@@ -117,7 +117,7 @@
 
 
 class _OrderClient(geventhttpclient.HTTPClient):
-    """An HTTP client for one request on an ``_OrderConnection``."""
+    """An HTTP client that sends one request on an ``_OrderConnection``."""
 
     def __init__(self, address: fleet.Address, connection: _OrderConnection):
         super().__init__(address.ip, address.port)
@@ -134,17 +134,18 @@
     """Sends one order and waits for the engine's answer.
 
     Args:
-        address: Where the engine takes orders.
-        order: The recorded order.
-        user_timeout_s: How long its bytes may live unacknowledged; also the
-            bound on connecting and on each wait for the answer.
-        before_send: Called right before the first byte leaves; raises
+        address: The engine's address for orders.
+        order: The order, already recorded.
+        user_timeout_s: How long sent bytes may stay unacknowledged, in seconds;
+            also the timeout of the connect and of each read.
+        before_send: Called right before the first byte is sent; raises
             AuthorityLostError to stop the order.
 
     Returns:
-        The engine's acceptance, or: AuthorityLostError and
-        EngineUnreachableError when no byte left, OrderRefusedError when the
-        engine refused, OrderOutcomeUnknownError when nobody knows.
+        The engine's acceptance; AuthorityLostError or EngineUnreachableError
+        if no byte was sent; OrderRefusedError, or a more specific error, if the
+        engine refused the order; OrderOutcomeUnknownError if it is unknown
+        whether the engine accepted it.
     """
     answered = deliver(
         address,
@@ -156,7 +157,7 @@
     )
     if isinstance(answered, Err):
         return answered
-    return _interpret(order, *answered.ok_value)
+    return _parse_answer(order, *answered.ok_value)
 
 
 def deliver(
@@ -168,20 +169,20 @@
     user_timeout_s: float,
     before_send: Callable[[], None],
 ) -> Result[tuple[int, bytes], errors.EngineError | errors.AuthorityLostError]:
-    """Posts the body of an order once, and waits for the answer.
+    """Posts an encoded order once and waits for the answer.
 
     Args:
-        address: Where the engine takes orders.
-        path: The path that it takes them at.
-        body: The order, encoded.
-        headers: Its header fields.
+        address: The address to send it to.
+        path: The path to post it to.
+        body: The encoded order.
+        headers: Header fields of the request.
         user_timeout_s: See ``send_order``.
         before_send: See ``send_order``.
 
     Returns:
-        Status and body of the answer; AuthorityLostError and
-        EngineUnreachableError when no byte left, OrderOutcomeUnknownError
-        when nobody knows.
+        Status and body of the answer; AuthorityLostError or
+        EngineUnreachableError if no byte was sent; OrderOutcomeUnknownError if
+        the order may have been delivered but no answer was received.
     """
     connection = _OrderConnection(
         address, user_timeout_s=user_timeout_s, before_send=before_send
@@ -193,12 +194,12 @@
     except errors.AuthorityLostError as error:
         return Err(error)
     except (OSError, response.HTTPParseError) as error:
-        return Err(_lost(address, connection.was_connected, error))
+        return Err(_delivery_error(address, connection.was_connected, error))
     finally:
         client.close()
 
 
-def _lost(
+def _delivery_error(
     address: fleet.Address, was_connected: bool, error: Exception
 ) -> errors.EngineError:
     if was_connected:
@@ -206,8 +207,8 @@
     return errors.EngineUnreachableError(f"{address}: {error}")
 
 
-def _interpret(order: Order, status: int, body: bytes) -> OrderResult:
-    fields = _fields(body)
+def _parse_answer(order: Order, status: int, body: bytes) -> OrderResult:
+    fields = _parse_fields(body)
     if status in _ACCEPTED_STATUSES:
         state = str(fields.get("state", ""))
         return Ok(OrderAccepted(order.order_id, state))
@@ -215,7 +216,7 @@
     if status not in _REFUSED_STATUSES:
         return Err(
             errors.OrderOutcomeUnknownError(
-                f"order {order.order_id}: status {status}"
+                f"order {order.order_id}: unexpected status {status}"
             )
         )
     if kind == _BUSY:
@@ -223,7 +224,8 @@
     if kind == _STALE:
         return Err(
             errors.StaleFencingNumberError(
-                f"order {order.order_id}: {order.fencing_number} is old"
+                f"order {order.order_id}: fencing number"
+                f" {order.fencing_number} is stale"
             )
         )
     return Err(
@@ -231,7 +233,7 @@
     )
 
 
-def _fields(body: bytes) -> dict[str, Any]:
+def _parse_fields(body: bytes) -> dict[str, Any]:
     try:
         fields = json.loads(body)
     except ValueError:
--- a/src/mulberrywharf/engines/role_orders.py
+++ b/src/mulberrywharf/engines/role_orders.py
@@ -1,8 +1,8 @@
-"""Orders that change an engine's role, and what an engine says of itself.
+"""Sends role orders to engines and fetches their reports.
 
-How both are written is the dialect's; whether an order may leave is the
-authority's. Here an order is written once, on a connection whose bytes die
-with it.
+A ``RoleDialect`` defines the format of orders and reports; ``before_send``
+decides whether an order may be sent. An order is sent once, on a connection
+that delivers no bytes after it was closed.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,7 +14,7 @@
 from mulberrywharf.engines import orders
 
 REPORT_TIMEOUT_S = 0.5
-"""An engine that is alive reports within milliseconds."""
+"""A live engine answers a report request within milliseconds."""
 
 _REPORT_LIMIT_BYTES = 256 * 1024
 _ACCEPTED_STATUSES = (200, 202)
@@ -24,15 +24,15 @@
 
 
 class RoleOrder(NamedTuple):
-    """One order to one start of one engine.
+    """An order that changes the role of one started instance of an engine.
 
     Attributes:
-        server: The engine.
-        role: The role that it shall play.
-        holder: Who orders.
+        server: The engine instance.
+        role: The new role.
+        holder: Id of the VM that holds the authority to give role orders.
         number: The fencing number.
-        expected_count: Orders that it has accepted before; it refuses the
-            order if there were others meanwhile.
+        expected_count: Number of orders that the sender expects the engine to
+            have accepted so far; the engine refuses the order if it differs.
     """
 
     server: fleet.Server
@@ -43,15 +43,15 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     Attributes:
-        role: The role that it plays.
-        running_count: Requests that it works on.
-        waiting_count: Requests in its queue.
-        is_changing: Whether it carries out an order.
-        accepted_count: Orders that it has accepted since its start.
-        started_unix_ms: Its start, see ``fleet.ServerStart``.
+        role: Its current role.
+        running_count: Number of requests that it processes.
+        waiting_count: Number of requests in its queue.
+        is_changing: Whether it is executing an order.
+        accepted_count: Number of orders accepted since it started.
+        started_unix_ms: Start time of the engine, see ``fleet.ServerStart``.
     """
 
     role: fleet.Role
@@ -63,24 +63,29 @@
 
 
 class RoleDialect(Protocol):
-    """How engines are ordered and asked."""
+    """Format of role orders and reports on the wire.
+
+    Attributes:
+        report_request: The request that fetches a report.
+        order_path: URL path to which orders are posted.
+    """
 
     report_request: _exchange.Request
     order_path: str
 
     def encode_order(self, order: RoleOrder) -> tuple[bytes, Mapping[str, str]]:
-        """Returns the body and the header fields of an order."""
+        """Returns the body and header fields of an order."""
         ...
 
     def decode_report(
         self, server: fleet.Server, body: bytes
     ) -> Result[EngineReport, errors.EngineError]:
-        """Reads a report."""
+        """Parses a report."""
         ...
 
 
 class RoleClient:
-    """Speaks to engines about their roles."""
+    """Sends role orders to engines and fetches their reports."""
 
     def __init__(self, dialect: RoleDialect):
         self._dialect = dialect
@@ -88,7 +93,7 @@
     def report(
         self, server: fleet.Server
     ) -> Result[EngineReport, errors.EngineError]:
-        """Asks an engine how it is."""
+        """Fetches the report of an engine."""
         fetched = _exchange.fetch(
             server.address,
             self._dialect.report_request,
@@ -99,7 +104,7 @@
             return fetched
         answer, body = fetched.ok_value
         if answer.status_code != 200:
-            message = f"{server.address} reported {answer.status_code}"
+            message = f"{server.address}: report status {answer.status_code}"
             return Err(errors.AnswerLostError(message))
         return self._dialect.decode_report(server, body)
 
@@ -113,13 +118,15 @@
         """Sends an order once.
 
         Args:
-            order: The order, which is recorded already.
-            user_timeout_s: How long its bytes may live unacknowledged.
-            before_send: Called right before the first byte leaves; raises
+            order: The order, already recorded.
+            user_timeout_s: How long sent bytes may stay unacknowledged, in
+                seconds.
+            before_send: Called right before the first byte is sent; raises
                 AuthorityLostError to stop the order.
 
         Returns:
-            Nothing if the engine took it on, or as ``orders.send_order``.
+            None if the engine accepted the order; otherwise the same errors as
+            ``orders.send_order``.
         """
         body, headers = self._dialect.encode_order(order)
         answered = orders.deliver(
@@ -132,19 +139,19 @@
         )
         if isinstance(answered, Err):
             return answered
-        return _interpret(order, answered.ok_value[0])
+        return _check_status(order, answered.ok_value[0])
 
 
-def _interpret(
+def _check_status(
     order: RoleOrder, status: int
 ) -> Result[None, errors.EngineError | errors.AuthorityLostError]:
-    told = f"{order.server.address} answered {status} to an order"
+    message = f"{order.server.address} returned status {status} to an order"
     if status in _ACCEPTED_STATUSES:
         return Ok(None)
     if status == _BUSY_STATUS:
-        return Err(errors.EngineBusyError(told))
+        return Err(errors.EngineBusyError(message))
     if status == _STALE_STATUS:
-        return Err(errors.StaleFencingNumberError(told))
+        return Err(errors.StaleFencingNumberError(message))
     if status in _REFUSED_STATUSES:
-        return Err(errors.OrderRefusedError(told))
-    return Err(errors.OrderOutcomeUnknownError(told))
+        return Err(errors.OrderRefusedError(message))
+    return Err(errors.OrderOutcomeUnknownError(message))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Sending one order: what is known after each way in which it can end."""
+"""Tests of send_order: the result for each way in which it can end."""
 
 import socket
 import threading
@@ -15,7 +15,7 @@
 
 
 class _FakeEngine:
-    """Accepts one connection, reads the request and answers as told."""
+    """Accepts one connection, reads a request and sends a given answer."""
 
     def __init__(self, answer: bytes | None):
         self._answer = answer
@@ -60,7 +60,7 @@
 
 
 class SendOrderTest(unittest.TestCase):
-    def test_each_answer_has_its_type(self):
+    def test_each_unsuccessful_answer_maps_to_its_error(self):
         cases = (
             (
                 _answer("409 Conflict", '{"type":"stale-fencing-number"}'),
@@ -97,7 +97,7 @@
         self.assertIn(b'"fencing_number": 7', engine.received)
         engine.close()
 
-    def test_no_connection_means_that_nothing_left(self):
+    def test_refused_connection_means_that_no_byte_was_sent(self):
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
             address = fleet.Address(*closed.getsockname())
@@ -105,10 +105,10 @@
         self.assertIsInstance(result.err_value, errors.EngineUnreachableError)
 
     def test_authority_lost_while_connecting_stops_the_order(self):
-        """Connecting takes time, in which a lease may lapse.
+        """Guards against orders that are sent after the authority was lost.
 
-        Symptom: an order arrives after the authority has passed. Cause: the
-        lease was checked before the connection was made and not after.
+        The lease may expire while connecting, so checking it only before the
+        connect is too early.
         """
 
         def before_send() -> None:
@@ -121,21 +121,20 @@
         self.assertEqual(engine.received, b"")
 
     def test_giving_up_resets_the_connection(self):
-        """Bytes of an order must not outlive the exchange.
+        """Guards against delivery of an order after the sender gave it up.
 
-        Symptom: an engine changes long after the order was given up.
-        Sequence: a partition swallows the order, the sender gives up and
-        closes, the partition heals, the kernel sends what it still holds.
-        Linger 0 makes the close a reset that drops those bytes.
+        If a partition drops the order and heals after the sender has closed the
+        connection, the kernel would still send its buffered bytes. SO_LINGER
+        with timeout 0 makes the close a reset that discards them.
         """
         engine = _FakeEngine(None)
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         _send(engine.address)
         engine.close()
         self.assertTrue(engine.was_reset)
-        self.assertLess(time.monotonic() - begun_s, 5.0)
+        self.assertLess(time.monotonic() - started_s, 5.0)
 
-    def test_order_bytes_have_a_bounded_life_in_the_kernel(self):
+    def test_retransmission_of_an_order_is_limited(self):
         seen = []
 
         class Probe(orders._OrderConnection):
--- a/tests/test_role_orders.py
+++ b/tests/test_role_orders.py
@@ -1,4 +1,4 @@
-"""Orders of roles by real gateways: one holder, and who follows it."""
+"""Tests of role orders sent by gateway processes."""
 
 import json
 import signal
@@ -11,11 +11,14 @@
 
 TURN_S = 3.0
 TURN_MS = TURN_S * 1000
+"""Least time between orders of two VMs to the same engine."""
+
 PREFILL_S = 0.06
-"""A prompt keeps the one prefill engine busy for so long."""
+"""Prefill time of one prompt on the only prefill engine."""
 
 CALL_PAUSE_S = 0.04
-"""Between two prompts: together they want more than one prefill engine."""
+"""Pause between two prompts. It is shorter than PREFILL_S, so that one prefill
+engine cannot keep up."""
 
 LIMIT_S = 40.0
 
@@ -31,18 +34,18 @@
 
     def orders(self) -> list[tuple[float, dict[str, Any]]]:
         engines = [self.prefill, *self.decodes]
-        taken = [order for engine in engines for order in engine.orders]
-        return sorted(taken, key=lambda one: one[0])
+        accepted = [order for engine in engines for order in engine.orders]
+        return sorted(accepted, key=lambda one: one[0])
 
-    def call_on(self) -> None:
-        """Sends prompts to whichever gateway is alive."""
+    def send_calls(self) -> None:
+        """Sends prompts to each running gateway at intervals, forever."""
         while True:
             for process in self.gateways:
                 if process.poll() is None:
-                    gevent.spawn(self.call, process)
+                    gevent.spawn(self.send_call, process)
             gevent.sleep(CALL_PAUSE_S)
 
-    def call(self, process: processes.Process) -> None:
+    def send_call(self, process: processes.Process) -> None:
         address = ("127.0.0.1", process.ready["callers"])
         try:
             with gevent.socket.create_connection(address) as sock:
@@ -54,24 +57,28 @@
                 )
                 test_gateway.read_to_end(sock)
         except OSError:
-            # The gateway was killed; its callers are not looked at here.
+            # The gateway was killed; this test ignores failed calls.
             return
 
-    def begin(self, vm_id: str) -> processes.Process:
-        made = self.start(vm_id, roles={"turn_ms": TURN_MS})
-        self.gateways.append(made)
-        return made
+    def start_gateway(self, vm_id: str) -> processes.Process:
+        process = self.start(vm_id, roles={"turn_ms": TURN_MS})
+        self.gateways.append(process)
+        return process
 
-    def test_who_follows_a_killed_holder_orders_later_and_higher(self) -> None:
-        """An engine gets orders of two VMs within the time of a lease.
+    def test_successor_of_a_killed_holder_waits_and_uses_a_higher_token(
+        self,
+    ) -> None:
+        """Guards against orders from two VMs less than TURN_S apart.
 
-        Sequence: the VM that orders is killed just after an order; another
-        one takes over, and the fleet still wants another split. Cause:
-        whoever found the lease gone ordered at once, while bytes of the last
-        order could still be on their way.
+        The VM that holds the authority is killed just after an order, while
+        the load still requires another role split. If its successor sent an
+        order as soon as it found the lease free, bytes of the last order could
+        still be in transit.
         """
-        by_vm = {name: self.begin(name) for name in ("entry-1", "entry-2")}
-        calling = gevent.spawn(self.call_on)
+        by_vm = {
+            name: self.start_gateway(name) for name in ("entry-1", "entry-2")
+        }
+        calling = gevent.spawn(self.send_calls)
         self.addCleanup(calling.kill)
         self.assertTrue(builders_platform.wait_until(self.orders, LIMIT_S))
         _, first = self.orders()[0]
@@ -100,9 +107,9 @@
         self.assertGreaterEqual(second_s - last_s, TURN_S)
         self.assertEqual(first["stage"], "prefill")
 
-    def test_without_the_setting_nothing_is_ordered(self) -> None:
+    def test_no_role_orders_without_the_setting(self) -> None:
         self.gateways.append(self.start())
-        calling = gevent.spawn(self.call_on)
+        calling = gevent.spawn(self.send_calls)
         self.addCleanup(calling.kill)
         builders_platform.wait_until(self.orders, 8.0)
         self.assertEqual(self.orders(), [])
