--- a/src/mulberrywharf/engines/orders.py
+++ b/src/mulberrywharf/engines/orders.py
@@ -104,8 +104,9 @@
     def after_connect(self, sock: Any) -> None:
         """Sets the socket options, then calls ``before_send``.
 
-        The authority may be lost while connecting. No greenlet switch occurs
-        between this check and the first byte, so it cannot run any later.
+        Connecting takes time, in which the authority may be lost.
+        ``before_send`` checks it as late as possible: no greenlet switch occurs
+        between it and the first byte.
         """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
