--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -78,7 +78,7 @@
 class Reports(Protocol):
     """Carries what gateways know to each other."""
 
-    def on_told(self, callback: Callable[[int], None]) -> None:
+    def on_report(self, callback: Callable[[int], None]) -> None:
         """Calls back with the fingerprint of each request that is told of."""
         ...
 
@@ -86,7 +86,7 @@
         """Tells what is known of a request, to all."""
         ...
 
-    def tell_cleared(self, fingerprint: int) -> None:
+    def broadcast_cleared(self, fingerprint: int) -> None:
         """Tells that a request ended whole."""
         ...
 
@@ -110,13 +110,13 @@
 class Alone:
     """Tells nobody and keeps nothing, for nodes without either."""
 
-    def on_told(self, callback: Callable[[int], None]) -> None:
+    def on_report(self, callback: Callable[[int], None]) -> None:
         """Nobody tells."""
 
     def tell(self, fingerprint: int) -> None:
         """Tells nobody."""
 
-    def tell_cleared(self, fingerprint: int) -> None:
+    def broadcast_cleared(self, fingerprint: int) -> None:
         """Tells nobody."""
 
     def on_read(self, callback: Callable[[], None]) -> None:
@@ -159,7 +159,7 @@
         self._records = records
         self._starts_are_told = starts_are_told
         self._blocked: frozenset[int] = frozenset()
-        reports.on_told(self._on_told)
+        reports.on_report(self._on_report)
         records.on_read(self._refresh)
         self._clock = system_clock
 
@@ -232,7 +232,7 @@
         fingerprint = wanted.fingerprint()
         now_s = self._clock.monotonic_s()
         if self._suspects.note_whole(fingerprint, now_s):
-            self._reports.tell_cleared(fingerprint)
+            self._reports.broadcast_cleared(fingerprint)
             self._records.remove(fingerprint)
 
     def broke_off(self, run: Run, *, made_output: bool) -> None:
@@ -273,7 +273,7 @@
             made_output=made_output,
             ends_count=len(self._suspects.ends(fingerprint, ended_s)),
         ).warning("a server ended while it worked on a request")
-        self._on_told(fingerprint)
+        self._on_report(fingerprint)
         if fingerprint in self._blocked:
             self._records.write_soon()
 
@@ -282,7 +282,7 @@
             return codec.key_of_server(start)
         return codec.key_of(f"{start} {ended_s}")
 
-    def _on_told(self, fingerprint: int) -> None:
+    def _on_report(self, fingerprint: int) -> None:
         now_s = self._clock.monotonic_s()
         ends_count = len(self._suspects.ends(fingerprint, now_s))
         if ends_count >= crash_suspects.SURE_ENDS_COUNT:
--- a/src/mulberrywharf/peers/crash_codec.py
+++ b/src/mulberrywharf/peers/crash_codec.py
@@ -1,4 +1,4 @@
-"""Reports on servers that ended to datagrams and back, by Cap'n Proto."""
+"""Encodes and decodes reports on server exits with Cap'n Proto."""
 
 import pathlib
 from typing import NamedTuple
@@ -9,8 +9,8 @@
 from mulberrywharf import errors
 
 ENDS_LIMIT_COUNT = 48
-"""Ends in one report, some 20 bytes each as they are packed: a datagram that
-holds them all is sent unfragmented."""
+"""Maximum number of server exits in one report. Each takes about 20 bytes
+packed, so that the datagram is not fragmented."""
 
 _UINT32_LIMIT = 0xFFFFFFFF
 _MS_PER_S = 1000.0
@@ -19,14 +19,14 @@
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("crash.capnp")))
 
 
-class ToldEnd(NamedTuple):
-    """A server that ended while it worked on a request.
+class ReportedEnd(NamedTuple):
+    """The exit of a server while it processed a request.
 
     Attributes:
-        fingerprint: Of the request.
-        server_key: See ``codec.key_of_server``.
-        made_output: Whether any of the answer had come.
-        age_s: How long ago it ended.
+        fingerprint: Fingerprint of the request.
+        server_key: Key of the server process, see ``codec.key_of_server``.
+        made_output: Whether any part of the answer had arrived.
+        age_s: Time since the exit.
     """
 
     fingerprint: int
@@ -36,22 +36,22 @@
 
 
 class CrashReport(NamedTuple):
-    """What a gateway tells of servers that ended.
+    """A report on server exits from one gateway to others.
 
     Attributes:
-        ends: The ends.
-        cleared: Fingerprints of requests that ended whole since.
-        is_reply: Whether it answers a report on a request that the sender
-            has blocked already.
+        ends: The server exits.
+        cleared: Fingerprints of requests that have completed since.
+        is_reply: Whether this replies to a report on a request that the
+            sender already blocks.
     """
 
-    ends: tuple[ToldEnd, ...] = ()
+    ends: tuple[ReportedEnd, ...] = ()
     cleared: tuple[int, ...] = ()
     is_reply: bool = False
 
 
 def encode(report: CrashReport) -> bytes:
-    """Returns a report as the bytes of a datagram."""
+    """Encodes a report as a datagram."""
     message = _SCHEMA.CrashReport.new_message()
     message.cleared = list(report.cleared)
     message.isReply = report.is_reply
@@ -65,17 +65,17 @@
 
 
 def decode(datagram: bytes) -> Result[CrashReport, errors.BadFrameError]:
-    """Reads the bytes of a datagram.
+    """Decodes a datagram.
 
     Returns:
-        The report, or why it is none.
+        The report, or an error if the datagram is invalid.
     """
     try:
         message = _SCHEMA.CrashReport.from_bytes_packed(datagram)
         return Ok(
             CrashReport(
                 tuple(
-                    ToldEnd(
+                    ReportedEnd(
                         wire.request,
                         wire.server,
                         wire.madeOutput,
@@ -88,4 +88,4 @@
             )
         )
     except (capnp.KjException, ValueError) as error:
-        return Err(errors.BadFrameError(f"no report on ends: {error}"))
+        return Err(errors.BadFrameError(f"invalid crash report: {error}"))
--- a/src/mulberrywharf/peers/crash_reports.py
+++ b/src/mulberrywharf/peers/crash_reports.py
@@ -1,12 +1,13 @@
-"""Gateways tell each other under which requests servers ended.
+"""Shares between gateways which requests servers were processing on exit.
 
-A request that ends servers comes again at any gateway. Each one would lose
-servers of its own before it knows.
+A client may retry a request that crashes servers at any gateway. Without
+reports, each gateway would lose servers of its own before it blocks the
+request.
 
-A datagram may be lost, and a gateway may be cut off or begin later. So what
-concerns a request under which two servers have ended is told again, and
-whoever tells of one that others have blocked already gets it from some of
-them.
+A datagram may be lost, and a gateway may be partitioned or start later. A
+report on a request during which two servers exited is therefore repeated. A
+gateway that reports on a request which other gateways already block receives
+their records of it from some of them.
 """
 
 import random
@@ -21,15 +22,17 @@
 from mulberrywharf.peers import crash_codec, datagrams
 from mulberrywharf.policy import crash_suspects
 
-COLLECTING_S = 0.002
-"""Everything that a server was working on breaks off at the same moment."""
+BATCH_DELAY_S = 0.002
+"""Delay before pending reports are sent together. All requests at a server fail
+at the same time when it exits."""
 
-TOLD_AGAIN_S = (0.3, 1.5)
-"""How long behind the first time a request is told of again. Operators allow
-gateways 3 s to know."""
+REPEAT_DELAYS_S = (0.3, 1.5)
+"""Delays after the first report on a request at which it is repeated. Operators
+require that all gateways block the request within 3 s."""
 
-REPLIES_COUNT = 3
-"""Gateways that answer a report on a request which is blocked, on the mean."""
+MEAN_REPLIES_COUNT = 3
+"""Mean number of gateways that reply to a report on a request that they block.
+Each one replies at random."""
 
 
 class Peers(Protocol):
@@ -37,16 +40,16 @@
 
     @property
     def gateways_count(self) -> int:
-        """All gateways, this one included."""
+        """Number of gateways, including this one."""
         ...
 
     def all_addresses(self) -> tuple[fleet.Address, ...]:
-        """Returns where the others take datagrams."""
+        """Returns the datagram addresses of the other gateways."""
         ...
 
 
 class CrashReports:
-    """Tells the others, and takes in what they tell."""
+    """Sends reports to the other gateways and applies theirs."""
 
     def __init__(
         self,
@@ -54,75 +57,81 @@
         socket: datagrams.PeerSocket,
         suspects: crash_suspects.CrashSuspects,
         system_clock: clock.Clock,
-        later: Callable[..., object] = gevent.spawn_later,
+        call_later: Callable[..., object] = gevent.spawn_later,
     ):
-        """Makes it; hooks it to the socket, whose owner starts it.
+        """Creates it and registers it with the socket.
 
         Args:
             peers: The other gateways.
-            socket: Carries the reports.
-            suspects: Takes in what the others tell.
+            socket: Carries the reports; the caller starts it.
+            suspects: Receives the server exits that other gateways report.
             system_clock: Measures ages.
-            later: Calls a function with arguments after some seconds.
+            call_later: Calls a function with arguments after a delay in
+                seconds.
         """
-        self._later = later
+        self._call_later = call_later
         self._peers = peers
         self._socket = socket
         self._suspects = suspects
         self._clock = system_clock
-        self._pending: dict[tuple[int, int], crash_codec.ToldEnd] = {}
+        self._pending: dict[tuple[int, int], crash_codec.ReportedEnd] = {}
         self._cleared: set[int] = set()
-        self._is_due = False
-        self._on_told: Callable[[int], None] = lambda _: None
-        socket.on_datagram(b"c", self._take)
+        self._is_send_scheduled = False
+        self._on_report: Callable[[int], None] = lambda _: None
+        socket.on_datagram(b"c", self._on_datagram)
 
-    def on_told(self, callback: Callable[[int], None]) -> None:
-        """Calls back with the fingerprint of each request that is told of."""
-        self._on_told = callback
+    def on_report(self, callback: Callable[[int], None]) -> None:
+        """Sets the callback for new server exits from other gateways.
+
+        Args:
+            callback: Called with the fingerprint of the request.
+        """
+        self._on_report = callback
 
     def tell(self, fingerprint: int) -> None:
-        """Tells what is known of a request, to all.
+        """Sends the known server exits during a request to all gateways.
 
         Args:
-            fingerprint: Of the request; a server ended under it here.
+            fingerprint: Fingerprint of a request during which this gateway
+                saw a server exit.
         """
-        self._add(fingerprint)
+        self._enqueue(fingerprint)
         now_s = self._clock.monotonic_s()
         ends = self._suspects.ends(fingerprint, now_s)
         if len(ends) >= crash_suspects.SURE_ENDS_COUNT:
-            for pause_s in TOLD_AGAIN_S:
-                self._later(pause_s, self._add, fingerprint)
+            for delay_s in REPEAT_DELAYS_S:
+                self._call_later(delay_s, self._enqueue, fingerprint)
 
-    def tell_cleared(self, fingerprint: int) -> None:
-        """Tells that a request ended whole."""
+    def broadcast_cleared(self, fingerprint: int) -> None:
+        """Informs all gateways that a request has completed."""
         self._cleared.add(fingerprint)
-        self._send_soon()
+        self._schedule_send()
 
-    def _add(self, fingerprint: int) -> None:
-        for told in self._told_ends(fingerprint):
-            self._pending[told.fingerprint, told.server_key] = told
-        self._send_soon()
+    def _enqueue(self, fingerprint: int) -> None:
+        for end in self._known_ends(fingerprint):
+            self._pending[end.fingerprint, end.server_key] = end
+        self._schedule_send()
 
-    def _told_ends(self, fingerprint: int) -> list[crash_codec.ToldEnd]:
+    def _known_ends(self, fingerprint: int) -> list[crash_codec.ReportedEnd]:
         now_s = self._clock.monotonic_s()
         return [
-            crash_codec.ToldEnd(
+            crash_codec.ReportedEnd(
                 fingerprint, end.server_key, end.made_output, now_s - end.at_s
             )
             for end in self._suspects.ends(fingerprint, now_s)
         ]
 
-    def _send_soon(self) -> None:
-        if not self._is_due:
-            self._is_due = True
-            self._later(COLLECTING_S, self._send)
+    def _schedule_send(self) -> None:
+        if not self._is_send_scheduled:
+            self._is_send_scheduled = True
+            self._call_later(BATCH_DELAY_S, self._send)
 
     def _send(self) -> None:
         pending, self._pending = list(self._pending.values()), {}
         cleared, self._cleared = tuple(self._cleared), set()
-        self._is_due = False
-        for some in _split(pending) or [()]:
-            report = crash_codec.CrashReport(some, cleared)
+        self._is_send_scheduled = False
+        for batch in _split(pending) or [()]:
+            report = crash_codec.CrashReport(batch, cleared)
             self._send_to(report, self._peers.all_addresses())
             cleared = ()
 
@@ -131,10 +140,12 @@
     ) -> None:
         self._socket.send(b"c", crash_codec.encode(report), peers)
 
-    def _take(self, datagram: bytes, source: fleet.Address) -> bool:
+    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
         decoded = crash_codec.decode(datagram)
         if isinstance(decoded, Err):
-            logger.warning("report dropped: {}", decoded.err_value.message)
+            logger.warning(
+                "invalid crash report dropped: {}", decoded.err_value.message
+            )
             return False
         report = decoded.ok_value
         now_s = self._clock.monotonic_s()
@@ -142,40 +153,46 @@
             self._suspects.note_whole(fingerprint, now_s)
         if not report.is_reply:
             self._reply(report, source)
-        for told in report.ends:
+        for reported in report.ends:
             end = crash_suspects.End(
-                told.server_key, told.made_output, now_s - told.age_s
+                reported.server_key,
+                reported.made_output,
+                now_s - reported.age_s,
             )
-            if self._suspects.note_end(told.fingerprint, end):
-                self._on_told(told.fingerprint)
+            if self._suspects.note_end(reported.fingerprint, end):
+                self._on_report(reported.fingerprint)
         return True
 
     def _reply(
         self, report: crash_codec.CrashReport, source: fleet.Address
     ) -> None:
-        """Tells a gateway what is known of a request that is blocked here."""
+        """Sends the known server exits during requests that are blocked here.
+
+        Only reports with a server exit that is new to this gateway get a
+        reply.
+        """
         now_s = self._clock.monotonic_s()
-        found: list[crash_codec.ToldEnd] = []
-        for fingerprint in {told.fingerprint for told in report.ends}:
+        found: list[crash_codec.ReportedEnd] = []
+        for fingerprint in {end.fingerprint for end in report.ends}:
             is_new = any(
-                told.fingerprint == fingerprint
-                and not self._suspects.has_end(fingerprint, told.server_key)
-                for told in report.ends
+                end.fingerprint == fingerprint
+                and not self._suspects.has_end(fingerprint, end.server_key)
+                for end in report.ends
             )
             if is_new and self._suspects.is_blocked(fingerprint, now_s):
-                found += self._told_ends(fingerprint)
-        if found and random.random() < REPLIES_COUNT / max(
+                found += self._known_ends(fingerprint)
+        if found and random.random() < MEAN_REPLIES_COUNT / max(
             1, self._peers.gateways_count - 1
         ):
-            for some in _split(found):
-                reply = crash_codec.CrashReport(some, is_reply=True)
+            for batch in _split(found):
+                reply = crash_codec.CrashReport(batch, is_reply=True)
                 self._send_to(reply, (source,))
 
 
 def _split(
-    ends: Iterable[crash_codec.ToldEnd],
-) -> list[tuple[crash_codec.ToldEnd, ...]]:
-    """Returns the ends in parts that a datagram holds."""
-    told = tuple(ends)
-    step = crash_codec.ENDS_LIMIT_COUNT
-    return [told[at : at + step] for at in range(0, len(told), step)]
+    ends: Iterable[crash_codec.ReportedEnd],
+) -> list[tuple[crash_codec.ReportedEnd, ...]]:
+    """Splits server exits into batches that each fit into one datagram."""
+    all_ends = tuple(ends)
+    size = crash_codec.ENDS_LIMIT_COUNT
+    return [all_ends[at : at + size] for at in range(0, len(all_ends), size)]
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""Gateways tell each other under which requests servers ended."""
+"""Tests the reports between gateways on server exits during requests."""
 
 import unittest
 
@@ -11,40 +11,46 @@
 from tests import builders_platform
 from tests.test_peers import KnownPeers
 
-CULPRIT = 2**64 - 5
+FINGERPRINT = 2**64 - 5
 
 
-def told(server_key: int = 7, **changes: object) -> crash_codec.ToldEnd:
-    made = crash_codec.ToldEnd(CULPRIT, server_key, False, 0.25)
-    return made._replace(**changes)
+def reported_end(
+    server_key: int = 7, **changes: object
+) -> crash_codec.ReportedEnd:
+    end = crash_codec.ReportedEnd(FINGERPRINT, server_key, False, 0.25)
+    return end._replace(**changes)
 
 
 class CodecTest(unittest.TestCase):
     def test_round_trip(self) -> None:
         report = crash_codec.CrashReport(
-            (told(), told(8, made_output=True)), (3, 2**63), is_reply=True
+            (reported_end(), reported_end(8, made_output=True)),
+            (3, 2**63),
+            is_reply=True,
         )
         encoded = crash_codec.encode(report)
         self.assertEqual(crash_codec.decode(encoded).unwrap(), report)
 
-    def test_a_full_report_fits_a_datagram(self) -> None:
+    def test_a_full_report_fits_into_a_datagram(self) -> None:
         ends = tuple(
-            told(2**32 - 1 - number, made_output=True, age_s=4e6)
+            reported_end(2**32 - 1 - number, made_output=True, age_s=4e6)
             for number in range(crash_codec.ENDS_LIMIT_COUNT)
         )
         encoded = crash_codec.encode(crash_codec.CrashReport(ends))
         sealed = datagrams.seal(b"c", encoded)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
-    def test_a_cut_report_is_an_error(self) -> None:
-        whole = crash_codec.encode(crash_codec.CrashReport((told(),), (3,)))
+    def test_a_truncated_report_is_an_error(self) -> None:
+        whole = crash_codec.encode(
+            crash_codec.CrashReport((reported_end(),), (3,))
+        )
         for cut in range(len(whole)):
             decoded = crash_codec.decode(whole[:cut])
             self.assertIsInstance(decoded, Err, cut)
 
 
-class AllPeers(KnownPeers):
-    """Peers that lose the first datagrams to them."""
+class LossyPeers(KnownPeers):
+    """Peers to which the first ``lost_count`` datagrams are lost."""
 
     lost_count = 0
 
@@ -56,11 +62,11 @@
 
 
 class Gateway:
-    """What one gateway knows and tells."""
+    """The state of one gateway and the reports that it sends."""
 
     def __init__(self, address: fleet.Address, other: fleet.Address):
         system_clock = clock.SystemClock()
-        self.peers = AllPeers(other)
+        self.peers = LossyPeers(other)
         self.socket = datagrams.PeerSocket(address, self.peers, system_clock)
         self.suspects = crash_suspects.CrashSuspects()
         self.reports = crash_reports.CrashReports(
@@ -74,72 +80,76 @@
     def close(self) -> None:
         self.socket.close()
 
-    def sees_end(self, server_key: int) -> None:
+    def report_end(self, server_key: int) -> None:
         now_s = self._clock.monotonic_s()
         end = crash_suspects.End(server_key, False, now_s)
-        self.suspects.note_end(CULPRIT, end)
-        self.reports.tell(CULPRIT)
+        self.suspects.note_end(FINGERPRINT, end)
+        self.reports.tell(FINGERPRINT)
 
-    def blocks(self) -> bool:
-        return self.suspects.is_blocked(CULPRIT, self._clock.monotonic_s())
+    def is_blocking(self) -> bool:
+        return self.suspects.is_blocked(FINGERPRINT, self._clock.monotonic_s())
 
 
 class ReportsTest(unittest.TestCase):
     def setUp(self) -> None:
-        one_at, two_at = (
+        first_address, second_address = (
             fleet.Address("127.0.0.1", builders_platform.closed_port())
             for _ in range(2)
         )
-        self.one = Gateway(one_at, two_at)
-        self.two = Gateway(two_at, one_at)
-        for gateway in (self.one, self.two):
+        self.first = Gateway(first_address, second_address)
+        self.second = Gateway(second_address, first_address)
+        for gateway in (self.first, self.second):
             gateway.start()
             self.addCleanup(gateway.close)
 
-    def assert_told(self, gateway: Gateway) -> None:
-        self.assertTrue(builders_platform.wait_until(gateway.blocks, 2.5))
-
-    def test_ends_at_two_gateways_add_up(self) -> None:
-        """Each gateway loses servers of its own to the same request."""
-        self.one.sees_end(1)
-        self.two.sees_end(2)
-        self.assert_told(self.one)
-        self.assert_told(self.two)
-
-    def test_a_lost_datagram_is_made_up_for(self) -> None:
-        """One gateway goes on sending what the others have blocked."""
-        self.one.peers.lost_count = 2
-        self.one.sees_end(1)
-        self.one.sees_end(2)
-        self.assert_told(self.two)
-
-    def test_who_began_later_is_told_by_the_others(self) -> None:
-        """A gateway that has just started loses servers one by one."""
-        self.one.peers.lost_count = 9
-        self.one.sees_end(1)
-        self.one.sees_end(2)
+    def assert_blocking(self, gateway: Gateway) -> None:
+        self.assertTrue(builders_platform.wait_until(gateway.is_blocking, 2.5))
+
+    def test_exits_seen_by_two_gateways_add_up(self) -> None:
+        """Guards against each gateway losing servers to the same request."""
+        self.first.report_end(1)
+        self.second.report_end(2)
+        self.assert_blocking(self.first)
+        self.assert_blocking(self.second)
+
+    def test_a_lost_report_is_repeated(self) -> None:
+        """Guards against a gateway that keeps sending a blocked request."""
+        self.first.peers.lost_count = 2
+        self.first.report_end(1)
+        self.first.report_end(2)
+        self.assert_blocking(self.second)
+
+    def test_reply_informs_a_gateway_that_missed_the_reports(self) -> None:
+        """Guards against a new gateway losing servers to a blocked request."""
+        self.first.peers.lost_count = 9
+        self.first.report_end(1)
+        self.first.report_end(2)
         gevent.sleep(0.1)
-        self.two.sees_end(3)
-        self.assert_told(self.two)
-
-    def test_who_ended_whole_elsewhere_is_cleared(self) -> None:
-        self.one.sees_end(1)
-        self.one.sees_end(2)
-        self.assert_told(self.two)
-        self.two.suspects.note_whole(CULPRIT, clock.SystemClock().monotonic_s())
-        self.two.reports.tell_cleared(CULPRIT)
+        self.second.report_end(3)
+        self.assert_blocking(self.second)
+
+    def test_request_completed_at_another_gateway_is_cleared(self) -> None:
+        self.first.report_end(1)
+        self.first.report_end(2)
+        self.assert_blocking(self.second)
+        self.second.suspects.note_whole(
+            FINGERPRINT, clock.SystemClock().monotonic_s()
+        )
+        self.second.reports.broadcast_cleared(FINGERPRINT)
         self.assertTrue(
-            builders_platform.wait_until(lambda: not self.one.blocks(), 2.5)
+            builders_platform.wait_until(
+                lambda: not self.first.is_blocking(), 2.5
+            )
         )
 
-    def test_two_that_know_the_same_do_not_answer_each_other(self) -> None:
-        for gateway in (self.one, self.two):
-            gateway.sees_end(1)
-            gateway.sees_end(2)
+    def test_gateways_with_the_same_records_do_not_reply(self) -> None:
+        for gateway in (self.first, self.second):
+            gateway.report_end(1)
+            gateway.report_end(2)
         gevent.sleep(2.0)
-        before = [one.socket.budget.level for one in (self.one, self.two)]
+        before = [one.socket.budget.level for one in (self.first, self.second)]
         gevent.sleep(0.3)
-        after = [one.socket.budget.level for one in (self.one, self.two)]
+        after = [one.socket.budget.level for one in (self.first, self.second)]
         self.assertGreaterEqual(after, before)
 
 
