--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -1,7 +1,7 @@
-"""Which requests servers were working on when they ended.
+"""Blocks requests that crash the servers that process them.
 
-A request under which servers end one after the other is blocked: it gets an
-answer at once and is sent to none.
+When several servers exit while processing the same request, the request is
+blocked: it is rejected immediately and sent to no server.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,8 +14,9 @@
 from mulberrywharf.peers import codec
 from mulberrywharf.policy import crash_suspects
 
-KNOWN_WITHIN_S = 0.05
-"""A VM that lives refuses a connection within some ms."""
+PROBE_WAIT_S = 0.05
+"""How long a request waits for the result of a probe. A running VM refuses a
+connection within a few milliseconds."""
 
 _PENDING_RESULT_TIMEOUT_S = 0.01
 """Time to process a probe result that is already pending."""
@@ -38,22 +39,22 @@
 
     @property
     def request_id(self) -> str:
-        """Names this attempt of the caller."""
+        """Identifies this attempt of the caller."""
         ...
 
     def fingerprint(self) -> int:
-        """Returns 64 bits that are equal when the same is asked again."""
+        """Returns 64 bits that are the same when the request is repeated."""
         ...
 
 
 class Run(NamedTuple):
-    """A request that a server works on.
+    """A request that was sent to a server.
 
     Attributes:
         wanted: The request.
-        start: The server's start.
+        start: The server process.
         address: Where the server listens.
-        began_s: Monotonic instant at which it was sent, None if not known.
+        began_s: Monotonic time at which it was sent, None if unknown.
     """
 
     wanted: Request
@@ -63,10 +64,10 @@
 
 
 def may_be_crash(error: errors.EngineError) -> bool:
-    """Tells whether an exchange may have failed so because its server ended.
+    """Returns whether an exchange may have failed by the exit of its server.
 
-    A server that ends closes its connections; one that falls silent, or sends
-    another answer, is there still.
+    The connections of a server close when it exits. A peer that stops
+    responding or sends another request's answer has not exited.
     """
     return isinstance(
         error, errors.AnswerLostError | errors.StreamBrokenError
@@ -76,61 +77,61 @@
 
 
 class Reports(Protocol):
-    """Carries what gateways know to each other."""
+    """Exchanges reports on server exits with the other gateways."""
 
     def on_report(self, callback: Callable[[int], None]) -> None:
-        """Calls back with the fingerprint of each request that is told of."""
+        """Sets the callback for new server exits from other gateways."""
         ...
 
     def tell(self, fingerprint: int) -> None:
-        """Tells what is known of a request, to all."""
+        """Sends the known server exits during a request to all gateways."""
         ...
 
     def broadcast_cleared(self, fingerprint: int) -> None:
-        """Tells that a request ended whole."""
+        """Informs all gateways that a request has completed."""
         ...
 
 
 class Records(Protocol):
-    """Keeps what is blocked for gateways that begin."""
+    """Stores which requests are blocked, for gateways that start later."""
 
     def on_read(self, callback: Callable[[], None]) -> None:
-        """Calls back each time that they were read."""
+        """Sets the callback that runs after each read of the records."""
         ...
 
     def write_soon(self) -> None:
-        """Lets what is blocked be written, unless it is there already."""
+        """Schedules an update that writes missing records."""
         ...
 
     def remove(self, fingerprint: int) -> None:
-        """Lets the record of a request that is cleared go."""
+        """Deletes the record of a request that is no longer suspected."""
         ...
 
 
 class Alone:
-    """Tells nobody and keeps nothing, for nodes without either."""
+    """Reports and records that do nothing, for nodes without either."""
 
     def on_report(self, callback: Callable[[int], None]) -> None:
-        """Nobody tells."""
+        """Ignores the callback, as there are no reports."""
 
     def tell(self, fingerprint: int) -> None:
-        """Tells nobody."""
+        """Does nothing."""
 
     def broadcast_cleared(self, fingerprint: int) -> None:
-        """Tells nobody."""
+        """Does nothing."""
 
     def on_read(self, callback: Callable[[], None]) -> None:
-        """Nothing is read."""
+        """Ignores the callback, as there are no records."""
 
     def write_soon(self) -> None:
-        """Writes nothing."""
+        """Does nothing."""
 
     def remove(self, fingerprint: int) -> None:
-        """Removes nothing."""
+        """Does nothing."""
 
 
 class CrashWatch:
-    """Takes in which exchanges broke off, and blocks requests."""
+    """Detects server exits during requests and blocks suspected requests."""
 
     def __init__(
         self,
@@ -140,24 +141,25 @@
         records: Records,
         system_clock: clock.Clock,
         *,
-        starts_are_told: bool = True,
+        restarts_are_visible: bool = True,
     ):
-        """Makes it; hooks it to the reports.
+        """Creates it and registers it with the reports and the records.
 
         Args:
-            ends: Tells ends of servers from lost answers.
-            suspects: Remembers what ended under which request.
-            reports: Tells the other gateways.
-            records: Keeps what is blocked.
+            ends: Distinguishes server exits from lost connections.
+            suspects: Remembers the server exits during each request.
+            reports: Exchanges server exits with the other gateways.
+            records: Stores the blocked requests.
             system_clock: Measures ages.
-            starts_are_told: Whether a server that starts again has another
-                start. Without it each end counts for itself.
+            restarts_are_visible: Whether the ``ServerStart`` of a server
+                changes when it restarts. If not, each exit counts as that of
+                a different server.
         """
         self._ends = ends
         self._suspects = suspects
         self._reports = reports
         self._records = records
-        self._starts_are_told = starts_are_told
+        self._restarts_are_visible = restarts_are_visible
         self._blocked: frozenset[int] = frozenset()
         reports.on_report(self._on_report)
         records.on_read(self._refresh)
@@ -165,23 +167,29 @@
 
     @classmethod
     def of_node_alone(cls, system_clock: clock.Clock) -> "CrashWatch":
-        """Makes one for a node that tells nobody, of servers by their ids."""
-        prober = server_ends.Connector(_CONNECT_TIMEOUT_S)
-        alone = Alone()
+        """Creates one for a node without reports and records.
+
+        Such a node knows servers only by their IDs.
+
+        Args:
+            system_clock: Measures ages.
+        """
+        prober = server_ends.TcpProber(_CONNECT_TIMEOUT_S)
+        no_peers = Alone()
         return cls(
             server_ends.ServerEnds(prober, system_clock),
             crash_suspects.CrashSuspects(),
-            alone,
-            alone,
+            no_peers,
+            no_peers,
             system_clock,
-            starts_are_told=False,
+            restarts_are_visible=False,
         )
 
     def check(self, wanted: Request) -> None:
-        """Lets a request pass that is not blocked.
+        """Rejects a blocked request.
 
         Raises:
-            CrashingRequestError: It is blocked.
+            CrashingRequestError: The request is blocked.
         """
         if self._suspects.is_empty:
             return
@@ -195,7 +203,7 @@
         )
 
     def is_blocked(self, wanted: Request) -> bool:
-        """Tells whether a request must not be sent to another server."""
+        """Returns whether a request must not be sent to another server."""
         now_s = self._clock.monotonic_s()
         return not self._suspects.is_empty and self._suspects.is_blocked(
             wanted.fingerprint(), now_s
@@ -228,7 +236,7 @@
         return alive if len(alive) > 1 else []
 
     def ended_whole(self, wanted: Request) -> None:
-        """Notes that a server answered a request to its end."""
+        """Records that a server answered a request completely."""
         fingerprint = wanted.fingerprint()
         now_s = self._clock.monotonic_s()
         if self._suspects.note_whole(fingerprint, now_s):
@@ -236,23 +244,23 @@
             self._records.remove(fingerprint)
 
     def broke_off(self, run: Run, *, made_output: bool) -> None:
-        """Notes that a server broke off what it was working on.
+        """Checks whether a server exited after its exchange was interrupted.
 
-        Whether it has ended is awaited for a moment only, and taken in
-        whenever it is known: behind a cut a connection takes longer than the
-        request should wait for its next server.
+        Waits only briefly for the probe of the server; a later result is
+        still recorded. During a network partition, a connection attempt takes
+        longer than the request should wait for its next server.
 
         Args:
-            run: The request there.
-            made_output: Whether any of its answer had come.
+            run: The request and its server.
+            made_output: Whether any part of the answer had arrived.
         """
-        noting = gevent.spawn(self._note_end, run, made_output)
-        noting.join(timeout=KNOWN_WITHIN_S)
+        probing = gevent.spawn(self._probe_and_note_end, run, made_output)
+        probing.join(timeout=PROBE_WAIT_S)
         # After a process pause, the timeout may fire before a pending probe
         # result is processed.
-        noting.join(timeout=_PENDING_RESULT_TIMEOUT_S)
+        probing.join(timeout=_PENDING_RESULT_TIMEOUT_S)
 
-    def _note_end(self, run: Run, made_output: bool) -> None:
+    def _probe_and_note_end(self, run: Run, made_output: bool) -> None:
         ended_s = self._ends.ended_s(run.start, run.address)
         if ended_s is None:
             return
@@ -278,7 +286,7 @@
             self._records.write_soon()
 
     def _server_key(self, start: fleet.ServerStart, ended_s: float) -> int:
-        if self._starts_are_told:
+        if self._restarts_are_visible:
             return codec.key_of_server(start)
         return codec.key_of(f"{start} {ended_s}")
 
@@ -289,16 +297,18 @@
             self._refresh()
 
     def _refresh(self) -> None:
-        """Takes in what is blocked now.
+        """Updates which requests are blocked.
 
-        What is learnt of one request may also show that another is harmless.
+        New information on one request may also unblock another one.
         """
         now_s = self._clock.monotonic_s()
         blocked = frozenset(self._suspects.blocked(now_s))
-        for one in blocked - self._blocked:
+        for fingerprint in blocked - self._blocked:
             logger.bind(
-                fingerprint=f"{one:016x}",
-                ends_count=len(self._suspects.ends(one, now_s)),
-            ).warning("a request is blocked: servers end under it")
+                fingerprint=f"{fingerprint:016x}",
+                ends_count=len(self._suspects.ends(fingerprint, now_s)),
+            ).warning(
+                "a request is blocked: servers exited while processing it"
+            )
         self._blocked = blocked
         _blocked_gauge.set({}, len(blocked))
--- a/src/mulberrywharf/fingerprints.py
+++ b/src/mulberrywharf/fingerprints.py
@@ -1,4 +1,4 @@
-"""Names for what callers ask, equal each time that the same is asked."""
+"""Computes fingerprints of requests; a repeated request has the same one."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,19 +7,20 @@
 
 
 def fingerprint(texts: Iterable[str], body: bytes) -> int:
-    """Returns 64 bits of a request.
+    """Returns the 64-bit fingerprint of a request.
 
-    Nobody can make another request that shares them, and so have a caller's
-    own refused: the hash is a cryptographic one.
+    The hash is cryptographic, so that nobody can construct a request with the
+    fingerprint of another caller's request to get that request blocked.
 
     Args:
-        texts: What tells the request from others, such as its path.
-        body: Its body.
+        texts: Parts that identify the request besides its body, such as its
+            path.
+        body: Body of the request.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     for text in texts:
         encoded = text.encode("latin-1", "replace")
-        # With its length before it no text can pass for two.
+        # The length prefix separates the texts: no text can be read as two.
         digest.update(b"%d:%b" % (len(encoded), encoded))
     digest.update(body)
     return int.from_bytes(digest.digest(), "big")
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -1,7 +1,8 @@
-"""Blocked requests in the key-value service, for gateways that begin.
+"""Stores blocked requests in the key-value service for restarted gateways.
 
-Gateways keep nothing. When all of them start anew at once nobody is left to
-tell which requests end servers, and each would take two servers away again.
+Gateways do not persist state themselves. When all of them restart at once,
+none is left to report which requests crash servers, and each such request
+would crash two more servers before it is blocked again.
 """
 
 import random
@@ -22,16 +23,18 @@
 KEY_PREFIX = "mulberrywharf/blocked/"
 
 READ_INTERVAL_S = 30.0
-"""Between readings, each of which costs a tenth. They only make up for what no
-gateway told, such as behind a cut."""
+"""Mean interval between reads. A stale read costs a tenth of a call to the
+service. Reads only recover what no report from another gateway delivered, for
+example during a network partition."""
 
 WRITTEN_WITHIN_S = (0.2, 0.6)
-"""How long behind a verdict it is written. Reports of other gateways that would
-change it are there by then, and one of them may have written it."""
+"""Range of the random delay between blocking a request and writing its record.
+By then, reports from other gateways that would change the decision have
+arrived, and another gateway may have written the record."""
 
-RESTORED_WITHIN_S = 2.0
-"""How long behind a restore of the service from an older copy its records are
-read again, by one gateway after the other."""
+RESTORE_READ_DELAY_LIMIT_S = 2.0
+"""Maximum random delay between a restore of the service from a backup and the
+next read, so that the gateways do not all read at once."""
 
 _RETRY_BASE_S = 1.0
 _RETRY_LIMIT_S = 8.0
@@ -41,9 +44,9 @@
 
 
 class CrashRecords:
-    """Writes what is blocked here, and reads what others wrote.
+    """Writes records of requests blocked here and reads those of others.
 
-    A record goes with its lease when its request is no longer blocked.
+    Each record has a lease that expires when its request is no longer blocked.
     """
 
     def __init__(
@@ -52,44 +55,47 @@
         suspects: crash_suspects.CrashSuspects,
         system_clock: clock.Clock,
     ):
-        """Makes it; nothing is read before ``start``.
+        """Creates it; nothing is read before ``start``.
 
         Args:
-            client: The service.
-            suspects: Takes in what is read, and tells what is blocked.
-            system_clock: Measures ages, across gateways by the time of day.
+            client: Client of the key-value service.
+            suspects: Receives the server exits that are read and determines
+                which requests are blocked.
+            system_clock: Measures ages; uses wall-clock time across gateways.
         """
         self._client = client
         self._suspects = suspects
         self._clock = system_clock
         self._on_read: Callable[[], None] = lambda: None
         self._stored: set[str] = set()
-        self._is_due = gevent.event.Event()
+        self._update_requested = gevent.event.Event()
         self._task: gevent.Greenlet | None = None
 
     def on_read(self, callback: Callable[[], None]) -> None:
-        """Calls back each time that the records were read."""
+        """Sets the callback that runs after each read of the records."""
         self._on_read = callback
 
     def start(self) -> None:
-        """Begins to read and to write."""
+        """Starts the task that reads and writes records."""
         self._client.on_restored(self._on_restored)
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends it; records stay."""
+        """Stops the task; the records remain in the service."""
         self._client.forget_restored(self._on_restored)
         if self._task is not None:
             self._task.kill()
 
     def write_soon(self) -> None:
-        """Lets what is blocked be written, unless it is there already."""
-        gevent.spawn_later(random.uniform(*WRITTEN_WITHIN_S), self._is_due.set)
+        """Schedules an update that writes missing records."""
+        gevent.spawn_later(
+            random.uniform(*WRITTEN_WITHIN_S), self._update_requested.set
+        )
 
     def remove(self, fingerprint: int) -> None:
-        """Lets the record of a request that is cleared go.
+        """Deletes the record of a request that is no longer suspected.
 
-        Read again, it would have the request blocked once more.
+        Otherwise the next read of the record would block the request again.
         """
         if _key(fingerprint) in self._stored:
             gevent.spawn(self._remove, _key(fingerprint))
@@ -97,21 +103,26 @@
     def _remove(self, key: str) -> None:
         removed = self._client.delete(key, purpose=PURPOSE)
         if isinstance(removed, Err):
-            logger.info("not removed: {}", removed.err_value.message)
+            logger.info(
+                "record of a blocked request not deleted: {}",
+                removed.err_value.message,
+            )
             return
         self._stored.discard(key)
 
     def _on_restored(self) -> None:
         gevent.spawn_later(
-            random.uniform(0.0, RESTORED_WITHIN_S), self._is_due.set
+            random.uniform(0.0, RESTORE_READ_DELAY_LIMIT_S),
+            self._update_requested.set,
         )
 
     def _run(self) -> None:
-        # What was written just before this gateway began must not be missed.
+        # The first read is not a stale read, so that it includes records
+        # written just before this gateway started.
         is_first = True
         failures_count = 0
         while True:
-            self._is_due.clear()
+            self._update_requested.clear()
             if self.update(is_first=is_first):
                 is_first = False
                 failures_count = 0
@@ -123,17 +134,24 @@
                     base_s=_RETRY_BASE_S,
                     limit_s=_RETRY_LIMIT_S,
                 )
-            self._is_due.wait(wait_s)
+            self._update_requested.wait(wait_s)
 
     def update(self, *, is_first: bool) -> bool:
-        """Reads all records and writes those that lack; False if it failed."""
+        """Reads all records and writes missing ones; returns False on failure.
+
+        Args:
+            is_first: Whether this is the first read, which must not be stale.
+        """
         read = self._read(is_first)
         if isinstance(read, Err):
-            logger.info("blocked not read: {}", read.err_value.message)
+            logger.info(
+                "records of blocked requests not read: {}",
+                read.err_value.message,
+            )
             return False
         records = read.ok_value[:_RECORDS_LIMIT_COUNT]
         for record in records:
-            self._take(record)
+            self._apply(record)
         self._on_read()
         self._stored = {record.key for record in records}
         now_s = self._clock.monotonic_s()
@@ -150,23 +168,30 @@
             return self._client.get_prefix(KEY_PREFIX, purpose=PURPOSE)
         return self._client.get_prefix_stale(KEY_PREFIX, purpose=PURPOSE)
 
-    def _take(self, record: key_value.KeyValue) -> None:
+    def _apply(self, record: key_value.KeyValue) -> None:
         try:
             fingerprint = _fingerprint(record.key)
-            ends = [self._end(fields) for fields in orjson.loads(record.value)]
+            ends = [
+                self._decode_end(fields)
+                for fields in orjson.loads(record.value)
+            ]
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            logger.warning("{} names no request: {!r}", record.key, error)
+            logger.warning(
+                "invalid record of a blocked request at {}: {!r}",
+                record.key,
+                error,
+            )
             return
         for end in ends:
             self._suspects.note_end(fingerprint, end)
 
-    def _end(self, fields: Mapping[str, Any]) -> crash_suspects.End:
+    def _decode_end(self, fields: Mapping[str, Any]) -> crash_suspects.End:
         age_s = self._clock.unix_s() - float(fields["unix_s"])
-        # Clocks of gateways differ, and may be stepped.
+        # The wall clocks of gateways differ and may be adjusted.
         age_s = min(max(age_s, 0.0), crash_suspects.KEPT_S)
         server_key = int(fields["server_key"])
         if not 0 <= server_key <= _SERVER_KEY_LIMIT:
-            raise ValueError(f"no server has the key {server_key}")
+            raise ValueError(f"server key {server_key} is out of range")
         return crash_suspects.End(
             server_key,
             bool(fields["made_output"]),
@@ -177,11 +202,14 @@
         left_s = self._suspects.blocked_for_s(fingerprint, now_s)
         granted = self._client.grant_lease(max(1.0, left_s), purpose=PURPOSE)
         if isinstance(granted, Err):
-            logger.info("blocked not written: {}", granted.err_value.message)
+            logger.info(
+                "record of a blocked request not written: {}",
+                granted.err_value.message,
+            )
             return False
         written = self._client.compare_and_swap(
             _key(fingerprint),
-            self._value(fingerprint, now_s),
+            self._encode_value(fingerprint, now_s),
             expected_revision=0,
             lease_id=granted.ok_value,
             purpose=PURPOSE,
@@ -189,15 +217,18 @@
         if isinstance(written, Err) and not isinstance(
             written.err_value, errors.RevisionConflictError
         ):
-            logger.info("blocked not written: {}", written.err_value.message)
+            logger.info(
+                "record of a blocked request not written: {}",
+                written.err_value.message,
+            )
             return False
         self._stored.add(_key(fingerprint))
         logger.bind(
-            fingerprint=_digits(fingerprint), left_s=round(left_s, 1)
-        ).info("a blocked request is in the store")
+            fingerprint=_hex(fingerprint), left_s=round(left_s, 1)
+        ).info("record of a blocked request is in the key-value service")
         return True
 
-    def _value(self, fingerprint: int, now_s: float) -> bytes:
+    def _encode_value(self, fingerprint: int, now_s: float) -> bytes:
         unix_s = self._clock.unix_s()
         return orjson.dumps(
             [
@@ -214,13 +245,13 @@
 def _fingerprint(key: str) -> int:
     digits = key.removeprefix(KEY_PREFIX)
     if len(digits) != _FINGERPRINT_DIGITS:
-        raise ValueError(f"{digits!r:.40} names no request")
+        raise ValueError(f"{digits!r:.40} is not a fingerprint")
     return int.from_bytes(bytes.fromhex(digits), "big")
 
 
 def _key(fingerprint: int) -> str:
-    return KEY_PREFIX + _digits(fingerprint)
+    return KEY_PREFIX + _hex(fingerprint)
 
 
-def _digits(fingerprint: int) -> str:
+def _hex(fingerprint: int) -> str:
     return f"{fingerprint:0{_FINGERPRINT_DIGITS}x}"
--- a/src/mulberrywharf/server_ends.py
+++ b/src/mulberrywharf/server_ends.py
@@ -1,7 +1,7 @@
-"""Tells a server that ended from an answer that was lost.
+"""Distinguishes the exit of a server from a lost connection.
 
-Both break off an exchange. Behind an end nobody listens at the server's
-address, until it starts again some seconds later.
+Both interrupt an exchange. After an exit, nothing listens at the server's
+address until the server restarts some seconds later.
 """
 
 from typing import Protocol
@@ -11,13 +11,13 @@
 
 from mulberrywharf import _connections, clock, errors, fleet
 
-REMEMBERED_S = 0.5
-"""All exchanges with a server break off together when it ends; one connection
-tells for all of them."""
+CACHE_TTL_S = 0.5
+"""How long a detected exit is remembered. All exchanges with a server fail
+together when it exits, and one probe is enough for all of them."""
 
 
 class Prober(Protocol):
-    """Connects to servers."""
+    """Checks whether servers accept connections."""
 
     def probe(
         self, address: fleet.Address
@@ -26,8 +26,8 @@
         ...
 
 
-class Connector:
-    """Connects to servers and closes the connection."""
+class TcpProber:
+    """Opens a TCP connection to a server and closes it again."""
 
     def __init__(self, timeout_s: float):
         self._timeout_s = timeout_s
@@ -41,7 +41,7 @@
 
 
 class ServerEnds:
-    """Finds out whether servers ended."""
+    """Detects whether servers have exited."""
 
     def __init__(self, prober: Prober, system_clock: clock.Clock):
         self._prober = prober
@@ -52,15 +52,20 @@
     def ended_s(
         self, start: fleet.ServerStart, address: fleet.Address
     ) -> float | None:
-        """Returns when it was seen that nobody listens at an address.
+        """Returns the monotonic time at which a server's exit was detected.
 
-        The same instant for all that ask of one end, None for a server that
-        lives. One that gives no answer at all may live behind a cut, so it
-        does not count as ended.
+        All callers get the same time for one exit. Returns None if the server
+        has not exited. A server that does not respond at all may be running
+        on the other side of a network partition, so it does not count as
+        exited.
+
+        Args:
+            start: The server process.
+            address: Where the server listens.
         """
-        seen_s = self._seen_s(start)
-        if seen_s is not None:
-            return seen_s
+        cached_s = self._cached_s(start)
+        if cached_s is not None:
+            return cached_s
         probe = self._probes.get(start)
         if probe is None:
             probe = self._probes[start] = gevent.spawn(
@@ -80,8 +85,8 @@
             self._ended_s[start] = self._clock.monotonic_s()
         return self._ended_s.get(start)
 
-    def _seen_s(self, start: fleet.ServerStart) -> float | None:
-        since_s = self._clock.monotonic_s() - REMEMBERED_S
+    def _cached_s(self, start: fleet.ServerStart) -> float | None:
+        since_s = self._clock.monotonic_s() - CACHE_TTL_S
         self._ended_s = {
             ended: at_s
             for ended, at_s in self._ended_s.items()
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Blocked requests in the store."""
+"""Tests the records of blocked requests in the key-value service."""
 
 import json
 import unittest
@@ -9,7 +9,7 @@
 from tests import builders_platform
 from tests import builders_routes as build
 
-CULPRIT = 2**64 - 5
+FINGERPRINT = 2**64 - 5
 KEY = f"{crash_records.KEY_PREFIX}fffffffffffffffb"
 
 
@@ -34,45 +34,49 @@
             end = crash_suspects.End(
                 server_key, False, self.clock.monotonic_s()
             )
-            suspects.note_end(CULPRIT, end)
+            suspects.note_end(FINGERPRINT, end)
         self.records.write_soon()
 
     def is_stored(self) -> bool:
         return self.client.get(KEY, purpose="test").unwrap() is not None
 
     def is_blocked(self, suspects: crash_suspects.CrashSuspects) -> bool:
-        return suspects.is_blocked(CULPRIT, self.clock.monotonic_s())
+        return suspects.is_blocked(FINGERPRINT, self.clock.monotonic_s())
 
-    def test_a_gateway_that_begins_reads_what_is_blocked(self) -> None:
+    def test_a_started_gateway_reads_blocked_requests(self) -> None:
         self.block(self.start())
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        began = self.start()
+        suspects = self.start()
         self.assertTrue(
-            builders_platform.wait_until(lambda: self.is_blocked(began))
+            builders_platform.wait_until(lambda: self.is_blocked(suspects))
         )
 
-    def test_what_the_store_lost_is_written_again(self) -> None:
-        """All gateways begin anew after the store came from an older copy."""
+    def test_records_lost_by_a_restore_are_written_again(self) -> None:
+        """Guards against losing all records.
+
+        This happens if all gateways restart after the service was restored
+        from a backup.
+        """
         self.store.era = 1
-        copy = self.store.copy()
+        backup = self.store.copy()
         self.block(self.start())
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        self.store.restore(copy)
+        self.store.restore(backup)
         self.assertFalse(self.is_stored())
         self.assertTrue(builders_platform.wait_until(self.is_stored))
 
-    def test_the_record_of_one_that_is_cleared_goes(self) -> None:
-        """A harmless request is blocked again with each reading."""
+    def test_record_of_a_cleared_request_is_deleted(self) -> None:
+        """Guards against blocking a harmless request again on each read."""
         suspects = self.start()
         self.block(suspects)
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        suspects.note_whole(CULPRIT, self.clock.monotonic_s())
-        self.records.remove(CULPRIT)
+        suspects.note_whole(FINGERPRINT, self.clock.monotonic_s())
+        self.records.remove(FINGERPRINT)
         self.assertTrue(
             builders_platform.wait_until(lambda: not self.is_stored())
         )
 
-    def test_it_is_written_once_the_store_is_back(self) -> None:
+    def test_records_are_written_after_an_outage_of_the_store(self) -> None:
         suspects = self.start()
         self.store.faults = {"down": True}
         self.block(suspects)
@@ -80,7 +84,7 @@
         self.store.faults = {}
         self.assertTrue(builders_platform.wait_until(self.is_stored))
 
-    def test_the_time_of_an_end_is_kept(self) -> None:
+    def test_time_of_a_server_exit_is_preserved(self) -> None:
         ends = [
             {
                 "server_key": key,
@@ -90,14 +94,14 @@
             for key in (1, 2)
         ]
         self.store.put(KEY, json.dumps(ends).encode())
-        began = self.start()
+        suspects = self.start()
         self.assertTrue(
-            builders_platform.wait_until(lambda: self.is_blocked(began))
+            builders_platform.wait_until(lambda: self.is_blocked(suspects))
         )
-        left_s = began.blocked_for_s(CULPRIT, self.clock.monotonic_s())
+        left_s = suspects.blocked_for_s(FINGERPRINT, self.clock.monotonic_s())
         self.assertLess(left_s, 101.0)
 
-    def test_records_of_another_writer_are_passed_over(self) -> None:
+    def test_invalid_records_are_skipped(self) -> None:
         for name, value in (
             ("x", b"[]"),
             ("1", b"\xff"),
@@ -114,7 +118,9 @@
         suspects = self.start()
         self.block(suspects)
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        self.assertEqual(suspects.blocked(self.clock.monotonic_s()), [CULPRIT])
+        self.assertEqual(
+            suspects.blocked(self.clock.monotonic_s()), [FINGERPRINT]
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""What is seen of servers that end while they work on requests."""
+"""Tests the detection of servers that exit while processing requests."""
 
 import time
 import unittest
@@ -28,46 +28,48 @@
         self.addCleanup(self.client.close)
         self.ends = server_ends.ServerEnds(self.client, system_clock)
 
-    def scripted(self) -> Any:
+    def start_server(self) -> Any:
         return self.serve(lambda sock, _: sock.close())
 
-    def has_ended(self, scripted: Any) -> bool:
-        return self.ends.ended_s(START, scripted.address) is not None
+    def has_exited(self, server: Any) -> bool:
+        return self.ends.ended_s(START, server.address) is not None
 
-    def test_a_server_that_listens_has_not_ended(self) -> None:
-        scripted = self.scripted()
-        self.assertFalse(self.has_ended(scripted))
+    def test_a_listening_server_has_not_exited(self) -> None:
+        server = self.start_server()
+        self.assertFalse(self.has_exited(server))
 
-    def test_an_end_right_behind_a_lost_answer_is_seen(self) -> None:
-        scripted = self.scripted()
-        self.assertFalse(self.has_ended(scripted))
-        scripted.close()
-        self.assertTrue(self.has_ended(scripted))
+    def test_an_exit_soon_after_a_lost_answer_is_detected(self) -> None:
+        server = self.start_server()
+        self.assertFalse(self.has_exited(server))
+        server.close()
+        self.assertTrue(self.has_exited(server))
 
-    def test_one_connection_tells_for_all_exchanges(self) -> None:
-        scripted = self.scripted()
-        asked = [gevent.spawn(self.has_ended, scripted) for _ in range(9)]
-        gevent.joinall(asked)
+    def test_concurrent_checks_share_one_connection(self) -> None:
+        server = self.start_server()
+        checks = [gevent.spawn(self.has_exited, server) for _ in range(9)]
+        gevent.joinall(checks)
         gevent.sleep(0)
-        self.assertEqual([one.get() for one in asked], [False] * 9)
-        self.assertLessEqual(scripted.connection_count, 1)
+        self.assertEqual([check.get() for check in checks], [False] * 9)
+        self.assertLessEqual(server.connection_count, 1)
 
-    def test_a_silent_server_has_not_ended(self) -> None:
-        ends = server_ends.ServerEnds(_Silence(), clock.SystemClock())
+    def test_an_unresponsive_server_has_not_exited(self) -> None:
+        ends = server_ends.ServerEnds(
+            _UnresponsiveProber(), clock.SystemClock()
+        )
         address = fleet.Address("127.0.0.1", 1)
         self.assertIsNone(ends.ended_s(START, address))
 
 
 class PausedProcessTest(builders_engines.ScriptedServerCase):
-    def test_end_is_noted_after_a_pause_of_the_process(self) -> None:
+    def test_exit_is_recorded_after_a_pause_of_the_process(self) -> None:
         """Guards against retrying a crashing request after a process pause."""
-        scripted = self.serve(lambda sock, _: sock.close())
-        scripted.close()
+        server = self.serve(lambda sock, _: sock.close())
+        server.close()
         system_clock = clock.SystemClock()
         suspects = crash_suspects.CrashSuspects()
         watch = crash_watch.CrashWatch(
             server_ends.ServerEnds(
-                server_ends.Connector(timeout_s=0.2), system_clock
+                server_ends.TcpProber(timeout_s=0.2), system_clock
             ),
             suspects,
             crash_watch.Alone(),
@@ -76,27 +78,27 @@
         )
         wanted = build.routed(0.0)
         # Blocks the event loop once ``broke_off`` starts to wait.
-        gevent.spawn(time.sleep, 2 * crash_watch.KNOWN_WITHIN_S)
+        gevent.spawn(time.sleep, 2 * crash_watch.PROBE_WAIT_S)
         watch.broke_off(
-            crash_watch.Run(wanted, START, scripted.address),
+            crash_watch.Run(wanted, START, server.address),
             made_output=False,
         )
         ends = suspects.ends(wanted.fingerprint(), system_clock.monotonic_s())
         self.assertEqual(len(ends), 1)
 
 
-class _Silence:
-    """Stands for a way on which nothing is answered."""
+class _UnresponsiveProber:
+    """Simulates a server that does not respond to connection attempts."""
 
     def probe(self, address: Any) -> Any:
         return Err(errors.EngineUnreachableError("timed out"))
 
 
 class FingerprintTest(unittest.TestCase):
-    def test_it_is_of_path_caller_and_body(self) -> None:
-        wanted = build.routed(0.0, caller="key-1")
-        same = build.routed(9.0, caller="key-1", request_id="another")
-        self.assertEqual(wanted.fingerprint(), same.fingerprint())
+    def test_fingerprint_depends_on_the_request_and_its_caller(self) -> None:
+        original = build.routed(0.0, caller="key-1")
+        repeated = build.routed(9.0, caller="key-1", request_id="another")
+        self.assertEqual(original.fingerprint(), repeated.fingerprint())
         for changed in (
             {"target": "/a/x?q=2"},
             {"body": b"bodY"},
@@ -105,13 +107,13 @@
             {"method": "PUT"},
         ):
             with self.subTest(changed=changed):
-                other = wanted._replace(**changed)
-                self.assertNotEqual(wanted.fingerprint(), other.fingerprint())
+                other = original._replace(**changed)
+                self.assertNotEqual(original.fingerprint(), other.fingerprint())
 
-    def test_no_part_passes_for_two(self) -> None:
-        one = build.routed(0.0, target="/a/xkey", caller="")
-        two = build.routed(0.0, target="/a/x", caller="key")
-        self.assertNotEqual(one.fingerprint(), two.fingerprint())
+    def test_boundary_between_parts_changes_the_fingerprint(self) -> None:
+        first = build.routed(0.0, target="/a/xkey", caller="")
+        second = build.routed(0.0, target="/a/x", caller="key")
+        self.assertNotEqual(first.fingerprint(), second.fingerprint())
 
 
 if __name__ == "__main__":
