--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -185,7 +185,7 @@
             restarts_are_visible=False,
         )
 
-    def check(self, wanted: Request) -> None:
+    def check(self, request: Request) -> None:
         """Rejects a blocked request.
 
         Raises:
@@ -194,7 +194,7 @@
         if self._suspects.is_empty:
             return
         now_s = self._clock.monotonic_s()
-        fingerprint = wanted.fingerprint()
+        fingerprint = request.fingerprint()
         if not self._suspects.is_blocked(fingerprint, now_s):
             return
         raise errors.CrashingRequestError(
@@ -202,15 +202,15 @@
             retry_after_s=self._suspects.blocked_for_s(fingerprint, now_s),
         )
 
-    def is_blocked(self, wanted: Request) -> bool:
+    def is_blocked(self, request: Request) -> bool:
         """Returns whether a request must not be sent to another server."""
         now_s = self._clock.monotonic_s()
         return not self._suspects.is_empty and self._suspects.is_blocked(
-            wanted.fingerprint(), now_s
+            request.fingerprint(), now_s
         )
 
     def allowed_servers(
-        self, wanted: Request, servers: Sequence[fleet.Server]
+        self, request: Request, servers: Sequence[fleet.Server]
     ) -> list[fleet.Server]:
         """Returns the servers of one kind that a request may be sent to.
 
@@ -219,12 +219,12 @@
         remaining server, so that other requests can still be served.
 
         Args:
-            wanted: The request.
+            request: The request.
             servers: The servers of that kind that could run it.
         """
         now_s = self._clock.monotonic_s()
         if self._suspects.is_empty or not self._suspects.is_recent_suspect(
-            wanted.fingerprint(), now_s
+            request.fingerprint(), now_s
         ):
             return list(servers)
         ended = self._suspects.ended_servers()
@@ -235,9 +235,9 @@
         ]
         return alive if len(alive) > 1 else []
 
-    def ended_whole(self, wanted: Request) -> None:
+    def ended_whole(self, request: Request) -> None:
         """Records that a server answered a request completely."""
-        fingerprint = wanted.fingerprint()
+        fingerprint = request.fingerprint()
         now_s = self._clock.monotonic_s()
         if self._suspects.note_whole(fingerprint, now_s):
             self._reports.broadcast_cleared(fingerprint)
