--- a/src/mulberrywharf/_answers.py
+++ b/src/mulberrywharf/_answers.py
@@ -1,4 +1,4 @@
-"""The answer to one request, read on a connection that we own."""
+"""Reads the answer to an HTTP request from a connection of the caller."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 _HEAD_LIMIT_BYTES = 64 * 1024
 _FIRST_FINAL_STATUS = 200
 
-_foreign = metrics.counter(
+_foreign_answers_total = metrics.counter(
     "mulberry_foreign_answers_total",
     "Answers dropped because they carry another request's id.",
 )
@@ -18,24 +18,24 @@
 
 def count_foreign(address: fleet.Address) -> None:
     """Counts an answer that carried another request's id."""
-    _foreign.inc({"peer": str(address)})
+    _foreign_answers_total.inc({"peer": str(address)})
 
 
 class Answer(http_response.HTTPSocketResponse):
-    """The answer to one request, its body read as it comes."""
+    """The answer to one request; its body is read incrementally."""
 
     def __init__(self, sock: Any, method: str):
-        self._final_complete = False
-        self._unexpected = False
+        self._is_final_complete = False
+        self._has_second_answer = False
         self._head_bytes = 0
         super().__init__(sock, block_size=READ_BLOCK_BYTES, method=method)
 
     @property
     def is_framed(self) -> bool:
-        """Whether the answer itself says where it ends.
+        """Whether the answer itself marks its end.
 
-        Without a length the end of the connection ends the body, so a cut
-        answer looks just like a whole one.
+        Otherwise the body ends when the connection closes, and a truncated
+        answer cannot be distinguished from a complete one.
         """
         if self.method == "HEAD" or self.status_code in (204, 304):
             return True
@@ -45,8 +45,8 @@
     def is_reusable(self) -> bool:
         """Whether the connection may carry another request."""
         return (
-            self._final_complete
-            and not self._unexpected
+            self._is_final_complete
+            and not self._has_second_answer
             and self.is_framed
             and not self.should_close()
         )
@@ -57,7 +57,7 @@
         return not self._body_buffer and not self.message_complete
 
     def header(self, name: str) -> str | None:
-        """Returns a header field; the first if it came several times."""
+        """Returns a header field; the first one if it is repeated."""
         value = self.get(name)
         if isinstance(value, list):
             return str(value[0])
@@ -67,11 +67,11 @@
         """Waits for the next bytes of the body.
 
         Returns:
-            At least one byte, or nothing at the end of the answer.
+            At least one byte, or no bytes at the end of the answer.
 
         Raises:
             OSError: The connection failed or timed out.
-            HTTPParseError: The answer is malformed or cut off.
+            HTTPParseError: The answer is malformed or truncated.
         """
         while self.needs_bytes:
             if self._sock is None:
@@ -82,25 +82,29 @@
         return data
 
     def feed(self, data: str | bytes) -> None:
-        """Hands bytes of the connection to the parser."""
+        """Passes bytes from the connection to the parser."""
         if not self.headers_complete:
             self._head_bytes += len(data)
             if self._head_bytes > _HEAD_LIMIT_BYTES:
-                raise http_response.HTTPParseError("the head is too large")
+                raise http_response.HTTPParseError(
+                    "the head of the answer is too large"
+                )
         super().feed(data)
 
     def release(self) -> None:
-        """Leaves the socket to the exchange, which owns it."""
+        """Does nothing, as the exchange owns the socket."""
 
     def _on_message_begin(self) -> None:
-        # A second answer on the wire would be parsed into this one's body:
-        # the caller would get bytes that belong to another request.
-        if self._final_complete:
-            self._unexpected = True
-            raise http_response.HTTPProtocolViolationError("a second answer")
+        # A second answer on the connection would be parsed into the body of
+        # this one: the caller would get bytes that belong to another request.
+        if self._is_final_complete:
+            self._has_second_answer = True
+            raise http_response.HTTPProtocolViolationError(
+                "a second answer follows"
+            )
         super()._on_message_begin()
 
     def _on_message_complete(self) -> None:
         super()._on_message_complete()
         if self.get_code() >= _FIRST_FINAL_STATUS:
-            self._final_complete = True
+            self._is_final_complete = True
--- a/src/mulberrywharf/_exchange.py
+++ b/src/mulberrywharf/_exchange.py
@@ -1,9 +1,10 @@
 """One HTTP exchange on a connection that the caller of this module owns.
 
-The library's own client resends GET, HEAD, PUT, DELETE and OPTIONS without a
-word when the connection closes before the answer. A service whose GET books a
-seat would then book two, and only its own log would show it. Here a request
-is written once; whoever wants a second try asks for it in plain sight.
+The client of geventhttpclient silently resends GET, HEAD, PUT, DELETE and
+OPTIONS requests when the connection closes before the answer. If a request
+with such a method is not idempotent, it could take effect twice, and only the
+log of its service would show it. This module writes a request at most once;
+callers retry explicitly.
 """
 
 import errno
@@ -26,43 +27,44 @@
 _FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _BODILESS_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
-"""Without a body they carry no length; some servers refuse a length of 0."""
+"""Methods without a ``Content-Length`` field when the body is empty; some
+servers reject a length of 0 for them."""
 
 _FRAMING_FIELDS = frozenset(("content-length", "host", "transfer-encoding"))
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=([0-9]{1,6})")
 _KEEP_ALIVE_SHARE = 0.8
-"""Part of the back end's own limit after which an idle connection is not used
-again: a request sent just as the back end closes it may or may not have run.
-"""
+"""Fraction of the back end's keep-alive timeout after which an idle connection
+is not reused. If the back end closes the connection while a request is sent, it
+is unknown whether the request was processed."""
 
-_LOST_CONNECTION = (OSError, http_response.HTTPParseError)
+_CONNECTION_ERRORS = (OSError, http_response.HTTPParseError)
 
 
 class NotSent(NamedTuple):
-    """No byte of the request was handed to the kernel."""
+    """No byte of the request was passed to the kernel."""
 
 
 class MaybeSent(NamedTuple):
-    """Some or all of the request may have left; no answer began."""
+    """Some or all of the request may have been sent; no answer has begun."""
 
 
 class AnswerBegan(NamedTuple):
-    """The head of an answer arrived.
+    """The head of an answer has arrived.
 
     Attributes:
-        status: Its HTTP status.
+        status: HTTP status code of the answer.
     """
 
     status: int
 
 
 Stage = NotSent | MaybeSent | AnswerBegan
-"""How far an exchange came; it only ever goes forward."""
+"""Progress of an exchange; it never goes back to an earlier stage."""
 
 
 @singledispatch
 def outcome_of(stage: Stage) -> errors.Outcome:
-    """Returns what a caller may assume when the exchange failed there."""
+    """Returns the outcome of a request whose exchange failed at a stage."""
     return "unknown"
 
 
@@ -72,14 +74,15 @@
 
 
 class Request(NamedTuple):
-    """One request.
+    """An HTTP request.
 
     Attributes:
         method: HTTP method.
         path: Origin-form target with its query, already percent-encoded.
-        headers: Header fields; framing fields are written by this module.
+        headers: Header fields. Framing fields are ignored, as this module
+            writes them itself.
         body: The whole body.
-        host: What the ``Host`` field says; the address when empty.
+        host: Value of the ``Host`` field; if empty, the address is used.
     """
 
     method: str
@@ -90,11 +93,11 @@
 
 
 def encode(request: Request, address: fleet.Address) -> bytes:
-    """Returns the request as it goes over the wire.
+    """Encodes a request in the HTTP/1.1 format.
 
     Raises:
-        BadRequestError: A part holds bytes, such as a line break, that would
-            let a caller smuggle a second request to the back end.
+        BadRequestError: A part contains bytes, such as a line break, that
+            would allow request smuggling.
     """
     if not _METHOD.fullmatch(request.method):
         raise errors.BadRequestError("the method is not an HTTP token")
@@ -124,10 +127,10 @@
 
 
 class Exchange:
-    """One request on one connection, written at most once.
+    """An exchange on one connection; its request is written at most once.
 
     Attributes:
-        stage: How far it came.
+        stage: Progress of the exchange.
     """
 
     def __init__(
@@ -139,8 +142,8 @@
         self._connection: _connections.Connection | None = connection
         self._pool = pool
         self._answer: _answers.Answer | None = None
-        self._was_cut = False
-        self._wait_limit_s: float | None = None
+        self._is_request_incomplete = False
+        self._timeout_s: float | None = None
 
     @classmethod
     def open(
@@ -150,15 +153,15 @@
         connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S,
         pool: _connections.ConnectionPool | None = None,
     ) -> Result["Exchange", errors.EngineUnreachableError]:
-        """Takes an idle connection or makes one.
+        """Reuses an idle connection or opens a new one.
 
         Args:
-            address: The back end.
-            connect_timeout_s: For a new connection.
-            pool: Where idle connections are kept. None for a request that
-                must not run twice: the back end may close an idle connection
-                at the moment of sending, and then nobody knows whether the
-                request ran. A fresh connection has no such moment.
+            address: Address of the back end.
+            connect_timeout_s: Timeout for opening a new connection.
+            pool: Pool of idle connections. None for a request that must not
+                run twice: the back end may close an idle connection while the
+                request is sent, and then it is unknown whether the request
+                ran. A new connection does not have this race.
         """
         idle = pool.take(address) if pool is not None else None
         if idle is not None:
@@ -167,7 +170,7 @@
         return opened.map(lambda connection: cls(connection, pool))
 
     def keep_in(self, pool: _connections.ConnectionPool) -> "Exchange":
-        """Keeps the connection in a pool once the answer was read whole."""
+        """Returns the connection to a pool after a complete answer."""
         self._pool = pool
         return self
 
@@ -177,8 +180,8 @@
         """Writes the request once and waits for the head of the answer.
 
         Args:
-            request: What to send.
-            answer_timeout_s: How long each wait for the back end may last.
+            request: The request.
+            answer_timeout_s: Timeout of each wait for the back end.
 
         Raises:
             BadRequestError: The request is malformed; nothing was sent.
@@ -187,16 +190,16 @@
         if connection is None:
             return Err(errors.AnswerLostError("the exchange is closed"))
         data = encode(request, connection.address)
-        self._limit_waits(connection, answer_timeout_s)
+        self._set_timeout(connection, answer_timeout_s)
         try:
             self.stage = MaybeSent()
-            self._was_cut = not _send_all(
+            self._is_request_incomplete = not _send_all(
                 connection.sock, data, answer_timeout_s
             )
             answer = _answers.Answer(connection.sock, request.method)
-        except _LOST_CONNECTION as error:
+        except _CONNECTION_ERRORS as error:
             self.close()
-            return Err(_lost(connection.address, "gave no answer", error))
+            return Err(_lost_error(connection.address, "gave no answer", error))
         except BaseException:
             self.close()
             raise
@@ -207,30 +210,34 @@
     def read_some(
         self, idle_timeout_s: float
     ) -> Result[bytes, errors.AnswerLostError]:
-        """Waits for the next bytes of the body; none at its end."""
+        """Waits for the next bytes of the body; returns none at its end."""
         connection, answer = self._connection, self._answer
         if connection is None or answer is None:
             return Err(errors.AnswerLostError("the exchange is closed"))
-        self._limit_waits(connection, idle_timeout_s)
+        self._set_timeout(connection, idle_timeout_s)
         try:
             if answer.needs_bytes:
                 connection.wait_readable(idle_timeout_s)
             return Ok(answer.read_some())
-        except _LOST_CONNECTION as error:
+        except _CONNECTION_ERRORS as error:
             self.close()
-            return Err(_lost(connection.address, "broke off its answer", error))
+            return Err(
+                _lost_error(
+                    connection.address, "did not complete its answer", error
+                )
+            )
         except BaseException:
             self.close()
             raise
 
-    def _limit_waits(
-        self, connection: _connections.Connection, limit_s: float
+    def _set_timeout(
+        self, connection: _connections.Connection, timeout_s: float
     ) -> None:
-        # Setting the same timeout again for each token of a stream shows in
-        # what the token costs.
-        if limit_s != self._wait_limit_s:
-            connection.sock.settimeout(limit_s)
-            self._wait_limit_s = limit_s
+        # Setting the same timeout for each token of a stream would noticeably
+        # increase the CPU time per token.
+        if timeout_s != self._timeout_s:
+            connection.sock.settimeout(timeout_s)
+            self._timeout_s = timeout_s
 
     def read_all(
         self, idle_timeout_s: float, limit_bytes: int
@@ -238,17 +245,18 @@
         """Reads the whole body into memory.
 
         Args:
-            idle_timeout_s: How long each wait may last.
-            limit_bytes: A larger body is an ``AnswerTooLargeError``.
+            idle_timeout_s: Timeout of each wait for more bytes.
+            limit_bytes: Maximum size; a larger body results in an
+                ``AnswerTooLargeError``.
         """
         body = bytearray()
         while True:
-            some = self.read_some(idle_timeout_s)
-            if isinstance(some, Err):
-                return some
-            if not some.ok_value:
+            chunk = self.read_some(idle_timeout_s)
+            if isinstance(chunk, Err):
+                return chunk
+            if not chunk.ok_value:
                 return Ok(bytes(body))
-            body += some.ok_value
+            body += chunk.ok_value
             if len(body) > limit_bytes:
                 self.close()
                 message = f"the answer exceeds {limit_bytes} bytes"
@@ -257,33 +265,37 @@
     def finish(self) -> None:
         """Ends the exchange; keeps the connection if that is safe.
 
-        A connection whose answer is unfinished, cancelled or unexpected is
-        closed: its remaining bytes would be read as the next request's
-        answer.
+        A connection with an incomplete, cancelled or unexpected answer is
+        closed. Otherwise, its remaining bytes would be read as the answer to
+        the next request.
         """
         connection, answer = self._connection, self._answer
         self._connection = None
         if connection is None:
             return
         reusable = answer is not None and answer.is_reusable
-        if reusable and not self._was_cut and self._pool is not None:
+        if (
+            reusable
+            and not self._is_request_incomplete
+            and self._pool is not None
+        ):
             self._pool.put(connection, _idle_limit_s(answer))
         else:
             connection.close()
 
     def drain(self, limit_s: float) -> None:
-        """Reads what little is left of an answer, then ends the exchange.
+        """Reads the small remainder of an answer, then ends the exchange.
 
-        Bytes that meet a closed connection reset it; the back end would take
-        that for a caller who left in mid-answer, and log it so.
+        Bytes that arrive after the connection was closed cause a reset. The
+        back end would log it as a client that disconnected during the answer.
 
         Args:
-            limit_s: Bound on all of it.
+            limit_s: Maximum time for reading the remainder.
         """
         with gevent.Timeout(limit_s, False):
-            some = self.read_some(limit_s)
-            while isinstance(some, Ok) and some.ok_value:
-                some = self.read_some(limit_s)
+            chunk = self.read_some(limit_s)
+            while isinstance(chunk, Ok) and chunk.ok_value:
+                chunk = self.read_some(limit_s)
         self.finish()
 
     def close(self) -> None:
@@ -294,45 +306,48 @@
             connection.close()
 
 
-def _lost(
-    address: fleet.Address, what: str, error: Exception
+def _lost_error(
+    address: fleet.Address, failure: str, error: Exception
 ) -> errors.AnswerLostError:
-    message = f"{address} {what}: {error}"
+    message = f"{address} {failure}: {error}"
     if isinstance(error, OSError) and error.errno == errno.ETIMEDOUT:
         return errors.PeerSilentError(message)
     return errors.AnswerLostError(message)
 
 
 def _send_all(sock: Any, data: bytes, timeout_s: float) -> bool:
-    """Writes a request, unless its answer comes before all is written.
+    """Writes a request; stops if the answer arrives before it is all written.
 
-    A back end may refuse a long body before it has read it all. Whoever goes
-    on writing then waits for a reader that is not there, and its caller gets
-    the refusal only when the deadline has passed.
+    A back end may reject a long body before it has read all of it. If the
+    request were still written to the end, nobody would read it, and the caller
+    would get the rejection only after its deadline.
 
     Returns:
-        Whether everything was written.
+        Whether the whole request was written.
 
     Raises:
-        OSError: The connection broke, or took no byte for ``timeout_s``.
+        OSError: The connection failed, or accepted no bytes for
+            ``timeout_s``.
     """
-    rest = memoryview(data)
-    while rest:
+    unsent = memoryview(data)
+    while unsent:
         try:
-            rest = rest[sock._sock.send(rest) :]
+            unsent = unsent[sock._sock.send(unsent) :]
         except BlockingIOError:
             readable, writable, _ = select.select([sock], [sock], [], timeout_s)
             if readable:
                 return False
             if not writable:
-                raise TimeoutError(f"no byte taken for {timeout_s} s") from None
+                raise TimeoutError(
+                    f"no bytes accepted for {timeout_s} s"
+                ) from None
     return True
 
 
 def _idle_limit_s(answer: _answers.Answer | None) -> float:
-    """Returns how long the back end keeps the connection for a request."""
-    stated = answer.header("keep-alive") if answer is not None else None
-    match = _KEEP_ALIVE_TIMEOUT.search(stated or "")
+    """Returns how long the connection may be idle before it is discarded."""
+    keep_alive = answer.header("keep-alive") if answer is not None else None
+    match = _KEEP_ALIVE_TIMEOUT.search(keep_alive or "")
     if match is None:
         return _connections.DEFAULT_IDLE_LIMIT_S
     return int(match.group(1)) * _KEEP_ALIVE_SHARE
@@ -346,32 +361,34 @@
     limit_bytes: int,
     pool: _connections.ConnectionPool | None = None,
 ) -> Result[tuple[_answers.Answer, bytes], errors.EngineError]:
-    """Runs one small exchange with the whole answer in memory.
+    """Sends a request and reads the whole answer into memory.
 
     Args:
-        address: The back end.
-        request: What to send.
-        timeout_s: For the connection, and for the rest of the exchange.
-        limit_bytes: Bound on the body.
-        pool: Idle connections, for idempotent requests only.
+        address: Address of the back end.
+        request: The request.
+        timeout_s: Timeout for connecting, and again for the rest of the
+            exchange.
+        limit_bytes: Maximum size of the body.
+        pool: Pool of idle connections; only for idempotent requests.
 
     Returns:
-        The answer's head and its body.
+        The head and the body of the answer.
     """
     opened = Exchange.open(address, connect_timeout_s=timeout_s, pool=pool)
     if isinstance(opened, Err):
         return opened
     exchange = opened.ok_value
-    # A back end that sends one byte now and then passes every bound on a
-    # single wait; without one on the whole its reader would hang for hours.
-    bound = gevent.Timeout(timeout_s)
+    # A back end that sends single bytes at long intervals never exceeds the
+    # timeout of a single wait. Without a timeout for the whole exchange, the
+    # reader could hang for hours.
+    total_timeout = gevent.Timeout(timeout_s)
     try:
-        with bound:
+        with total_timeout:
             return _fetch(exchange, request, timeout_s, limit_bytes)
     except gevent.Timeout as timeout:
-        if timeout is not bound:
+        if timeout is not total_timeout:
             raise
-        message = f"{address} did not answer whole within {timeout_s} s"
+        message = f"{address} did not complete its answer within {timeout_s} s"
         return Err(errors.AnswerLostError(message))
     finally:
         exchange.finish()
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange: written once, read to a checked end, never mixed up."""
+"""Tests HTTP exchanges: no resends, complete answers, safe reuse."""
 
 import unittest
 from typing import Any
@@ -34,12 +34,12 @@
 
 
 class StageTest(ExchangeCase):
-    def test_nothing_listens_so_nothing_was_sent(self) -> None:
+    def test_refused_connection_means_the_request_was_not_sent(self) -> None:
         error = self.fetch(build.closed_address()).unwrap_err()
         self.assertIsInstance(error, errors.EngineUnreachableError)
         self.assertEqual(error.outcome, "not-run")
 
-    def test_stages_go_forward(self) -> None:
+    def test_stage_follows_the_progress_of_the_exchange(self) -> None:
         server = self.serve(lambda s, r: s.sendall(build.plain_answer(b"x")))
         exchange = _exchange.Exchange.open(server.address).unwrap()
         self.addCleanup(exchange.close)
@@ -57,15 +57,15 @@
             with self.subTest(stage):
                 self.assertEqual(_exchange.outcome_of(stage), outcome)
 
-    def test_a_malformed_request_never_leaves(self) -> None:
+    def test_a_malformed_request_is_not_sent(self) -> None:
         server = self.serve(lambda s, r: s.sendall(build.plain_answer(b"")))
-        bad = [
+        malformed = [
             _exchange.Request("GET /x HTTP/1.1\r\n", "/"),
             _exchange.Request("GET", "/a b"),
             _exchange.Request("GET", "/", {"a": "b\r\nc: d"}),
             _exchange.Request("GET", "/", {"a\r\n": "b"}),
         ]
-        for request in bad:
+        for request in malformed:
             with self.subTest(request):
                 exchange = _exchange.Exchange.open(server.address).unwrap()
                 with self.assertRaises(errors.BadRequestError):
@@ -76,14 +76,14 @@
 
 
 class ResendTest(ExchangeCase):
-    """A GET that is not idempotent runs twice.
+    """Guards against running a GET that is not idempotent twice.
 
-    Symptom: a kiosk's GET books two seats. Sequence: the server runs the
-    request and closes without an answer. Cause: the library's client takes
-    the closed connection for an idle one that went stale and sends again.
+    The server runs the request and closes the connection without an answer.
+    The client of the library treats this as a stale idle connection and sends
+    the request again.
     """
 
-    def test_every_method_is_written_once(self) -> None:
+    def test_requests_are_written_once_with_every_method(self) -> None:
         for method in ("GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST"):
             with self.subTest(method):
                 server = self.serve(lambda s, r: s.close())
@@ -92,7 +92,7 @@
                 self.assertEqual(error.outcome, "unknown")
                 self.assertEqual(len(server.requests), 1)
 
-    def test_the_trap_exists_in_the_library_client(self) -> None:
+    def test_library_client_resends_requests(self) -> None:
         server = self.serve(lambda s, r: s.close())
         client = HTTPClient(server.address.ip, server.address.port)
         self.addCleanup(client.close)
@@ -102,26 +102,26 @@
 
 
 class ReuseTest(ExchangeCase):
-    """A connection with a rest of one answer serves the next request.
+    """Guards against passing bytes of one answer to another caller.
 
-    Symptom: a caller gets bytes of another caller's answer. Sequence: an
-    answer is given up, cancelled or followed by bytes nobody asked for, and
-    its connection is used again. Cause: a pool that trusts it.
+    An answer is abandoned, cancelled or followed by unexpected bytes. If the
+    pool reused its connection, the remaining bytes would be read as the answer
+    to the next request.
     """
 
-    def test_a_whole_answer_leaves_its_connection_for_reuse(self) -> None:
+    def test_connection_is_reused_after_a_complete_answer(self) -> None:
         server = self.serve(lambda s, r: s.sendall(build.plain_answer(b"x")))
         for _ in range(3):
             self.assertEqual(self.fetch(server.address).unwrap()[1], b"x")
         self.assertEqual(server.connection_count, 1)
 
-    def test_a_request_without_a_pool_gets_a_fresh_connection(self) -> None:
+    def test_requests_without_a_pool_open_new_connections(self) -> None:
         server = self.serve(lambda s, r: s.sendall(build.plain_answer(b"x")))
         for _ in range(3):
             self.fetch(server.address, pooled=False).unwrap()
         self.assertEqual(server.connection_count, 3)
 
-    def test_an_unfinished_answer_closes_its_connection(self) -> None:
+    def test_an_incomplete_answer_closes_its_connection(self) -> None:
         answer = build.plain_answer(b"late" * 10)[:-4]
         server = self.serve(lambda s, r: s.sendall(answer))
         error = self.fetch(server.address, timeout_s=0.05).unwrap_err()
@@ -129,7 +129,7 @@
         self.fetch(server.address, timeout_s=0.05).unwrap_err()
         self.assertEqual(server.connection_count, 2)
 
-    def test_a_late_answer_meets_no_other_request(self) -> None:
+    def test_a_late_answer_is_not_read_by_another_request(self) -> None:
         def script(sock: Any, request: bytes) -> None:
             gevent.sleep(0.1)
             sock.sendall(build.plain_answer(b"%d" % len(server.requests)))
@@ -139,7 +139,7 @@
         body = self.fetch(server.address).unwrap()[1]
         self.assertEqual(body, b"2")
 
-    def test_a_second_answer_is_never_taken(self) -> None:
+    def test_a_second_answer_is_an_error(self) -> None:
         twice = build.plain_answer(b"mine") + build.plain_answer(b"other's")
         server = self.serve(lambda s, r: s.sendall(twice))
         error = self.fetch(server.address).unwrap_err()
@@ -157,7 +157,7 @@
         self.assertEqual(self.fetch(server.address).unwrap()[1], b"mine")
         self.assertEqual(server.connection_count, 2)
 
-    def test_an_idle_connection_that_closed_is_not_used(self) -> None:
+    def test_a_closed_idle_connection_is_not_reused(self) -> None:
         def script(sock: Any, request: bytes) -> None:
             sock.sendall(build.plain_answer(b"x"))
             gevent.sleep(0.01)
@@ -171,7 +171,7 @@
 
 
 class BodyTest(ExchangeCase):
-    def test_bounds_and_ends_of_bodies(self) -> None:
+    def test_invalid_and_truncated_answers_are_errors(self) -> None:
         chunked = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
         huge_head = b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 20_000
         lost, large = errors.AnswerLostError, errors.AnswerTooLargeError
@@ -188,7 +188,7 @@
             "endless head": (huge_head, lost),
             "too large": (build.plain_answer(b"x" * 2000), large),
         }
-        for name, (data, kind) in cases.items():
+        for name, (data, error_type) in cases.items():
             with self.subTest(name):
 
                 def script(s: Any, r: bytes, data: bytes = data) -> None:
@@ -197,15 +197,15 @@
 
                 server = self.serve(script)
                 self.assertIsInstance(
-                    self.fetch(server.address).unwrap_err(), kind
+                    self.fetch(server.address).unwrap_err(), error_type
                 )
 
-    def test_a_dripping_answer_ends_in_time(self) -> None:
-        """A reader hangs on one back end.
+    def test_timeout_applies_to_the_whole_exchange(self) -> None:
+        """Guards against hanging on a back end that answers very slowly.
 
-        Symptom: an engine's load is hours old although it answers. Sequence:
-        it sends a byte now and then, so no single wait is long. Cause: a
-        bound on each wait and none on the whole.
+        The back end sends single bytes at intervals, so that no single wait
+        times out. With a timeout per wait only, the known load of an engine
+        could become hours old.
         """
 
         def script(sock: Any, request: bytes) -> None:
@@ -219,7 +219,7 @@
             error = self.fetch(server.address, timeout_s=0.2).unwrap_err()
         self.assertIsInstance(error, errors.AnswerLostError)
 
-    def test_an_interim_answer_is_passed_over(self) -> None:
+    def test_an_interim_answer_is_skipped(self) -> None:
         data = b"HTTP/1.1 103 Early Hints\r\n\r\n" + build.plain_answer(b"x")
         server = self.serve(lambda s, r: s.sendall(data))
         answer, body = self.fetch(server.address).unwrap()
