--- a/src/mulberrywharf/_exchange.py
+++ b/src/mulberrywharf/_exchange.py
@@ -233,8 +233,8 @@
     def _set_timeout(
         self, connection: _connections.Connection, timeout_s: float
     ) -> None:
-        # Setting the same timeout for each token of a stream would noticeably
-        # increase the CPU time per token.
+        # Setting the same timeout again for each token of a stream would
+        # noticeably increase the cost of a token.
         if timeout_s != self._timeout_s:
             connection.sock.settimeout(timeout_s)
             self._timeout_s = timeout_s
--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -161,7 +161,7 @@
         self._records = records
         self._restarts_are_visible = restarts_are_visible
         self._blocked: frozenset[int] = frozenset()
-        reports.on_report(self._on_report)
+        reports.on_report(self._on_new_end)
         records.on_read(self._refresh)
         self._clock = system_clock
 
@@ -281,7 +281,7 @@
             made_output=made_output,
             ends_count=len(self._suspects.ends(fingerprint, ended_s)),
         ).warning("a server ended while it worked on a request")
-        self._on_report(fingerprint)
+        self._on_new_end(fingerprint)
         if fingerprint in self._blocked:
             self._records.write_soon()
 
@@ -290,7 +290,7 @@
             return codec.key_of_server(start)
         return codec.key_of(f"{start} {ended_s}")
 
-    def _on_report(self, fingerprint: int) -> None:
+    def _on_new_end(self, fingerprint: int) -> None:
         now_s = self._clock.monotonic_s()
         ends_count = len(self._suspects.ends(fingerprint, now_s))
         if ends_count >= crash_suspects.SURE_ENDS_COUNT:
--- a/src/mulberrywharf/peers/crash_reports.py
+++ b/src/mulberrywharf/peers/crash_reports.py
@@ -1,8 +1,7 @@
-"""Shares between gateways which requests servers were processing on exit.
+"""Exchanges reports between gateways on server exits during requests.
 
-A client may retry a request that crashes servers at any gateway. Without
-reports, each gateway would lose servers of its own before it blocks the
-request.
+A request that crashes servers may be repeated at any gateway. Without reports,
+each gateway would lose servers of its own before it blocks the request.
 
 A datagram may be lost, and a gateway may be partitioned or start later. A
 report on a request during which two servers exited is therefore repeated. A
@@ -32,7 +31,7 @@
 
 MEAN_REPLIES_COUNT = 3
 """Mean number of gateways that reply to a report on a request that they block.
-Each one replies at random."""
+Each one decides at random whether to reply."""
 
 
 class Peers(Protocol):
--- a/src/mulberrywharf/peers/usage.capnp
+++ b/src/mulberrywharf/peers/usage.capnp
@@ -18,7 +18,8 @@
   window @1 :UInt64;
   isFinal @2 :Bool;           # whether the window had ended
   customers @3 :List(Customer);
-  totalCount @4 :UInt64;      # requests of all customers, also of other parts
+  totalCount @4 :UInt64;      # requests of all customers, including those in
+                              # other messages on this window
 }
 
 struct Customer {
--- a/src/mulberrywharf/peers/usage_exchange.py
+++ b/src/mulberrywharf/peers/usage_exchange.py
@@ -263,7 +263,7 @@
         self._number = number
         self._reported_window = max(self._reported_window, reported_window)
         for window in [
-            one for one in self._collected if one <= self._reported_window
+            known for known in self._collected if known <= self._reported_window
         ]:
             self._collected.pop(window)
             self._final_sources.pop(window, None)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -50,7 +50,7 @@
     def paths(self, *customers: directory.CustomerKeys) -> list[str]:
         return [fault.path for fault in directory.find_faults(customers)]
 
-    def test_valid_customers(self) -> None:
+    def test_valid_customers_have_no_faults(self) -> None:
         """Guards against rejecting a customer whose keys were all revoked."""
         found = self.paths(
             build.customer_keys("ann", build.KEY, build.KEY, priority=0),
@@ -58,7 +58,7 @@
         )
         self.assertEqual(found, [])
 
-    def test_key_shared_by_two_customers(self) -> None:
+    def test_key_shared_by_two_customers_is_a_fault(self) -> None:
         """Guards against attributing requests to the wrong customer."""
         customers = [
             build.customer_keys("ann", build.KEY),
@@ -68,7 +68,7 @@
         self.assertEqual(fault.path, "customers[1].keys[1]")
         self.assertNotIn(build.KEY, fault.message)
 
-    def test_keys_of_invalid_size(self) -> None:
+    def test_keys_of_invalid_size_are_faults(self) -> None:
         """Guards against an empty key that matches requests without one."""
         huge = "k" * (directory.KEY_LIMIT_BYTES + 1)
         found = self.paths(build.customer_keys("ann", "", huge))
@@ -76,7 +76,7 @@
             found, ["customers[0].keys[0]", "customers[0].keys[1]"]
         )
 
-    def test_priorities_and_names(self) -> None:
+    def test_invalid_priorities_and_names(self) -> None:
         found = self.paths(
             build.customer_keys("ann", priority=10),
             build.customer_keys("ann", priority=-1),
@@ -120,13 +120,13 @@
             assert route is not None
             self.assertEqual(route.is_public, is_public)
 
-    def test_no_customers(self) -> None:
+    def test_routes_without_customers(self) -> None:
         found = self.decode()
         assert isinstance(found, table.RouteTable)
         self.assertIsNone(found.customers)
 
     def test_malformed_customers_are_rejected(self) -> None:
-        """Guards against replacing a valid configuration by a malformed one."""
+        """Guards against replacing valid customers with malformed ones."""
         for fields in (
             {"name": "ann", "api-keys": build.KEY},
             {"name": "ann", "api-keys": [1]},
@@ -163,7 +163,7 @@
         )
     )
     def test_arbitrary_customers_do_not_raise(self, value: object) -> None:
-        """Guards against unexpected documents that crash the reading task."""
+        """Guards against crashing the reading task with any document."""
         decoded = documents.StoredDocuments().decode_routes(
             builders_routes.routes_value(tenants=value)
         )
@@ -231,10 +231,10 @@
     def advance_clock(self, age_s: float) -> None:
         self.freshness.current_s += age_s
 
-    def test_a_known_key(self) -> None:
+    def test_known_key_is_admitted(self) -> None:
         self.assertEqual(self.admit(build.KEY), "ann")
 
-    def test_unknown_missing_and_different_keys(self) -> None:
+    def test_requests_without_one_known_key_are_rejected(self) -> None:
         for keys in ((), ("unknown",), (build.KEY, build.OTHER_KEY)):
             with self.subTest(keys=keys):
                 with self.assertRaises(errors.UnknownCustomerError) as raised:
--- a/tests/test_freshness_relay.py
+++ b/tests/test_freshness_relay.py
@@ -18,23 +18,23 @@
         strategies.integers(0, 2**63 - 1),
         strategies.floats(0.0, 1e9),
     )
-    def test_confirmations_never_get_younger(
+    def test_encoding_never_decreases_the_age(
         self, nonce: int, version: int, age_s: float
     ) -> None:
         reply = freshness_codec.Reply(nonce, version, age_s)
-        told = freshness_codec.decode(freshness_codec.encode(reply)).unwrap()
-        assert isinstance(told, freshness_codec.Reply)
-        self.assertEqual((told.nonce, told.version), (nonce, version))
-        self.assertGreaterEqual(told.age_s, min(age_s, 4_294_967.0) - 1e-6)
-        self.assertLessEqual(told.age_s, age_s + 0.0011)
+        decoded = freshness_codec.decode(freshness_codec.encode(reply)).unwrap()
+        assert isinstance(decoded, freshness_codec.Reply)
+        self.assertEqual((decoded.nonce, decoded.version), (nonce, version))
+        self.assertGreaterEqual(decoded.age_s, min(age_s, 4_294_967.0) - 1e-6)
+        self.assertLessEqual(decoded.age_s, age_s + 0.0011)
 
-    def test_question(self) -> None:
+    def test_question_round_trip(self) -> None:
         question = freshness_codec.Question(7)
         sent = freshness_codec.encode(question)
         self.assertEqual(freshness_codec.decode(sent).unwrap(), question)
 
     def test_damaged_datagrams_are_errors(self) -> None:
-        """Guards against a damaged datagram that crashes the gateway."""
+        """Guards against crashing the gateway with a damaged datagram."""
         whole = freshness_codec.encode(freshness_codec.Reply(7, 3, 1.5))
         for cut in range(len(whole) - 1):
             freshness_codec.decode(whole[:cut])
@@ -42,7 +42,7 @@
 
 
 class FakePeers:
-    """Knows the readers that tests set."""
+    """Peers with readers that tests set."""
 
     def __init__(self) -> None:
         self.is_reader = False
