--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -177,7 +177,7 @@
             ]
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             logger.warning(
-                "invalid record of a blocked request at {}: {!r}",
+                "invalid record of a blocked request at key {}: {!r}",
                 record.key,
                 error,
             )
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -43,7 +43,7 @@
     def is_blocked(self, suspects: crash_suspects.CrashSuspects) -> bool:
         return suspects.is_blocked(FINGERPRINT, self.clock.monotonic_s())
 
-    def test_a_started_gateway_reads_blocked_requests(self) -> None:
+    def test_a_new_gateway_reads_blocked_requests(self) -> None:
         self.block(self.start())
         self.assertTrue(builders_platform.wait_until(self.is_stored))
         suspects = self.start()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -126,7 +126,7 @@
         self.assertIsNone(found.customers)
 
     def test_malformed_customers_are_rejected(self) -> None:
-        """Guards against replacing valid customers with malformed ones."""
+        """Guards against replacing a valid configuration by a malformed one."""
         for fields in (
             {"name": "ann", "api-keys": build.KEY},
             {"name": "ann", "api-keys": [1]},
@@ -163,7 +163,7 @@
         )
     )
     def test_arbitrary_customers_do_not_raise(self, value: object) -> None:
-        """Guards against crashing the reading task with any document."""
+        """Guards against unexpected documents that crash the reading task."""
         decoded = documents.StoredDocuments().decode_routes(
             builders_routes.routes_value(tenants=value)
         )
