--- a/src/mulberrywharf/rules/__init__.py
+++ b/src/mulberrywharf/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' ordered rules: read, check, match, explain."""
+"""Parses, checks, evaluates and explains the operators' ordered rules."""
 
 from mulberrywharf.rules.check import FleetSize, check
 from mulberrywharf.rules.configuration import AuditEntry
--- a/src/mulberrywharf/rules/check.py
+++ b/src/mulberrywharf/rules/check.py
@@ -1,10 +1,9 @@
-"""What is doubtful in a document, given the fleet it is meant for.
+"""Warnings about a valid document, given the fleet that it is meant for.
 
-A document with faults is never accepted; ``parse`` refuses it. What this
-module adds are warnings: the document can be accepted, but does not do what
-its author probably means. Whatever depends on the fleet is a warning only,
-because operators must be able to change the rules also while half of the
-fleet is away.
+``parse`` rejects invalid documents. The warnings of this module concern
+documents that can be accepted, but probably do not do what their author
+intends. Everything that depends on the fleet is only a warning, because
+operators must be able to change the rules while half of the fleet is down.
 """
 
 from collections.abc import Iterator, Mapping
@@ -19,25 +18,26 @@
 
 
 class FleetSize(NamedTuple):
-    """The engines that a deployment has.
+    """The number of engines in a deployment.
 
     Attributes:
-        engines_count_by_zone: By availability zone.
+        engines_count_by_zone: Number of engines by availability zone.
     """
 
     engines_count_by_zone: Mapping[str, int]
 
 
 def check(document: Document, fleet_size: FleetSize | None) -> list[Fault]:
-    """Lists what is doubtful in a document that ``parse`` accepted.
+    """Returns warnings about a document that ``parse`` accepted.
 
     Args:
-        document: What the operator wrote.
-        fleet_size: What the VM list shows, or None when it is not known;
-            then only what follows from the document is checked.
+        document: The document that the operator wrote.
+        fleet_size: Number of engines by the VM list. If it is None, the
+            checks that depend on the fleet are skipped.
 
     Returns:
-        Warnings, in the order of the document.
+        Warnings about shadowed rules, then about rules that may flap, then
+        about the fleet.
     """
     found = [
         *shadowing_warnings(document["rules"]),
@@ -57,12 +57,14 @@
         zone = rule["when"].get("availability_zone")
         if zone is not None and zone not in zones:
             yield _unknown_zone(f"{path}.when.availability_zone", zone, zones)
-        ruled = _ruled_zones(rule, zones)
-        yield from _action_warnings(f"{path}.then", rule["then"], zones, ruled)
+        affected_zones = _affected_zones(rule, zones)
+        yield from _action_warnings(
+            f"{path}.then", rule["then"], zones, affected_zones
+        )
     yield from _action_warnings("default", document["default"], zones, zones)
 
 
-def _ruled_zones(rule: Rule, zones: Mapping[str, int]) -> Mapping[str, int]:
+def _affected_zones(rule: Rule, zones: Mapping[str, int]) -> Mapping[str, int]:
     zone = rule["when"].get("availability_zone")
     if zone is None:
         return zones
@@ -73,18 +75,20 @@
     path: str,
     actions: Actions,
     zones: Mapping[str, int],
-    ruled: Mapping[str, int],
+    affected_zones: Mapping[str, int],
 ) -> Iterator[Fault]:
     prefer = actions.get("prefer_zone")
     if prefer is not None and prefer not in zones:
         yield _unknown_zone(f"{path}.prefer_zone", prefer, zones)
-    for zone, engines_count in ruled.items():
-        asked_count = _asked_count(actions.get("roles"))
-        if asked_count > engines_count:
-            yield _too_many(f"{path}.roles", zone, asked_count, engines_count)
+    for zone, engines_count in affected_zones.items():
+        requested_count = _requested_count(actions.get("roles"))
+        if requested_count > engines_count:
+            yield _too_many_engines(
+                f"{path}.roles", zone, requested_count, engines_count
+            )
         load = actions.get("load")
         if load is not None and load["engines_count"] > engines_count:
-            yield _too_many(
+            yield _too_many_engines(
                 f"{path}.load.engines_count",
                 zone,
                 load["engines_count"],
@@ -92,19 +96,19 @@
             )
 
 
-def _asked_count(roles: Roles | None) -> int:
+def _requested_count(roles: Roles | None) -> int:
     if roles is None:
         return 0
     return sum(roles.get(key, 0) for key in _COUNT_KEYS)  # type: ignore[misc]
 
 
-def _too_many(
-    path: str, zone: str, asked_count: int, engines_count: int
+def _too_many_engines(
+    path: str, zone: str, requested_count: int, engines_count: int
 ) -> Fault:
     return Fault(
         path,
-        f"asks for {asked_count} engines; {zone} has {engines_count}",
-        "ask for fewer, use shares, or name the zone in the conditions",
+        f"asks for {requested_count} engines; {zone} has {engines_count}",
+        "request fewer, use shares, or name the zone in the conditions",
     )
 
 
@@ -112,5 +116,6 @@
     return Fault(
         path,
         f"the VM list shows no engine in {zone}",
-        f"one of {', '.join(sorted(zones)) or 'no zone'}, unless it is away",
+        f"use one of {', '.join(sorted(zones)) or 'no zone'}, unless "
+        "the zone is down",
     )
--- a/src/mulberrywharf/rules/configuration.py
+++ b/src/mulberrywharf/rules/configuration.py
@@ -1,6 +1,6 @@
-"""The audit trail of a configuration and the difference of two documents.
+"""Audit entries of the configuration, and the diff of two documents.
 
-The configuration itself, with its version and its stored bytes, is in
+The configuration itself, with its version and its stored form, is in
 ``platform_service.configuration``.
 """
 
@@ -11,16 +11,17 @@
 from mulberrywharf.rules.document import ADAPTER, Document
 
 AUDIT_LIMIT_COUNT = 100
-"""Changes that the stored value keeps; older ones are in the logs."""
+"""Number of changes kept in the stored value; older ones are in the logs."""
 
 
 class DiffLine(TypedDict):
-    """One place that a change touched.
+    """One field that a change of the configuration added, set or removed.
 
     Attributes:
-        path: Such as ``rules.night.when.prefill_share_above``.
-        before: The old value as JSON, or empty when there was none.
-        after: The new value as JSON, or empty when there is none.
+        path: Path of the field, such as
+            ``rules.night.when.prefill_share_above``.
+        before: The old value as JSON, or empty if there was none.
+        after: The new value as JSON, or empty if there is none.
     """
 
     path: str
@@ -40,14 +41,14 @@
 
 
 def diff(before: Document | None, after: Document) -> list[DiffLine]:
-    """Lists every place in which two documents differ.
+    """Returns every field in which two documents differ.
 
-    Rules are compared by name, so that a rule that moved shows as a change of
-    the order and not as a change of every rule behind it.
+    Rules are compared by name, so a rule that moved appears as a change of
+    the order and not as a change of every rule after it.
 
     Args:
-        before: The document in force, or None when there is none yet.
-        after: The new one.
+        before: The active document, or None if there is none yet.
+        after: The new document.
     """
     old = _flat(before) if before is not None else {}
     new = _flat(after)
--- a/src/mulberrywharf/rules/consistency.py
+++ b/src/mulberrywharf/rules/consistency.py
@@ -1,7 +1,7 @@
-"""Faults of a document that span several of its fields.
+"""Validates constraints that span several fields of a document.
 
-Everything here follows from the document alone, whatever the fleet looks
-like, so a document with such a fault is never accepted.
+These faults follow from the document alone and not from the state of the
+fleet, so a document with such a fault is always rejected.
 """
 
 from collections.abc import Iterator
@@ -9,12 +9,12 @@
 from mulberrywharf.errors import Fault
 from mulberrywharf.rules.document import Actions, Conditions, Document, Roles
 
-DEFAULT_NAME = "default"
-"""Stands for the default in explanations, so no rule may be called so."""
+DEFAULT_RULE_NAME = "default"
+"""Name of the default in explanations; no rule may have this name."""
 
 _SHARE_KEYS = ("prefill", "decode", "mixed")
 _SUM_TOLERANCE = 1e-9
-_RANGES = (
+_BOUND_KEYS = (
     ("prefill_share_above", "prefill_share_below"),
     ("queue_delay_above_s", "queue_delay_below_s"),
     ("requests_above_per_s", "requests_below_per_s"),
@@ -22,7 +22,7 @@
 
 
 def faults(document: Document) -> list[Fault]:
-    """Lists every inconsistency of a document whose types are correct."""
+    """Returns every inconsistency of a document whose types are correct."""
     return [
         *_name_faults(document),
         *_key_faults(document),
@@ -36,13 +36,15 @@
     for index, rule in enumerate(document["rules"]):
         path = f"rules.{index}.name"
         name = rule["name"]
-        if name == DEFAULT_NAME:
-            yield Fault(path, "this name means the default", "rename the rule")
+        if name == DEFAULT_RULE_NAME:
+            yield Fault(
+                path, "this name is reserved for the default", "rename the rule"
+            )
         if name in seen:
             yield Fault(
                 path,
                 f"{name} is also the name of rules.{seen[name]}",
-                "give each rule a name of its own",
+                "give each rule a unique name",
             )
         seen.setdefault(name, index)
 
@@ -54,8 +56,9 @@
         if other != name:
             yield Fault(
                 f"customers.{name}.key_sha256_hex",
-                f"{other} has the same key, so requests name neither",
-                "give each customer a key of its own",
+                f"{other} has the same key, so requests with it identify "
+                "neither customer",
+                "give each customer a unique key",
             )
 
 
@@ -64,7 +67,7 @@
         path = f"rules.{index}"
         yield from _conditions_faults(f"{path}.when", rule["when"], document)
         if not rule["then"]:
-            yield Fault(f"{path}.then", "no action", 'say {"hold": true}')
+            yield Fault(f"{path}.then", "no action", 'write {"hold": true}')
         yield from _actions_faults(f"{path}.then", rule["then"], document)
 
 
@@ -73,7 +76,7 @@
 ) -> Iterator[Fault]:
     if not set(when) - {"for_s"}:
         yield Fault(path, "no condition", "move the actions to the default")
-    for above, below in _RANGES:
+    for above, below in _BOUND_KEYS:
         low, high = when.get(above), when.get(below)
         if low is None or high is None:
             continue
@@ -88,7 +91,7 @@
         yield Fault(
             f"{path}.between_utc",
             "the window is empty",
-            "name two times of day, or leave it out for the whole day",
+            "set two different times, or omit the field for the whole day",
         )
     yield from _rate_faults(path, when)
     yield from _reference_faults(
@@ -102,8 +105,8 @@
         if key in when and len(subjects) != 1:
             yield Fault(
                 f"{path}.{key}",
-                "whose requests are meant is not clear",
-                "name one customer or one model beside it",
+                "it is ambiguous whose requests are counted",
+                "name exactly one customer or one model in the same conditions",
             )
 
 
@@ -132,8 +135,8 @@
     if actions.get("hold") and set(actions) & {"roles", "load", "drain"}:
         yield Fault(
             f"{path}.hold",
-            "hold leaves engines alone, but another action changes them",
-            "keep hold or the roles, load and drain beside it",
+            "hold leaves engines unchanged, but another action changes them",
+            "remove hold, or remove roles, load and drain",
         )
     limit, load = actions.get("limit"), actions.get("load")
     if limit:
@@ -172,14 +175,16 @@
 def _roles_faults(path: str, roles: Roles) -> Iterator[Fault]:
     shares = [roles[key] for key in _SHARE_KEYS if key in roles]  # type: ignore[literal-required]
     if not roles:
-        yield Fault(path, "no role", "name a share or a count of engines")
+        yield Fault(path, "no role", "set a share or a count of engines")
     if shares and len(shares) != len(roles):
         yield Fault(
-            path, "shares and counts are mixed", "use one kind in one action"
+            path,
+            "shares and counts are mixed",
+            "use only shares or only counts",
         )
     if sum(shares) > 1 + _SUM_TOLERANCE:
         yield Fault(
             path,
             f"shares add up to {sum(shares):.3f}",
-            "make them add up to at most 1; the rest stays mixed",
+            "make them add up to at most 1; the other engines are mixed",
         )
--- a/src/mulberrywharf/rules/document.py
+++ b/src/mulberrywharf/rules/document.py
@@ -1,9 +1,9 @@
-"""The configuration document that operators write, as checked types.
+"""Types of the configuration document that operators write.
 
-Operators write it as JSON with comments; the key-value service holds it as
-plain JSON. Unknown keys, wrong types and values out of range are refused by
-the adapter at the end of this module. What spans several fields, such as
-shares that add up to more than one, is checked in ``consistency``.
+Operators write the document as JSON with comments; the key-value service
+stores it as plain JSON. ``ADAPTER`` rejects unknown keys, wrong types and
+values out of range. ``consistency`` checks constraints that span several
+fields, such as shares that add up to more than one.
 """
 
 from typing import Annotated, Literal, NotRequired
@@ -14,7 +14,7 @@
 from mulberrywharf import settings
 
 DOCUMENT_LIMIT_BYTES = 768 * 1024
-"""Leaves room for the audit entries in a value of at most 1 MB."""
+"""Leaves room for the audit entries in a stored value of at most 1 MB."""
 
 Share = settings.Share
 Name = settings.Name
@@ -35,22 +35,30 @@
 
 @pydantic.with_config(_STRICT)
 class Conditions(TypedDict, total=False):
-    """What must hold for a rule to match; every given field must.
+    """The conditions of a rule; the rule matches when all given ones hold.
 
     Attributes:
-        prefill_share_above: Prefill's share of the zone's work is larger.
-        prefill_share_below: It is smaller.
-        queue_delay_above_s: Requests wait longer for an engine.
-        queue_delay_below_s: They wait less.
-        engines_lost_above_count: More engines of the zone are lost.
+        prefill_share_above: Prefill's share of the zone's work, 0 to 1, is
+            above this value.
+        prefill_share_below: Prefill's share of the zone's work, 0 to 1, is
+            below this value.
+        queue_delay_above_s: Requests wait longer than this for an engine, in
+            seconds.
+        queue_delay_below_s: Requests wait less than this for an engine, in
+            seconds.
+        engines_lost_above_count: More engines of the zone than this are lost.
         availability_zone: The rule is evaluated in this zone.
-        between_utc: From the first time of day up to, but without, the
-            second; a window may pass midnight.
+        between_utc: Start (inclusive) and end (exclusive) of a daily time
+            window in UTC; the window may span midnight.
         customer: This customer sends requests.
         model: Requests for this model arrive.
-        requests_above_per_s: Rate of that customer or model; 0 if left out.
-        requests_below_per_s: Rate of that customer or model.
-        for_s: The others have held without a break for so long.
+        requests_above_per_s: The request rate of the customer or model is
+            above this value. Defaults to 0 if ``requests_below_per_s`` is
+            absent as well.
+        requests_below_per_s: The request rate of the customer or model is
+            below this value.
+        for_s: All other conditions have held continuously for this long, in
+            seconds.
     """
 
     prefill_share_above: Share
@@ -71,9 +79,10 @@
 
 @pydantic.with_config(_STRICT)
 class Roles(TypedDict, total=False):
-    """How a zone's engines are split; all as shares or all as counts.
+    """The share or number of a zone's engines in each role.
 
-    Engines that no field asks for are ``mixed``.
+    Either all fields are shares or all are counts. Engines that no field
+    assigns get the role ``mixed``.
     """
 
     prefill: Share
@@ -86,7 +95,7 @@
 
 @pydantic.with_config(_STRICT)
 class Load(TypedDict):
-    """A model that a number of the zone's engines should have loaded."""
+    """A model and the number of the zone's engines that should load it."""
 
     model: ModelName
     adapter: NotRequired[ModelName]
@@ -96,14 +105,14 @@
 
 @pydantic.with_config(_STRICT)
 class Drain(TypedDict):
-    """An engine that should get no new work."""
+    """An engine that should receive no new requests."""
 
     engine_id: Name
 
 
 @pydantic.with_config(_STRICT)
 class Limit(TypedDict):
-    """A customer's rate while the rule matches."""
+    """A limit on a customer's request rate while the rule matches."""
 
     customer: Name
     requests_per_s: Rate
@@ -111,15 +120,15 @@
 
 @pydantic.with_config(_STRICT)
 class Actions(TypedDict, total=False):
-    """What is done while a rule matches.
+    """The actions that apply while a rule matches.
 
     Attributes:
-        roles: Split of the zone's engines.
+        roles: Share or number of the zone's engines in each role.
         load: A model to load.
         drain: An engine to drain.
-        limit: A limit on a customer.
-        prefer_zone: Zone that gets requests first.
-        hold: Leave every engine as it is.
+        limit: A rate limit for a customer.
+        prefer_zone: The zone to which requests are sent first.
+        hold: Leave all engines unchanged.
     """
 
     roles: Roles
@@ -132,7 +141,7 @@
 
 @pydantic.with_config(_STRICT)
 class Rule(TypedDict):
-    """One of the ordered rules; the first that matches counts."""
+    """One of the ordered rules; only the first that matches applies."""
 
     name: Name
     when: Conditions
@@ -141,14 +150,15 @@
 
 @pydantic.with_config(_STRICT)
 class Customer(TypedDict):
-    """A customer: its key, its limits and its standing.
+    """A customer's key, limits, weight and priority.
 
     Attributes:
         key_sha256_hex: SHA-256 of the bearer key, never the key itself.
-        requests_per_s: Limit across the deployment.
-        tokens_per_s: Limit across the deployment.
-        weight: Its share when the fleet is short, relative to the others.
-        priority: 0 goes first, 9 last.
+        requests_per_s: Request rate limit across the deployment.
+        tokens_per_s: Token rate limit across the deployment.
+        weight: The customer's share, relative to the other customers, when
+            the fleet lacks capacity.
+        priority: 0 is served first, 9 last.
     """
 
     key_sha256_hex: settings.Sha256Hex
@@ -160,12 +170,12 @@
 
 @pydantic.with_config(_STRICT)
 class Service(TypedDict):
-    """A plain service on backend servers.
+    """A service that runs on backend servers.
 
     Attributes:
-        idempotent_paths: Paths whose calls may be repeated.
-        default_idempotent: Whether calls to other paths may be repeated.
-        timeout_s: For one call.
+        idempotent_paths: Paths whose calls may be retried.
+        default_idempotent: Whether calls to other paths may be retried.
+        timeout_s: Timeout of one call, in seconds.
     """
 
     idempotent_paths: list[Path]
@@ -175,7 +185,7 @@
 
 @pydantic.with_config(_STRICT)
 class Model(TypedDict):
-    """A model that callers may name."""
+    """A model that callers may request, with its adapters and versions."""
 
     adapters: list[ModelName]
     versions: list[ModelName]
@@ -183,7 +193,7 @@
 
 @pydantic.with_config(_STRICT)
 class Shed(TypedDict):
-    """Targets that decide when work is refused early."""
+    """Latency targets that decide when requests are rejected early."""
 
     first_token_target_ms: Annotated[float, pydantic.Field(gt=0, le=600_000)]
     between_tokens_target_ms: Annotated[float, pydantic.Field(gt=0, le=600_000)]
@@ -194,12 +204,12 @@
     """The whole configuration document of a deployment.
 
     Attributes:
-        rules: In order; the first that matches counts.
-        default: What is done when none matches.
-        customers: By name.
-        services: By name.
-        models: By name.
-        shed: Targets of admission.
+        rules: The ordered rules; only the first that matches applies.
+        default: The actions that apply when no rule matches.
+        customers: Customers by name.
+        services: Services by name.
+        models: Models by name.
+        shed: Latency targets of admission control.
     """
 
     rules: Annotated[list[Rule], pydantic.Field(max_length=1000)]
--- a/src/mulberrywharf/rules/explain.py
+++ b/src/mulberrywharf/rules/explain.py
@@ -1,41 +1,46 @@
-"""Says in words why the rules ask for what they ask for."""
+"""Explains in words which rule applies and why."""
 
 import json
 import math
 
-from mulberrywharf.rules.match import Match, SeenInput
+from mulberrywharf.rules.match import ConditionResult, Match
 
 
 def explain(match: Match, config_version: int) -> str:
-    """Names the rule, the configuration version, the inputs and their age.
+    """Describes a match: the rule, its version, its inputs and their age.
 
     Args:
-        match: What was found.
-        config_version: Version of the configuration it was found in.
+        match: The match to explain.
+        config_version: Version of the configuration that was evaluated.
 
     Returns:
-        Several lines for an operator.
+        Text of several lines, for operators.
     """
     lines = [_headline(match, config_version)]
-    lines += [f"  {describe_input(seen)}" for seen in match.inputs]
+    lines += [f"  {describe_condition(result)}" for result in match.conditions]
     lines.append(f"  then {json.dumps(match.actions, sort_keys=True)}")
     return "\n".join(lines)
 
 
 def reason(match: Match, config_version: int) -> str:
-    """Returns the same on one line, for order records and the audit trail."""
-    inputs = "; ".join(describe_input(seen) for seen in match.inputs)
+    """Describes a match on one line, for order records and the audit trail."""
+    conditions = "; ".join(
+        describe_condition(result) for result in match.conditions
+    )
     headline = _headline(match, config_version)
-    return f"{headline}: {inputs}" if inputs else headline
+    return f"{headline}: {conditions}" if conditions else headline
+
 
+def describe_condition(result: ConditionResult) -> str:
+    """Describes one condition and the value that it was compared with.
 
-def describe_input(seen: SeenInput) -> str:
-    """Describes one condition, such as ``x > 0.4: seen 0.5, 2.1 s old``."""
+    For example ``queue_delay_above_s 1.0: seen 2, 0.5 s old, holds``.
+    """
     state = {True: "holds", False: "does not hold", None: "unknown"}
-    age = "no age" if math.isinf(seen.age_s) else f"{seen.age_s:.1f} s old"
+    age = "no age" if math.isinf(result.age_s) else f"{result.age_s:.1f} s old"
     return (
-        f"{seen.condition} {seen.wanted}: seen {seen.value}, {age}, "
-        f"{state[seen.holds]}"
+        f"{result.condition} {result.wanted}: seen {result.value}, {age}, "
+        f"{state[result.holds]}"
     )
 
 
--- a/src/mulberrywharf/rules/flapping.py
+++ b/src/mulberrywharf/rules/flapping.py
@@ -1,7 +1,8 @@
 """Finds rules between which a noisy input would switch back and forth.
 
-Each switch takes an engine away for seconds, so a threshold that a noisy
-figure crosses every few seconds costs more than either state.
+Each switch makes an engine unavailable for seconds. If a noisy input crosses
+a threshold every few seconds, the switches cost more than staying in either
+state.
 """
 
 from collections.abc import Iterator
@@ -11,17 +12,17 @@
 from mulberrywharf.errors import Fault
 from mulberrywharf.rules.document import Actions, Conditions, Document, Rule
 
-_COSTLY = ("roles", "load", "drain")
+_ENGINE_ACTIONS = ("roles", "load", "drain")
 
 
 class _NoisyInput(NamedTuple):
-    """An input that moves with every report.
+    """An input that changes with every report.
 
     Attributes:
-        above: Condition that holds above a threshold.
-        below: Condition that holds below one.
-        dead_band: Least distance between the two thresholds that a noisy
-            input does not cross by itself.
+        above: Name of the condition that holds above a threshold.
+        below: Name of the condition that holds below a threshold.
+        dead_band: Noise alone does not cross a gap between the two
+            thresholds that is wider than this.
     """
 
     above: str
@@ -29,7 +30,7 @@
     dead_band: float
 
 
-_NOISY = (
+_NOISY_INPUTS = (
     _NoisyInput("prefill_share_above", "prefill_share_below", 0.05),
     _NoisyInput("queue_delay_above_s", "queue_delay_below_s", 0.1),
     _NoisyInput("requests_above_per_s", "requests_below_per_s", 0.0),
@@ -37,16 +38,21 @@
 
 
 def flapping_warnings(document: Document) -> Iterator[Fault]:
-    """Points out pairs of rules, or a rule and the default, that may flap."""
+    """Yields a warning for each pair of rules that may flap.
+
+    The default is compared with each rule as well.
+    """
     rules = document["rules"]
     numbered = list(enumerate(rules))
     for (_, first), (index, second) in combinations(numbered, 2):
-        noisy = _shared_threshold(first["when"], second["when"])
-        if noisy is None or not _differ(first["then"], second["then"]):
+        noisy = _input_within_dead_band(first["when"], second["when"])
+        if noisy is None or not _switch_changes_engines(
+            first["then"], second["then"]
+        ):
             continue
-        if _sustained(first) and _sustained(second):
+        if _has_duration(first) and _has_duration(second):
             continue
-        if not _can_meet(first["when"], second["when"]):
+        if not _scopes_overlap(first["when"], second["when"]):
             continue
         yield Fault(
             f"rules.{index}",
@@ -55,31 +61,34 @@
             f"leave a gap of more than {noisy.dead_band} between the "
             "thresholds and give both rules a for_s",
         )
-    yield from _against_default(document)
+    yield from _default_warnings(document)
 
 
-def _against_default(document: Document) -> Iterator[Fault]:
+def _default_warnings(document: Document) -> Iterator[Fault]:
     default = document["default"]
-    if not set(default) & set(_COSTLY):
+    if not set(default) & set(_ENGINE_ACTIONS):
         return
     for index, rule in enumerate(document["rules"]):
-        if _sustained(rule) or not _differ(rule["then"], default):
+        if _has_duration(rule) or not _switch_changes_engines(
+            rule["then"], default
+        ):
             continue
         if any(
-            n.above in rule["when"] or n.below in rule["when"] for n in _NOISY
+            n.above in rule["when"] or n.below in rule["when"]
+            for n in _NOISY_INPUTS
         ):
             yield Fault(
                 f"rules.{index}",
                 f"{rule['name']} and the default change engines, and a short "
                 "swing switches between them",
-                "give the rule a for_s, or make the default hold",
+                "give the rule a for_s, or set hold in the default",
             )
 
 
-def _shared_threshold(
+def _input_within_dead_band(
     first: Conditions, second: Conditions
 ) -> _NoisyInput | None:
-    for noisy in _NOISY:
+    for noisy in _NOISY_INPUTS:
         for one, other in ((first, second), (second, first)):
             above, below = one.get(noisy.above), other.get(noisy.below)
             if not isinstance(above, (int, float)):
@@ -91,20 +100,20 @@
     return None
 
 
-def _differ(first: Actions, second: Actions) -> bool:
-    """Says whether a switch between the two would change engines."""
+def _switch_changes_engines(first: Actions, second: Actions) -> bool:
+    """Returns whether switching between the two would change engines."""
     return any(
         key in first and key in second and first[key] != second[key]  # type: ignore[literal-required]
-        for key in _COSTLY
+        for key in _ENGINE_ACTIONS
     )
 
 
-def _sustained(rule: Rule) -> bool:
+def _has_duration(rule: Rule) -> bool:
     return rule["when"].get("for_s", 0.0) > 0
 
 
-def _can_meet(first: Conditions, second: Conditions) -> bool:
-    """Says whether both rules may be evaluated in one zone for one subject."""
+def _scopes_overlap(first: Conditions, second: Conditions) -> bool:
+    """Returns whether both may concern the same zone, customer and model."""
     return all(
         first[key] == second[key]
         for key in ("availability_zone", "customer", "model")
--- a/src/mulberrywharf/rules/parse.py
+++ b/src/mulberrywharf/rules/parse.py
@@ -1,4 +1,4 @@
-"""Reads the configuration document from text."""
+"""Parses and validates the configuration document."""
 
 import difflib
 import json
@@ -15,15 +15,17 @@
 from mulberrywharf.rules import document as document_module
 from mulberrywharf.rules.document import ADAPTER, Document
 
-_ADVICE_BY_KIND = {
+_ADVICE_BY_ERROR_TYPE = {
     "missing": "add this field",
-    "string_pattern_mismatch": "write it in the form that the page shows",
+    "string_pattern_mismatch": (
+        "use the format that docs/operators/rules.md shows"
+    ),
     "greater_than_equal": "write a value in the range",
     "less_than_equal": "write a value in the range",
     "float_type": "write a number without quotation marks",
     "int_type": "write a whole number without quotation marks",
 }
-_ADVICE = "see docs/operators/rules.md for this field"
+_DEFAULT_ADVICE = "see docs/operators/rules.md for this field"
 _COMMENT_LINE = re.compile(
     r"^[ \t]*//[^\r\n\u2028\u2029]*(?=\r?\n|\Z)", re.MULTILINE
 )
@@ -37,18 +39,18 @@
 
 
 class _DuplicateKeyError(ValueError):
-    """An object names one key twice."""
+    """A JSON object contains a key more than once."""
 
 
 def parse(text: str, source: str) -> Result[Document, RulesError]:
-    """Reads and checks a document in JSON with comments.
+    """Parses and validates a document in JSON with comments.
 
     Args:
         text: The whole document.
-        source: Its name, for messages.
+        source: Name of the document, for error messages.
 
     Returns:
-        The document, or every fault found in it.
+        The document, or an error that lists every fault found in it.
     """
     size_bytes = len(text.encode("utf-8", "surrogatepass"))
     if size_bytes > document_module.DOCUMENT_LIMIT_BYTES:
@@ -56,7 +58,7 @@
             "document",
             f"{size_bytes} bytes; the limit is "
             f"{document_module.DOCUMENT_LIMIT_BYTES}",
-            "remove what is no longer used",
+            "remove entries that are no longer used",
         )
         return Err(RulesError(source, [fault]))
     try:
@@ -72,19 +74,21 @@
 
 
 def check_value(value: object, source: str) -> Result[Document, RulesError]:
-    """Checks a document that is already read, such as a stored one.
+    """Validates a document that is already decoded, such as a stored one.
 
     Args:
-        value: What a JSON reader returned.
-        source: Its name, for messages.
+        value: The decoded JSON value.
+        source: Name of the document, for error messages.
 
     Returns:
-        The document, or every fault found in it.
+        The document, or an error that lists every fault found in it.
     """
     try:
         document = ADAPTER.validate_python(value)
     except pydantic.ValidationError as error:
-        return Err(RulesError(source, [_fault(e) for e in error.errors()]))
+        return Err(
+            RulesError(source, [_fault_from_error(e) for e in error.errors()])
+        )
     found = consistency.faults(document)
     if found:
         return Err(RulesError(source, found))
@@ -92,36 +96,40 @@
 
 
 def _read(text: str) -> object:
-    # The json5 reader is written in Python and some thousand times slower.
-    # Whole comment lines, which mulberryctl writes itself, are blanked first.
-    # That is safe: a JSON string cannot span lines, so a line of one never
-    # begins with a comment, and whatever is no plain JSON then goes to json5
-    # as it was written.
+    # The json5 parser is pure Python and about a thousand times slower than
+    # json, so it is only the fallback. Lines that hold nothing but a comment,
+    # as mulberryctl writes them, are removed before json parses the text. This
+    # cannot alter a string, because a JSON string cannot span lines. Text that
+    # is still not plain JSON goes to json5 unmodified.
     try:
         return json.loads(
             _COMMENT_LINE.sub("", text),
-            object_pairs_hook=_object,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_object_with_unique_keys,
+            parse_constant=_reject_constant,
         )
     except _DuplicateKeyError:
         raise
     except ValueError:
-        return json5.loads(text, object_pairs_hook=_object)
+        return json5.loads(text, object_pairs_hook=_object_with_unique_keys)
 
 
-def _object(pairs: Iterable[tuple[str, Any]]) -> dict[str, Any]:
-    # A JSON reader keeps the last of two equal keys: an operator who pastes a
-    # customer twice would lose one limit without a word. Refuse instead.
+def _object_with_unique_keys(
+    pairs: Iterable[tuple[str, Any]],
+) -> dict[str, Any]:
+    # JSON parsers keep only the last of several equal keys. An operator who
+    # pastes a customer twice would silently lose one of its limits.
     value: dict[str, Any] = {}
     for key, item in pairs:
         if key in value:
-            raise _DuplicateKeyError(f"{key!r} stands twice in one object")
+            raise _DuplicateKeyError(
+                f"{key!r} occurs more than once in an object"
+            )
         value[key] = item
     return value
 
 
-def _refuse_constant(name: str) -> NoReturn:
-    raise ValueError(f"{name} is not a number that can be used")
+def _reject_constant(name: str) -> NoReturn:
+    raise ValueError(f"{name} is not a valid number")
 
 
 def _first_line(error: Exception) -> str:
@@ -129,17 +137,17 @@
     return lines[0] if lines else type(error).__name__
 
 
-def _fault(detail: Any) -> Fault:
+def _fault_from_error(detail: Any) -> Fault:
     path = ".".join(str(part) for part in detail["loc"]) or "document"
     if detail["type"] == "extra_forbidden":
         key = str(detail["loc"][-1])
         return Fault(path, f"unknown field {key}", _advice_for_key(key))
-    advice = _ADVICE_BY_KIND.get(detail["type"], _ADVICE)
+    advice = _ADVICE_BY_ERROR_TYPE.get(detail["type"], _DEFAULT_ADVICE)
     return Fault(path, detail["msg"], advice)
 
 
 def _advice_for_key(key: str) -> str:
-    """Proposes known fields, first those that only add a unit."""
+    """Suggests known fields, preferring those that only add a unit."""
     with_unit = [
         known
         for known in _KNOWN_KEYS
--- a/src/mulberrywharf/rules/shadowing.py
+++ b/src/mulberrywharf/rules/shadowing.py
@@ -1,27 +1,27 @@
-"""Finds rules that can never count because an earlier one always does.
+"""Finds rules that never apply because an earlier rule always matches first.
 
-A rule is shadowed when its conditions imply those of an earlier rule. Only
-single earlier rules are weighed; a rule that several earlier ones cover
-together is not found.
+A rule is shadowed when its conditions imply those of an earlier rule. It is
+compared with one earlier rule at a time; a rule that only several earlier
+rules together cover is not found.
 """
 
 from collections.abc import Iterator
 
 from mulberrywharf.errors import Fault
 from mulberrywharf.rules.document import Conditions, Rule
-from mulberrywharf.rules.situation import MINUTES_IN_DAY, within
+from mulberrywharf.rules.situation import MINUTES_IN_DAY, is_in_window
 
-_ABOVE = (
+_LOWER_BOUND_KEYS = (
     "prefill_share_above",
     "queue_delay_above_s",
     "engines_lost_above_count",
 )
-_BELOW = ("prefill_share_below", "queue_delay_below_s")
-_EQUAL = ("availability_zone", "customer", "model")
+_UPPER_BOUND_KEYS = ("prefill_share_below", "queue_delay_below_s")
+_EXACT_KEYS = ("availability_zone", "customer", "model")
 
 
 def shadowing_warnings(rules: list[Rule]) -> Iterator[Fault]:
-    """Points out each rule that an earlier one shadows."""
+    """Yields a warning for each rule that an earlier rule shadows."""
     for index, rule in enumerate(rules):
         for earlier in rules[:index]:
             if implies(rule["when"], earlier["when"]):
@@ -35,25 +35,29 @@
 
 
 def implies(when: Conditions, other: Conditions) -> bool:
-    """Says whether ``other`` holds whenever ``when`` does."""
+    """Returns whether ``other`` holds whenever ``when`` holds."""
     return (
-        _levels_imply(when, other)
-        and all(when.get(key) == other[key] for key in _EQUAL if key in other)  # type: ignore[literal-required]
+        _thresholds_imply(when, other)
+        and all(
+            when.get(key) == other[key]  # type: ignore[literal-required]
+            for key in _EXACT_KEYS
+            if key in other
+        )
         and _rates_imply(when, other)
         and _window_implies(when, other)
         and when.get("for_s", 0.0) >= other.get("for_s", 0.0)
     )
 
 
-def _levels_imply(when: Conditions, other: Conditions) -> bool:
+def _thresholds_imply(when: Conditions, other: Conditions) -> bool:
     above = all(
         key in when and when[key] >= other[key]  # type: ignore[literal-required]
-        for key in _ABOVE
+        for key in _LOWER_BOUND_KEYS
         if key in other
     )
     below = all(
         key in when and when[key] <= other[key]  # type: ignore[literal-required]
-        for key in _BELOW
+        for key in _UPPER_BOUND_KEYS
         if key in other
     )
     return above and below
@@ -69,8 +73,9 @@
 
 def _rate_range(when: Conditions) -> tuple[float, float]:
     below = when.get("requests_below_per_s", float("inf"))
-    # Without a bound from below, "sends requests" means above 0; a bound from
-    # above alone also holds for a customer who sends none.
+    # Without any bound the rate must be above 0, since the condition means
+    # that requests arrive. An upper bound alone also holds at a rate of 0, so
+    # the lower bound is then -1.
     lowest = 0.0 if "requests_below_per_s" not in when else -1.0
     return when.get("requests_above_per_s", lowest), below
 
@@ -81,7 +86,7 @@
         return True
     inner = when.get("between_utc")
     return all(
-        within(minute, outer)
+        is_in_window(minute, outer)
         for minute in range(MINUTES_IN_DAY)
-        if inner is None or within(minute, inner)
+        if inner is None or is_in_window(minute, inner)
     )
--- a/src/mulberrywharf/rules/situation.py
+++ b/src/mulberrywharf/rules/situation.py
@@ -1,4 +1,4 @@
-"""What the rules are evaluated on: the zone's state as one node sees it."""
+"""Inputs of the rules: the state of one zone as seen by one node."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -11,11 +11,11 @@
 
 
 class Reading(NamedTuple):
-    """A figure that came from afar.
+    """A value that was measured elsewhere, and its age.
 
     Attributes:
-        value: The figure, or None when nothing is known.
-        age_s: How old the figure is.
+        value: The value, or None if it is unknown.
+        age_s: Age of the value, in seconds.
     """
 
     value: float | None
@@ -29,18 +29,20 @@
     """The inputs of the rules in one zone at one instant.
 
     Attributes:
-        availability_zone: The zone whose engines are ruled.
-        utc_minute: Minute of the day, 0 to 1439.
-        prefill_share: Prefill's share of the work, 0 to 1.
-        queue_delay_s: How long requests wait for an engine.
-        engines_lost_count: Engines of the zone that should serve and do not.
-        customer_requests_per_s: By customer.
-        model_requests_per_s: By model.
-        absent_requests_per_s: Rate of customers and models that are absent
-            there: none, or None when only some were asked for.
-        rates_age_s: Age of both kinds of rates; infinite when unknown.
-        rates_given_up: They have been unknown for so long that no condition
-            on them holds.
+        availability_zone: The zone whose engines the rules control.
+        utc_minute: Minute of the UTC day, 0 to 1439.
+        prefill_share: Prefill's share of the zone's work, 0 to 1.
+        queue_delay_s: How long requests wait for an engine, in seconds.
+        engines_lost_count: Engines of the zone that should serve but do not.
+        customer_requests_per_s: Request rates by customer.
+        model_requests_per_s: Request rates by model.
+        absent_requests_per_s: Rate of customers and models that are missing
+            from the two mappings: 0, or None (unknown) if only some rates
+            were queried.
+        rates_age_s: Age of all request rates, in seconds; infinite when they
+            are unknown.
+        rates_given_up: Whether the rates have been unknown for so long that
+            conditions on them count as not holding.
     """
 
     availability_zone: str
@@ -56,19 +58,25 @@
 
 
 def utc_minute(unix_s: float) -> int:
-    """Returns the minute of the UTC day, 0 to 1439."""
+    """Returns the minute of the UTC day of a Unix time, 0 to 1439."""
     return int(unix_s // SECONDS_IN_MINUTE) % MINUTES_IN_DAY
 
 
-def minute_of(time_of_day: str) -> int:
-    """Returns the minute of the day of a time such as ``06:30``."""
+def minute_of_day(time_of_day: str) -> int:
+    """Returns the minute of the day for a time of day such as ``06:30``."""
     hours, minutes = time_of_day.split(":")
     return int(hours) * 60 + int(minutes)
 
 
-def within(minute: int, window: list[str]) -> bool:
-    """Says whether a minute lies in a window, which may pass midnight."""
-    start, end = minute_of(window[0]), minute_of(window[1])
+def is_in_window(minute: int, window: list[str]) -> bool:
+    """Returns whether a minute of the day is in a window.
+
+    Args:
+        minute: Minute of the day, 0 to 1439.
+        window: Start (inclusive) and end (exclusive) as times of day; the
+            window may span midnight.
+    """
+    start, end = minute_of_day(window[0]), minute_of_day(window[1])
     if start < end:
         return start <= minute < end
     return minute >= start or minute < end
--- a/src/mulberrywharf/rules/sustain.py
+++ b/src/mulberrywharf/rules/sustain.py
@@ -1,27 +1,30 @@
-"""How long a rule's conditions have held, as far as one process can know.
-
-A process that starts, or wakes from a pause, has not seen the past. If it
-took "not seen" for "did not hold", a controller that takes over would drop
-the rule in force until ``for_s`` had passed again: engines would change roles
-and change back at each takeover. So the answer is three-valued, and "unknown"
-makes the caller leave the fleet as it is.
+"""Tracks for how long each rule's conditions have held.
+
+A process that has just started or was paused does not know the past. If it
+treated unobserved time as time in which the conditions did not hold, a
+controller that takes over would drop the active rule until ``for_s`` had
+passed again: engines would change roles and change back at each takeover.
+The result is therefore true, false or unknown, and on unknown the caller
+leaves the fleet unchanged.
 """
 
 import math
 from typing import NamedTuple
 
 GAP_LIMIT_S = 15.0
-"""Silence between two evaluations after which the past counts as unseen."""
+"""Time between two evaluations after which the past counts as unknown."""
 
 
-class _Held(NamedTuple):
-    """Since when conditions hold.
+class _HoldState(NamedTuple):
+    """Since when a rule's conditions have held; times are monotonic.
 
     Attributes:
-        possible_since_s: They may have held from here on without a break.
-        certain_since_s: They were seen to hold from here on, or None.
-        last_true_s: When they were last seen to hold.
-        was_false: The last evaluation saw that they did not hold.
+        possible_since_s: Earliest time since which the conditions may have
+            held continuously.
+        certain_since_s: Time since which the conditions were observed to
+            hold, or None.
+        last_true_s: Time at which the conditions were last observed to hold.
+        was_false: Whether the conditions did not hold at the last evaluation.
     """
 
     possible_since_s: float
@@ -31,83 +34,86 @@
 
 
 class Sustain:
-    """Remembers since when each rule's conditions hold.
+    """Records since when each rule's conditions have held.
 
-    One evaluation calls ``start_pass`` once, ``observe`` for every rule, also
-    for those after the first match, and ``end_pass``.
+    Each evaluation calls ``start_pass``, then ``observe`` for every rule,
+    including those after the first match, and then ``end_pass``.
     """
 
     def __init__(self, gap_limit_s: float = GAP_LIMIT_S):
         self._gap_limit_s = gap_limit_s
-        self._held: dict[str, _Held] = {}
-        self._seen: set[str] = set()
+        self._states: dict[str, _HoldState] = {}
+        self._observed_keys: set[str] = set()
         self._last_pass_s: float | None = None
-        self._blind = True
+        self._history_unknown = True
 
     def start_pass(self, now_s: float) -> None:
-        """Begins an evaluation; forgets the past after a gap.
+        """Starts an evaluation; discards all state after a long gap.
 
         Args:
-            now_s: Monotonic time.
+            now_s: Monotonic time, in seconds.
         """
         last_s = self._last_pass_s
-        self._blind = last_s is None or now_s - last_s > self._gap_limit_s
-        if self._blind:
-            self._held.clear()
+        self._history_unknown = (
+            last_s is None or now_s - last_s > self._gap_limit_s
+        )
+        if self._history_unknown:
+            self._states.clear()
         self._last_pass_s = now_s
-        self._seen = set()
+        self._observed_keys = set()
 
     def observe(
         self, key: str, holds: bool | None, *, for_s: float, now_s: float
     ) -> bool | None:
-        """Records what was seen and says whether it has held long enough.
+        """Records an evaluation of one rule's conditions.
 
         Args:
-            key: Stands for the rule and its conditions; a rule whose
-                conditions were changed has another key.
-            holds: Whether the conditions hold now; None when unknown.
-            for_s: How long they must have held.
-            now_s: Monotonic time.
+            key: Identifies the rule with its conditions; a rule whose
+                conditions have changed has another key.
+            holds: Whether the conditions hold now; None if unknown.
+            for_s: How long the conditions must have held, in seconds.
+            now_s: Monotonic time, in seconds.
 
         Returns:
-            None when that cannot be known.
+            Whether the conditions have held for ``for_s``; None if unknown.
         """
-        self._seen.add(key)
-        held = self._next(self._held.get(key), holds, now_s)
-        self._held[key] = held
-        if holds is False or now_s - held.possible_since_s < for_s:
+        self._observed_keys.add(key)
+        state = self._next_state(self._states.get(key), holds, now_s)
+        self._states[key] = state
+        if holds is False or now_s - state.possible_since_s < for_s:
             return False
-        certain_s = held.certain_since_s
+        certain_s = state.certain_since_s
         if holds and certain_s is not None and now_s - certain_s >= for_s:
             return True
         return None
 
     def end_pass(self) -> None:
-        """Forgets rules that are no longer in the document."""
-        for key in self._held.keys() - self._seen:
-            del self._held[key]
-
-    def _next(
-        self, held: _Held | None, holds: bool | None, now_s: float
-    ) -> _Held:
-        if held is None:
-            # A rule that was just accepted was not in force before, so the
-            # time before counts only when this process has not seen it.
-            since_s = -math.inf if self._blind else now_s
-            held = _Held(since_s, None, -math.inf, was_false=False)
+        """Ends an evaluation; discards rules that were not observed in it."""
+        for key in self._states.keys() - self._observed_keys:
+            del self._states[key]
+
+    def _next_state(
+        self, state: _HoldState | None, holds: bool | None, now_s: float
+    ) -> _HoldState:
+        if state is None:
+            # If this process has observed the time before, the rule is new in
+            # the configuration and its time starts now. Otherwise the rule
+            # may have been active, and its conditions may always have held.
+            since_s = -math.inf if self._history_unknown else now_s
+            state = _HoldState(since_s, None, -math.inf, was_false=False)
         if holds is None:
-            certain_s = held.certain_since_s
-            if now_s - held.last_true_s > self._gap_limit_s:
+            certain_s = state.certain_since_s
+            if now_s - state.last_true_s > self._gap_limit_s:
                 certain_s = None
-            return held._replace(certain_since_s=certain_s, was_false=False)
+            return state._replace(certain_since_s=certain_s, was_false=False)
         if not holds:
-            return _Held(now_s, None, -math.inf, was_false=True)
-        if held.was_false:
-            return _Held(now_s, now_s, now_s, was_false=False)
-        certain_s = held.certain_since_s
-        if now_s - held.last_true_s > self._gap_limit_s:
+            return _HoldState(now_s, None, -math.inf, was_false=True)
+        if state.was_false:
+            return _HoldState(now_s, now_s, now_s, was_false=False)
+        certain_s = state.certain_since_s
+        if now_s - state.last_true_s > self._gap_limit_s:
             certain_s = None
-        return held._replace(
+        return state._replace(
             certain_since_s=now_s if certain_s is None else certain_s,
             last_true_s=now_s,
         )
--- a/src/mulberrywharf/rules/wanted.py
+++ b/src/mulberrywharf/rules/wanted.py
@@ -1,14 +1,14 @@
-"""How many engines of a zone should have each role under a match."""
+"""Computes how many engines of a zone should have each role."""
 
 from typing import NamedTuple
 
 from mulberrywharf.rules.document import Actions, Roles
 
-_TINY = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
 
 class WantedRoles(NamedTuple):
-    """Counts that add up to the zone's engines."""
+    """Number of engines per role; the sum is the number of usable engines."""
 
     prefill_count: int
     decode_count: int
@@ -16,19 +16,20 @@
 
 
 def wanted_roles(actions: Actions, engines_count: int) -> WantedRoles | None:
-    """Returns the split that the actions ask for.
+    """Returns the number of engines per role that the actions request.
 
-    Shares become whole engines by largest remainder; engines that no field
-    asks for are mixed. When fewer engines are left than the counts ask for,
-    the counts are taken as proportions. As long as both phases are asked
-    for, each keeps an engine that can do it.
+    Shares are rounded to whole engines by the largest remainder method.
+    Engines that no field assigns are mixed. If there are fewer engines than
+    the counts request, the counts are used as proportions. If both prefill
+    and decode are requested, each keeps at least one engine that can do it.
 
     Args:
-        actions: Of the match.
-        engines_count: Engines of the zone that can be used now.
+        actions: Actions of the rule that matches.
+        engines_count: Number of usable engines in the zone.
 
     Returns:
-        The split, or None when the actions leave roles as they are.
+        The number of engines per role, or None if the actions leave the
+        roles unchanged.
     """
     roles = actions.get("roles")
     if roles is None or actions.get("hold"):
@@ -41,15 +42,15 @@
 def largest_remainder(
     weights: tuple[float, ...], total_count: int
 ) -> tuple[int, ...]:
-    """Splits a count in proportion to weights, as near as whole numbers can.
+    """Splits a count in proportion to weights by the largest remainder method.
 
     Args:
-        weights: Not negative, at least one positive.
-        total_count: What the parts add up to.
+        weights: Non-negative weights, at least one of them positive.
+        total_count: The sum of the returned parts.
     """
     weight_sum = sum(weights)
     quotas = [weight * total_count / weight_sum for weight in weights]
-    counts = [int(quota + _TINY) for quota in quotas]
+    counts = [int(quota + _ROUNDING_TOLERANCE) for quota in quotas]
     by_remainder = sorted(
         range(len(weights)),
         key=lambda index: (counts[index] - quotas[index], index),
@@ -61,24 +62,24 @@
 
 def _quotas(roles: Roles, engines_count: int) -> tuple[float, ...]:
     if roles.keys() & {"prefill_count", "decode_count", "mixed_count"}:
-        asked = (
+        requested = (
             float(roles.get("prefill_count", 0)),
             float(roles.get("decode_count", 0)),
             float(roles.get("mixed_count", 0)),
         )
-        whole = float(engines_count)
+        total = float(engines_count)
     else:
-        asked = (
+        requested = (
             roles.get("prefill", 0.0),
             roles.get("decode", 0.0),
             roles.get("mixed", 0.0),
         )
-        whole = 1.0
-    rest = whole - sum(asked)
-    if rest <= _TINY * max(whole, 1.0):
-        rest = 0.0
-    prefill, decode, mixed = asked
-    quotas = (prefill, decode, mixed + rest)
+        total = 1.0
+    unassigned = total - sum(requested)
+    if unassigned <= _ROUNDING_TOLERANCE * max(total, 1.0):
+        unassigned = 0.0
+    prefill, decode, mixed = requested
+    quotas = (prefill, decode, mixed + unassigned)
     return quotas if sum(quotas) > 0 else (0.0, 0.0, 1.0)
 
 
@@ -86,8 +87,9 @@
     quotas: tuple[float, ...], counts: tuple[int, ...], engines_count: int
 ) -> WantedRoles:
     # In a zone that has lost most engines, rounding can leave no engine for
-    # one phase: every request there would then wait for another zone, seen as
-    # a queue that grows while engines idle. One engine is made to do both.
+    # prefill or for decode. Every request of the zone would then wait for
+    # another zone: the queue grows while engines are idle. One engine is
+    # therefore made mixed and does both.
     prefill_count, decode_count, mixed_count = counts
     wanted = WantedRoles(prefill_count, decode_count, mixed_count)
     if engines_count == 0 or mixed_count > 0:
--- a/tests/builders_rules.py
+++ b/tests/builders_rules.py
@@ -1,4 +1,4 @@
-"""Test data for the operators' rules."""
+"""Builders of test data for the operators' rules."""
 
 import hashlib
 from typing import Any
@@ -8,12 +8,12 @@
 
 
 def key_hash(key: str) -> str:
-    """Returns what a document holds in place of a customer's key."""
+    """Returns the hash of a customer's key, as it is in a document."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def customer(key: str = "secret", **changes: Any) -> dict[str, Any]:
-    """Builds a customer as the document lists it."""
+    """Builds a customer as it is in a document."""
     return {
         "key_sha256_hex": key_hash(key),
         "requests_per_s": 100,
@@ -28,7 +28,10 @@
     when: dict[str, Any] | None = None,
     then: dict[str, Any] | None = None,
 ) -> Rule:
-    """Builds a rule; it holds engines above half prefill unless told."""
+    """Builds a rule.
+
+    By default it holds all engines if the prefill share is above 0.5.
+    """
     built: Any = {
         "name": name,
         "when": {"prefill_share_above": 0.5} if when is None else when,
@@ -52,14 +55,14 @@
 
 
 def roles(**shares: float) -> dict[str, Any]:
-    """Builds the action that splits engines."""
+    """Builds the action that sets the roles of engines."""
     return {"roles": shares}
 
 
 def situation(
     prefill_share: float | None = 0.3, *, age_s: float = 1.0, **changes: Any
 ) -> Situation:
-    """Builds a quiet situation in zone hall-a at noon."""
+    """Builds a situation with low load in zone hall-a at 12:00 UTC."""
     quiet = Situation(
         availability_zone="hall-a",
         utc_minute=12 * 60,
--- a/tests/test_rules_check.py
+++ b/tests/test_rules_check.py
@@ -1,4 +1,4 @@
-"""Warnings about documents that can be accepted but surprise."""
+"""Tests of the warnings that ``check`` returns for valid documents."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from mulberrywharf.rules import FleetSize, Reading, check
-from mulberrywharf.rules.match import _all_hold, _seen_inputs
+from mulberrywharf.rules.match import _all_hold, _evaluate_conditions
 from mulberrywharf.rules.shadowing import implies
 from tests import builders_rules as build
 
@@ -36,7 +36,7 @@
 
 
 class ShadowingTest(unittest.TestCase):
-    def test_what_shadows(self):
+    def test_warns_of_rules_that_an_earlier_rule_shadows(self):
         above = {"prefill_share_above": 0.5}
         cases = [
             (above, above, True),
@@ -94,17 +94,20 @@
             utc_minute=minute,
         )
         if implies(when, other) and _all_hold(
-            tuple(_seen_inputs(when, view, 20.0))
+            tuple(_evaluate_conditions(when, view, 20.0))
         ):
-            self.assertTrue(_all_hold(tuple(_seen_inputs(other, view, 20.0))))
+            self.assertTrue(
+                _all_hold(tuple(_evaluate_conditions(other, view, 20.0)))
+            )
 
 
 class FlappingTest(unittest.TestCase):
-    def test_thresholds_that_meet(self):
+    def test_warns_of_thresholds_within_the_dead_band(self):
         long = build.roles(prefill=0.5)
         short = build.roles(prefill=0.2)
         cases = [
-            # below, for_s of both, actions of the second, warned
+            # threshold of the second rule, for_s of both rules,
+            # actions of the second rule, whether a warning is expected
             (0.5, 0, short, True),
             (0.6, 0, short, True),
             (0.48, 0, short, True),
@@ -123,7 +126,7 @@
                 )
                 self.assertEqual(paths, ["rules.1"] if warned else [])
 
-    def test_zones_that_differ_do_not_meet(self):
+    def test_no_warning_for_rules_of_different_zones(self):
         high = {"prefill_share_above": 0.5, "availability_zone": "hall-a"}
         low = {"prefill_share_below": 0.5, "availability_zone": "hall-b"}
         rules = (
@@ -132,7 +135,7 @@
         )
         self.assertEqual(_paths(*rules), [])
 
-    def test_against_a_default_that_changes_engines(self):
+    def test_warns_of_flapping_against_a_default_that_changes_roles(self):
         rule = build.rule("high", None, build.roles(prefill=0.5))
         default = build.roles(prefill=0.2)
         self.assertEqual(_paths(rule, default=default), ["rules.0"])
@@ -140,7 +143,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    def test_more_engines_than_a_zone_has(self):
+    def test_warns_if_a_rule_requests_more_engines_than_a_zone_has(self):
         counts = build.roles(prefill_count=3, decode_count=4)
         here = {"prefill_share_above": 0.5, "availability_zone": "hall-a"}
         load = {"load": {"model": "verdict-70b", "engines_count": 9}}
@@ -155,7 +158,7 @@
                     _paths(build.rule("one", when, then)), expected
                 )
 
-    def test_zones_that_the_vm_list_does_not_show(self):
+    def test_warns_of_zones_that_are_not_in_the_vm_list(self):
         rule = build.rule(
             "one", {"availability_zone": "hall-c"}, {"prefer_zone": "hall-d"}
         )
--- a/tests/test_rules_document.py
+++ b/tests/test_rules_document.py
@@ -1,4 +1,4 @@
-"""Reading the configuration document: what is refused, and how."""
+"""Tests of parsing the configuration document: faults and the diff."""
 
 import contextlib
 import json
@@ -38,7 +38,7 @@
 
 
 def _faults(document: Any) -> dict[str, str]:
-    """Returns message and advice by path."""
+    """Returns the message and advice of each fault by its path."""
     found = parse(json.dumps(document), "rules.json")
     if isinstance(found, Ok):
         return {}
@@ -46,7 +46,7 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_comments_and_trailing_commas(self):
+    def test_accepts_comments_and_trailing_commas(self):
         text = """{
           // No rule yet.
           rules: [],
@@ -88,7 +88,7 @@
             found = _read(text)
         self.assertEqual(found, expected)
 
-    def test_full_document(self):
+    def test_document_with_all_sections_has_no_faults(self):
         document = build.document(
             build.rule(
                 "all",
@@ -126,7 +126,7 @@
         )
         self.assertEqual(_faults(document), {})
 
-    def test_faults_and_advice(self):
+    def test_each_fault_has_its_path_and_message(self):
         share = {"prefill_share_above": 0.5}
         cases: list[tuple[dict[str, Any], dict[str, Any], str, str]] = [
             (
@@ -208,7 +208,7 @@
                 self.assertIn(f"rules.0.{path}", faults)
                 self.assertIn(message, faults[f"rules.0.{path}"])
 
-    def test_all_faults_at_once(self):
+    def test_all_faults_are_reported_at_once(self):
         document = build.document(
             build.rule("one", {"queue_delay_above": 1}),
             build.rule("two", {"prefill_share_above": 2}),
@@ -225,7 +225,7 @@
             },
         )
 
-    def test_names_and_keys_are_unique(self):
+    def test_duplicate_names_and_keys_are_faults(self):
         document = build.document(
             build.rule("one"),
             build.rule("one"),
@@ -241,7 +241,7 @@
             },
         )
 
-    def test_unreadable_text(self):
+    def test_invalid_text_is_an_error(self):
         cases = [
             "",
             "{",
@@ -282,7 +282,7 @@
 
 
 class DiffTest(unittest.TestCase):
-    def test_diff_names_what_changed(self):
+    def test_diff_lists_only_changed_fields(self):
         before = build.document(build.rule("a"), build.rule("b"))
         after = build.document(
             build.rule("b"), build.rule("a", {"prefill_share_above": 0.6})
--- a/tests/test_rules_match.py
+++ b/tests/test_rules_match.py
@@ -1,4 +1,4 @@
-"""First match only, three-valued conditions, and for_s over time."""
+"""Tests of matching: the first match, unknown inputs and for_s."""
 
 import unittest
 from typing import Any
@@ -8,7 +8,7 @@
 
 from mulberrywharf.rules import Reading, Sustain, match, wanted_roles
 from mulberrywharf.rules.explain import explain, reason
-from mulberrywharf.rules.situation import utc_minute, within
+from mulberrywharf.rules.situation import is_in_window, utc_minute
 from mulberrywharf.rules.wanted import largest_remainder
 from tests import builders_rules as build
 
@@ -20,7 +20,7 @@
 
 
 class ConditionsTest(unittest.TestCase):
-    def test_each_condition(self):
+    def test_rule_matches_only_if_its_conditions_hold(self):
         noon = build.situation(
             0.3,
             queue_delay_s=Reading(0.4, 1),
@@ -57,7 +57,7 @@
                 self.assertEqual(found.rule_index == 0, expected)
                 self.assertFalse(found.undecided)
 
-    def test_unmatched_state_takes_the_default(self):
+    def test_default_applies_if_no_rule_matches(self):
         document = build.document(default={"prefer_zone": "hall-b"})
         found = _matched(document, build.situation())
         self.assertEqual(found.rule_name, "default")
@@ -92,14 +92,14 @@
         self.assertEqual(found.rule_index, holding[0] if holding else -1)
 
 
-class BlindTest(unittest.TestCase):
-    def test_old_readings_change_nothing(self):
-        """A node that has gone blind must not change the fleet.
+class UnknownInputTest(unittest.TestCase):
+    def test_stale_or_unknown_input_leaves_the_fleet_unchanged(self):
+        """A node without current load reports must not change the fleet.
 
-        Symptom: engines change roles while load reports are held up.
-        Sequence: long contracts arrive; the rule for them matches; reports
-        stop; the prefill share is unknown; the default would apply.
-        Cause: an unknown condition was taken for one that does not hold.
+        Guards against engines that change roles while load reports are
+        delayed. A rule matches, the reports stop and the prefill share
+        becomes unknown. If the unknown condition were treated as not holding,
+        the default would apply.
         """
         contracts = build.rule("contracts", then=build.roles(prefill=0.5))
         document = build.document(contracts, default=build.roles(decode=1))
@@ -110,7 +110,7 @@
                 self.assertEqual(found.actions, {"hold": True})
                 self.assertIsNone(wanted_roles(found.actions, 8))
 
-    def test_unknown_rates_are_not_zero(self):
+    def test_unknown_rates_leave_the_rule_undecided(self):
         for when in (
             {"customer": "dispatch"},
             {"customer": "dispatch", "requests_below_per_s": 5},
@@ -121,9 +121,9 @@
                 unknown = build.situation(rates_age_s=float("inf"))
                 found = _matched(document, unknown)
                 self.assertTrue(found.undecided)
-                self.assertEqual(found.inputs[0].value, "unknown")
+                self.assertEqual(found.conditions[0].value, "unknown")
 
-    def test_a_condition_that_fails_decides_despite_unknown_ones(self):
+    def test_rule_with_a_false_and_an_unknown_condition_does_not_match(self):
         when = {"prefill_share_above": 0.5, "availability_zone": "hall-b"}
         document = build.document(build.rule("elsewhere", when))
         found = _matched(document, build.situation(None))
@@ -131,7 +131,7 @@
         self.assertEqual(found.rule_name, "default")
 
 
-class SustainTest(unittest.TestCase):
+class DurationTest(unittest.TestCase):
     def setUp(self):
         when = {"prefill_share_above": 0.5, "for_s": 30}
         self.document = build.document(
@@ -152,47 +152,48 @@
     def run_all(self, steps: list[tuple[float, float | None]]) -> list[str]:
         return [self.run_at(now_s, share) for now_s, share in steps]
 
-    def test_matches_after_it_has_held_without_a_break(self):
+    def test_rule_matches_after_its_conditions_held_for_the_duration(self):
         steps = [(0, 0.1), *((10.0 * tick, 0.9) for tick in range(1, 6))]
         self.assertEqual(
             self.run_all(steps), ["default"] * 4 + ["contracts"] * 2
         )
 
-    def test_a_break_starts_the_count_again(self):
+    def test_interruption_restarts_the_duration(self):
         steps = [(0, 0.1), (10, 0.9), (20, 0.9), (30, 0.1), (40, 0.9)]
         steps += [(50, 0.9), (60, 0.9), (70, 0.9)]
         self.assertEqual(self.run_all(steps), ["default"] * 7 + ["contracts"])
 
-    def test_one_late_report_does_not_start_the_count_again(self):
+    def test_short_unknown_input_does_not_restart_the_duration(self):
         steps = [(0, 0.1), (10, 0.9), (15, None), (20, 0.9), (30, 0.9)]
         steps.append((40, 0.9))
         self.assertEqual(self.run_all(steps), ["default"] * 5 + ["contracts"])
 
-    def test_a_takeover_leaves_the_fleet_as_it_is(self):
-        """A new controller must not undo the rule that is in force.
+    def test_new_controller_is_undecided_until_the_duration_has_passed(self):
+        """A new controller must not undo the active rule.
 
-        Symptom: at each takeover prefill engines turn to decode, and back
-        for_s later: two role changes for each engine and none needed.
-        Sequence: a rule with for_s has matched for long; its controller dies;
-        the next one starts without memory and finds the default.
-        Cause: "not seen" was taken for "did not hold".
+        Guards against two unneeded role changes per engine at each takeover:
+        from prefill to decode, and back after for_s. A rule with for_s
+        matches and its controller fails. If the next controller treated
+        unobserved time as time in which the conditions did not hold, it would
+        apply the default.
         """
         steps = [(1000, 0.9), (1010, 0.9), (1020, 0.9), (1030, 0.9)]
         self.assertEqual(self.run_all(steps), ["undecided"] * 3 + ["contracts"])
 
-    def test_a_pause_counts_as_a_start(self):
-        """A controller that was paused has not seen what happened meanwhile.
+    def test_pause_of_the_process_discards_the_duration(self):
+        """The time of a pause must not count towards for_s.
 
-        Symptom: a rule matches although its conditions held for an instant.
-        Sequence: they hold; the process is paused past for_s, while they
-        fail; it wakes, they hold again, and the pause is counted in.
-        Cause: elapsed time was taken for observed time.
+        Guards against a rule that matches although its conditions held only
+        for a moment. The conditions hold, the process is paused for longer
+        than for_s, the conditions fail during the pause and hold again after
+        it. If elapsed time were used instead of observed time, the pause
+        would count.
         """
         steps = [(0, 0.1), (10, 0.9), (100, 0.9), (110, 0.9)]
         found = self.run_all(steps)
         self.assertEqual(found, ["default", "default"] + ["undecided"] * 2)
 
-    def test_a_rule_behind_the_match_is_counted_as_well(self):
+    def test_duration_of_a_rule_after_the_match_is_tracked(self):
         first = build.rule("zone", {"queue_delay_above_s": 1.0})
         self.document["rules"].insert(0, first)
         busy = build.situation(0.9, queue_delay_s=Reading(2.0, 1))
@@ -202,7 +203,7 @@
             self.run_all([(30, 0.9), (40, 0.9)]), ["default", "contracts"]
         )
 
-    def test_a_new_rule_was_not_in_force_before(self):
+    def test_duration_of_a_new_rule_starts_when_it_is_added(self):
         empty = build.document(default={"hold": True})
         for now_s in (0, 10):
             match(
@@ -233,7 +234,7 @@
 
 
 class WantedRolesTest(unittest.TestCase):
-    def test_split_of_a_zone(self):
+    def test_number_of_engines_per_role(self):
         cases = [
             ({"prefill": 0.25, "decode": 0.75}, 8, (2, 6, 0)),
             ({"prefill": 0.3, "decode": 0.7}, 8, (2, 6, 0)),
@@ -273,10 +274,10 @@
 
 
 class TimeOfDayTest(unittest.TestCase):
-    def test_minutes(self):
+    def test_minute_of_the_day_and_window_across_midnight(self):
         self.assertEqual(utc_minute(86_400 * 9 + 3_661), 61)
-        self.assertTrue(within(0, ["23:00", "01:00"]))
-        self.assertFalse(within(60, ["23:00", "01:00"]))
+        self.assertTrue(is_in_window(0, ["23:00", "01:00"]))
+        self.assertFalse(is_in_window(60, ["23:00", "01:00"]))
 
 
 if __name__ == "__main__":
