--- a/src/mulberrywharf/peers/codec.py
+++ b/src/mulberrywharf/peers/codec.py
@@ -1,4 +1,4 @@
-"""Notices to datagrams and back, by Cap'n Proto."""
+"""Encodes and decodes notices between gateways with Cap'n Proto."""
 
 import pathlib
 from collections.abc import Iterable
@@ -12,13 +12,14 @@
 from mulberrywharf.policy import part_caches, usual_load
 
 PLACEMENTS_LIMIT_COUNT = 36
-"""Placements in one notice: some 31 bytes each, so that a notice stays below
-the 1,472 bytes that a datagram carries unfragmented. A part beyond the first
-of a placement counts as a placement of its own."""
+"""Maximum number of placements in one notice. Each takes about 31 bytes, so a
+notice stays below the 1,472 bytes that a datagram carries unfragmented. Each
+part of a placement after its first counts as one more placement."""
 
 LOADS_LIMIT_COUNT = 6
-"""Loads in one notice: some 7 bytes each as they are packed. A gateway with 4
-answers a second tells those of the last second and a half."""
+"""Maximum number of load reports in one notice, about 7 bytes each when packed.
+A gateway that receives 4 answers per second sends the reports of the last
+1.5 s."""
 
 _UINT16_LIMIT = 0xFFFF
 _MS_PER_S = 1000.0
@@ -29,13 +30,13 @@
 
 
 class Placement(NamedTuple):
-    """Work that a gateway gave an engine.
+    """Work that a gateway sent to an engine.
 
     Attributes:
-        engine_key: Of the engine, see ``key_of_server``.
-        work_s: Engine time that it takes.
-        parts: Long parts that the engine holds now, in order.
-        own_tokens: Other tokens that the engine holds now.
+        engine_key: Key of the engine, see ``key_of_server``.
+        work_s: Engine time that the work takes, in seconds.
+        parts: Long prompt parts that the engine now holds, in order.
+        own_tokens: Number of other tokens that the engine now holds.
     """
 
     engine_key: int
@@ -45,12 +46,12 @@
 
 
 class Load(NamedTuple):
-    """What an engine said of its requests.
+    """Number of requests that an engine reported.
 
     Attributes:
-        engine_key: Of the engine, see ``key_of_server``.
-        requests_count: Requests that it ran or kept waiting.
-        age_s: How long ago it said so.
+        engine_key: Key of the engine, see ``key_of_server``.
+        requests_count: Running and waiting requests of the engine.
+        age_s: Age of the report in seconds.
     """
 
     engine_key: int
@@ -59,11 +60,11 @@
 
 
 class Demand(NamedTuple):
-    """What a gateway's callers ask of the engines of a service.
+    """Prefill work that the callers of one gateway request from a service.
 
     Attributes:
-        service_key: Of the service, see ``key_of``.
-        engines: Prefill engines that reading their prompts keeps busy.
+        service_key: Key of the service, see ``key_of``.
+        engines: Number of prefill engines that this work keeps busy.
     """
 
     service_key: int
@@ -71,12 +72,12 @@
 
 
 class RoleLoad(NamedTuple):
-    """How busy engines of a role in an availability zone are on the mean.
+    """Mean load of a service's engines in one availability zone, by role.
 
     Attributes:
-        service_key: Of the service, see ``key_of``.
-        is_prefill: Whether of its prefill engines, or of the others.
-        load: The mean of their loads.
+        service_key: Key of the service, see ``key_of``.
+        is_prefill: True for its prefill engines, False for all others.
+        load: Mean load of these engines.
     """
 
     service_key: int
@@ -85,14 +86,14 @@
 
 
 class Seen(NamedTuple):
-    """The last changes in the key-value service that a gateway has seen.
+    """The latest changes in the key-value service that a gateway has seen.
 
     Attributes:
-        routes_revision: Revision of the last change of the routes.
-        servers_revision: Revision of the last change of a server's record.
-        is_reading: Whether the gateway asked the service a moment ago, so
-            that it would have seen a later change.
-        era: Of the service, that the revisions belong to.
+        routes_revision: Revision of the latest change to the routes.
+        servers_revision: Revision of the latest change to a server record.
+        is_reading: Whether the gateway reads the service so often that it
+            would have seen a later change.
+        era: Era of the service to which the revisions belong.
     """
 
     routes_revision: int = 0
@@ -102,18 +103,18 @@
 
 
 class Notice(NamedTuple):
-    """What one gateway placed since its last notice, and what it has seen.
+    """State that one gateway shares with others, and its recent placements.
 
     Attributes:
-        sender: Names the start of the sending process.
-        sequence: Rises by one with each notice of a sender.
-        placements: What it placed.
-        seen: The last changes that it has seen.
-        loads: What engines told it of their load lately.
-        demands: What its callers ask for.
-        changing: Keys of engines that it ordered to change their role.
-        zone_key: Of the availability zone that ``role_loads`` are of.
-        role_loads: How busy the engines of that zone are.
+        sender: Identifies the start of the sending process.
+        sequence: Increases by one with each notice of a sender.
+        placements: Work placed since the last notice.
+        seen: The latest key-value service changes that the sender has seen.
+        loads: Loads that engines recently reported to the sender.
+        demands: Prefill work that the sender's callers request.
+        changing: Keys of engines that the sender ordered to change role.
+        zone_key: Key of the availability zone described by ``role_loads``.
+        role_loads: Mean loads of the engines in that zone.
     """
 
     sender: int
@@ -128,10 +129,10 @@
 
 
 def key_of(name: str) -> int:
-    """Returns the 32 bits that stand for an engine or a service in notices.
+    """Returns the 32-bit hash that identifies a name in notices.
 
-    Among 850 engines two share a key with a chance of one in 12,000; the
-    queue of one would then be believed too long by the other's.
+    Among 850 engines, the probability that two share a key is 1 in 12,000.
+    The queue of each would then be overestimated by the work of the other.
     """
     return xxhash.xxh32_intdigest(name.encode())
 
@@ -139,13 +140,13 @@
 def key_of_server(start: fleet.ServerStart) -> int:
     """Returns the key of one start of a server.
 
-    What a peer tells of an earlier start has another key and is not heard.
+    Each start has its own key, so reports about an earlier start are ignored.
     """
     return key_of(str(start))
 
 
 def encode(notice: Notice) -> bytes:
-    """Returns a notice as one datagram."""
+    """Returns the body of the datagram that carries a notice."""
     message = _SCHEMA.Notice.new_message()
     message.sender = notice.sender
     message.sequence = notice.sequence
@@ -171,22 +172,24 @@
     message.changing = list(notice.changing)
     message.zone = notice.zone_key
     role_loads = message.init("roleLoads", len(notice.role_loads))
-    for wire, told in zip(role_loads, notice.role_loads, strict=True):
-        _encode_role_load(wire, told)
+    for wire, role_load in zip(role_loads, notice.role_loads, strict=True):
+        _encode_role_load(wire, role_load)
     return bytes(message.to_bytes_packed())
 
 
 def _encode_role_load(
-    wire: capnp.lib.capnp._DynamicStructBuilder, told: RoleLoad
+    wire: capnp.lib.capnp._DynamicStructBuilder, role_load: RoleLoad
 ) -> None:
-    wire.service = told.service_key
-    wire.isPrefill = told.is_prefill
-    wire.milliShare = min(int(told.load.running_share * _MILLI), _UINT16_LIMIT)
-    wire.queueMs = min(int(told.load.queue_s * _MS_PER_S), _UINT16_LIMIT)
+    wire.service = role_load.service_key
+    wire.isPrefill = role_load.is_prefill
+    wire.milliShare = min(
+        int(role_load.load.running_share * _MILLI), _UINT16_LIMIT
+    )
+    wire.queueMs = min(int(role_load.load.queue_s * _MS_PER_S), _UINT16_LIMIT)
 
 
 def fitting(placements: Iterable[Placement]) -> tuple[Placement, ...]:
-    """Returns the first placements, as many as one datagram holds."""
+    """Returns as many of the first placements as fit in one datagram."""
     found = []
     room_count = PLACEMENTS_LIMIT_COUNT
     for placement in placements:
@@ -201,7 +204,8 @@
     wire: capnp.lib.capnp._DynamicStructBuilder,
     parts: tuple[part_caches.HeldPart, ...],
 ) -> None:
-    # Most placements have one part; without a list it takes no pointer.
+    # Most placements have one part. It is stored in scalar fields, which saves
+    # the pointer that a list needs.
     if not parts:
         return
     *before, last = parts
@@ -217,10 +221,10 @@
 
 
 def decode(datagram: bytes) -> Result[Notice, errors.BadFrameError]:
-    """Reads a datagram.
+    """Decodes the body of a datagram.
 
     Returns:
-        The notice, or why the datagram is none.
+        The notice, or an error if the bytes are not a valid notice.
     """
     try:
         message = _SCHEMA.Notice.from_bytes_packed(datagram)
@@ -228,28 +232,28 @@
             Notice(
                 message.sender,
                 message.sequence,
-                tuple(_placement(wire) for wire in message.placements),
+                tuple(_decode_placement(wire) for wire in message.placements),
                 Seen(
                     message.routesRevision,
                     message.serversRevision,
                     message.isReading,
                     message.storeEra,
                 ),
-                tuple(_load(wire) for wire in message.loads),
+                tuple(_decode_load(wire) for wire in message.loads),
                 tuple(
                     Demand(wire.service, wire.milliEngines / _MILLI)
                     for wire in message.demands
                 ),
                 tuple(message.changing),
                 message.zone,
-                tuple(_role_load(wire) for wire in message.roleLoads),
+                tuple(_decode_role_load(wire) for wire in message.roleLoads),
             )
         )
     except (capnp.KjException, ValueError) as error:
         return Err(errors.BadFrameError(f"not a notice: {error}"))
 
 
-def _placement(wire: capnp.lib.capnp._DynamicStructReader) -> Placement:
+def _decode_placement(wire: capnp.lib.capnp._DynamicStructReader) -> Placement:
     parts = [
         part_caches.HeldPart(part.key, part.tokens) for part in wire.before
     ]
@@ -260,10 +264,10 @@
     )
 
 
-def _load(wire: capnp.lib.capnp._DynamicStructReader) -> Load:
+def _decode_load(wire: capnp.lib.capnp._DynamicStructReader) -> Load:
     return Load(wire.engine, wire.requests, wire.ageMs / _MS_PER_S)
 
 
-def _role_load(wire: capnp.lib.capnp._DynamicStructReader) -> RoleLoad:
+def _decode_role_load(wire: capnp.lib.capnp._DynamicStructReader) -> RoleLoad:
     load = usual_load.Load(wire.milliShare / _MILLI, wire.queueMs / _MS_PER_S)
     return RoleLoad(wire.service, wire.isPrefill, load)
--- a/src/mulberrywharf/peers/datagrams.py
+++ b/src/mulberrywharf/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways, and the bytes that they may cost."""
+"""Exchanges datagrams between gateways within a byte budget."""
 
 from collections.abc import Callable
 from typing import Literal, Protocol
@@ -12,27 +12,32 @@
 from mulberrywharf.policy import token_bucket
 
 SENT_BYTES_PER_S = 2_000
-"""What a node may spend on control, from the operators' letter."""
+"""Limit that the operators set for the control traffic of a node."""
 
 SENT_BURST_BYTES = 60_000
-"""Half a minute's worth, for bursts of long prompts: 120 bytes to each of
-eight peers, seven times a second, for ten seconds."""
+"""Half a minute of the sustained rate. It covers a burst of long prompts: 120
+bytes to each of eight peers, seven times per second, for ten seconds."""
 
 DATAGRAM_LIMIT_BYTES = 1_472
-"""What a datagram carries unfragmented, its kind and checksum included."""
+"""Maximum size of an unfragmented datagram, including kind and checksum."""
 
 _CHECKSUM_BYTES = 4
 
 DATAGRAM_OVERHEAD_BYTES = 28 + 1 + _CHECKSUM_BYTES
-"""IP and UDP headers, the byte that names the kind, and the checksum."""
+"""Size of the IP and UDP headers, the kind byte and the checksum."""
 
-_PAUSE_BEHIND_ERROR_S = 0.002
+_RECEIVE_RETRY_DELAY_S = 0.002
 
 Kind = Literal[b"n", b"q", b"c", b"u", b"f"]
-"""Notices to many gateways; messages on the queue of one engine to one; reports
-on servers that ended to all; announcements of the usage collector to all and
-usage counts to the collector; questions about confirmed routes and their
-replies to one."""
+"""Kind byte of a datagram.
+
+- ``n``: a notice to many gateways.
+- ``q``: a message about an engine's queue to one gateway.
+- ``c``: a report on servers that ended, to all gateways.
+- ``u``: an announcement of the usage collector to all gateways, or usage counts
+  to the collector.
+- ``f``: a question about confirmed routes, or its reply, to one gateway.
+"""
 
 _sent_bytes = metrics.counter(
     "mulberry_notices_sent_bytes_total",
@@ -47,109 +52,110 @@
     """The other gateways."""
 
     def knows(self, ip: str) -> bool:
-        """Tells whether a gateway has this address."""
+        """Returns whether a gateway has this address."""
         ...
 
 
 class PeerSocket:
-    """Sends datagrams to other gateways and hands out those that come.
+    """Sends datagrams to other gateways and dispatches received ones by kind.
 
     Attributes:
-        budget: The bytes that may be sent; in debt where messages that can't
-            wait took more.
+        budget: The bytes that may be sent. It goes negative when messages that
+            cannot wait take more than is left.
     """
 
     def __init__(
         self, listen: fleet.Address, peers: Peers, system_clock: clock.Clock
     ):
-        """Makes it; nothing is sent or received before ``start``.
+        """Creates the socket; nothing is received before ``start``.
 
         Args:
-            listen: Where datagrams are taken.
-            peers: The other gateways; others are not heard.
-            system_clock: Measures what is spent.
+            listen: Address on which datagrams are received.
+            peers: The other gateways; datagrams of other senders are dropped.
+            system_clock: Refills the byte budget.
         """
         self._listen = listen
         self._peers = peers
         self._clock = system_clock
-        self._takers: dict[bytes, Callable[[bytes, fleet.Address], bool]] = {}
+        self._handlers: dict[bytes, Callable[[bytes, fleet.Address], bool]] = {}
         self.budget = token_bucket.TokenBucket(
             SENT_BYTES_PER_S, SENT_BURST_BYTES, system_clock.monotonic_s()
         )
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._receiving: gevent.Greenlet | None = None
+        self._receive_task: gevent.Greenlet | None = None
 
     def on_datagram(
-        self, kind: Kind, take: Callable[[bytes, fleet.Address], bool]
+        self, kind: Kind, handler: Callable[[bytes, fleet.Address], bool]
     ) -> None:
-        """Sets who takes in the datagrams of a kind.
+        """Sets the handler for datagrams of a kind.
 
         Args:
             kind: The kind.
-            take: Called with the bytes and the sender; returns whether they
-                could be read.
+            handler: Called with the body and the sender's address; returns
+                whether it could decode the body.
         """
-        self._takers[kind] = take
+        self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Begins to receive."""
+        """Binds the socket and starts receiving."""
         self._socket.bind((self._listen.ip, self._listen.port))
-        self._receiving = gevent.spawn(self._receive)
+        self._receive_task = gevent.spawn(self._receive)
 
     def close(self) -> None:
-        """Stops it."""
-        if self._receiving is not None:
-            self._receiving.kill()
+        """Stops receiving and closes the socket."""
+        if self._receive_task is not None:
+            self._receive_task.kill()
         self._socket.close()
 
     def wait_s(self, datagram: bytes, peers_count: int) -> float:
-        """Returns how long until a datagram's bytes may be spent."""
+        """Returns the time until the budget covers a datagram, in seconds."""
         cost = _cost(datagram, peers_count)
         return self.budget.wait_s(cost, self._clock.monotonic_s())
 
     def send(
         self, kind: Kind, datagram: bytes, peers: tuple[fleet.Address, ...]
     ) -> None:
-        """Sends a datagram to each of the peers, whatever that costs."""
+        """Sends a datagram to each peer, even if it exceeds the budget."""
         cost = _cost(datagram, len(peers))
         self.budget.fill(self._clock.monotonic_s())
         self.budget.take(cost)
         _sent_bytes.add({"kind": kind.decode()}, cost)
-        sealed = seal(kind, datagram)
+        framed = seal(kind, datagram)
         for peer in peers:
             try:
-                self._socket.sendto(sealed, (peer.ip, peer.port))
+                self._socket.sendto(framed, (peer.ip, peer.port))
             except OSError as error:
-                logger.debug("no datagram to {}: {}", peer, error)
+                logger.debug("cannot send a datagram to {}: {}", peer, error)
 
     def _receive(self) -> None:
         while True:
             try:
                 datagram, source = self._socket.recvfrom(DATAGRAM_LIMIT_BYTES)
             except OSError as error:
-                # Such as an ICMP error of a peer that is gone.
-                logger.debug("no datagram received: {}", error)
-                gevent.sleep(_PAUSE_BEHIND_ERROR_S)
+                # For example an ICMP error for a peer that has stopped.
+                logger.debug("cannot receive a datagram: {}", error)
+                gevent.sleep(_RECEIVE_RETRY_DELAY_S)
                 continue
-            self._take(datagram, fleet.Address(source[0], source[1]))
+            self._handle(datagram, fleet.Address(source[0], source[1]))
 
-    def _take(self, datagram: bytes, source: fleet.Address) -> None:
-        # Anybody who reaches the port could otherwise make engines look busy.
+    def _handle(self, datagram: bytes, source: fleet.Address) -> None:
+        # Without this check, any host that reaches the port could make engines
+        # look busy.
         if not self._peers.knows(source.ip):
             _received.inc({"result": "unknown-sender"})
             return
         kind, body = datagram[:1], datagram[1 + _CHECKSUM_BYTES :]
-        take = self._takers.get(kind)
-        # Some bytes end the whole process in the library that reads them, by
-        # an exception that it throws while it cleans up. Only what a gateway
-        # has encoded gets there.
-        is_whole = datagram == seal(kind, body)
-        is_read = take is not None and is_whole and take(body, source)
-        _received.inc({"result": "ok" if is_read else "malformed"})
+        handler = self._handlers.get(kind)
+        # Some malformed bytes abort the whole process: the Cap'n Proto library
+        # throws an exception during its cleanup. The checksum ensures that only
+        # bytes that a gateway encoded reach the decoder.
+        is_intact = datagram == seal(kind, body)
+        is_decoded = handler is not None and is_intact and handler(body, source)
+        _received.inc({"result": "ok" if is_decoded else "malformed"})
 
 
 def seal(kind: bytes, body: bytes) -> bytes:
-    """Returns what is sent of a datagram of a kind."""
+    """Returns the datagram: the kind byte, a checksum and the body."""
     checksum = xxhash.xxh32_digest(kind + body)
     return kind + checksum + body
 
--- a/src/mulberrywharf/peers/notices.py
+++ b/src/mulberrywharf/peers/notices.py
@@ -1,8 +1,8 @@
-"""Tells other gateways what this one places, and hears what they place.
+"""Sends notices about this gateway's placements and receives those of others.
 
-Without it each gateway sees only its own part of an engine's queue. In a burst
-all of them then send to the same engines until answers come late, and none
-refuses a caller in time.
+Without notices, each gateway would know only its own part of an engine's queue.
+In a burst, all gateways would then send to the same engines until answers came
+late, and none would refuse callers in time.
 """
 
 from collections.abc import Callable
@@ -18,27 +18,29 @@
 from mulberrywharf.policy import part_caches
 
 COLLECTING_S = 0.002
-"""Placements of the same moment leave in one datagram; a burst gains by it and
-a queue of 30 ms and more is not misjudged for want of 2 ms."""
+"""Time for which placements are collected into one notice. It saves datagrams
+in a burst, and a delay of 2 ms does not distort the estimate of a queue of
+30 ms or more."""
 
 ZONE_LOADS_INTERVAL_S = 1.0
-"""Between two tellings of how busy the engines of the own zone are, each to one
-gateway of each other zone; so each hears of each other zone about once a second
-where zones have as many gateways. Some 80 bytes a zone, 560 a second with eight
-zones; the mix swings within three seconds."""
+"""Interval at which a gateway sends the mean loads of its own zone's engines to
+one gateway of each other zone. If all zones have the same number of gateways,
+each gateway hears from each other zone about once per second. A notice takes
+about 80 bytes per zone, or 560 bytes/s with eight zones. The mix of requests
+shifts within three seconds."""
 
 LATE_S = 0.1
-"""A notice that waited for longer is logged: queues of a few tenths of a second
-have changed by then."""
+"""Notices that waited longer than this are logged, because queues of a few
+tenths of a second have changed by then."""
 
-_waited_s = metrics.histogram(
+_wait_histogram = metrics.histogram(
     "mulberry_notice_wait_seconds",
     "From the first placement of a notice until it left.",
 )
 
 
 _PendingKey = tuple[int, tuple[part_caches.HeldPart, ...]]
-"""Placements of the same parts at the same engine are told as one."""
+"""Engine key and prompt parts; placements that share both are merged."""
 
 
 class Peers(Protocol):
@@ -46,33 +48,33 @@
 
     @property
     def gateways_count(self) -> int:
-        """All gateways, this one included."""
+        """Number of all gateways, including this one."""
         ...
 
     @property
     def is_registered(self) -> bool:
-        """Whether the others can know of this gateway."""
+        """Whether this gateway's registration is visible to the others."""
         ...
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the store for its neighbours."""
+        """Whether this gateway reads the store on behalf of others."""
         ...
 
     def addresses(self, availability_zone: str) -> tuple[fleet.Address, ...]:
-        """Returns where the gateways take notices of a zone's engines."""
+        """Returns the gateways that receive notices about a zone's engines."""
         ...
 
-    def one_of_each_other_zone(self) -> tuple[fleet.Address, ...]:
-        """Returns one gateway of each zone that hears nothing of this one's."""
+    def pick_gateway_per_other_zone(self) -> tuple[fleet.Address, ...]:
+        """Returns one gateway of each zone that gets no notices of this one."""
         ...
 
     def hears_of(self, availability_zone: str) -> bool:
-        """Tells whether this gateway hears of all work at a zone's engines."""
+        """Returns whether all work at a zone's engines is reported here."""
         ...
 
     def knows(self, ip: str) -> bool:
-        """Tells whether a gateway has this address."""
+        """Returns whether a gateway has this address."""
         ...
 
 
@@ -80,7 +82,7 @@
     """Sends and receives notices.
 
     Attributes:
-        socket: Carries them, and messages of others.
+        socket: The socket for notices, also used for other kinds of datagrams.
     """
 
     def __init__(
@@ -91,21 +93,21 @@
         availability_zone: str,
         system_clock: clock.Clock,
     ):
-        """Makes it; nothing is sent before ``start``.
+        """Creates the socket; nothing is sent before ``start``.
 
         Args:
-            listen: Where notices are taken.
+            listen: Address on which notices are received.
             peers: The other gateways.
-            sender: Names this start of the process.
-            availability_zone: Where this gateway stands.
-            system_clock: Measures what is spent.
+            sender: Identifies this start of the process.
+            availability_zone: Zone of this gateway.
+            system_clock: Measures waiting times and the byte budget.
         """
         self._availability_zone = availability_zone
         self._peers = peers
         self._sender = sender
         self._clock = system_clock
         self._sequence = 0
-        self._told_at_s = float("-inf")
+        self._last_sent_s = float("-inf")
         self._pending: dict[str, dict[_PendingKey, codec.Placement]] = {}
         self._has_pending = gevent.event.Event()
         self._pending_since_s: float | None = None
@@ -117,7 +119,7 @@
         self._seen: Callable[[], codec.Seen] = codec.Seen
         self._on_seen: Callable[[codec.Seen], None] = lambda _: None
         self.socket = datagrams.PeerSocket(listen, peers, system_clock)
-        self.socket.on_datagram(b"n", self._take)
+        self.socket.on_datagram(b"n", self._on_datagram)
         self._tasks: list[gevent.Greenlet] = []
 
     def on_notice(
@@ -127,14 +129,14 @@
         demands: Callable[[], tuple[codec.Demand, ...]] = tuple,
         role_loads: Callable[[], tuple[codec.RoleLoad, ...]] = tuple,
     ) -> None:
-        """Sets who takes in what others tell, and what engines told.
+        """Sets the notice callback and the sources of this gateway's reports.
 
         Args:
-            on_notice: Takes in each notice.
-            loads: Returns what engines of an availability zone told this
-                gateway of their load.
-            demands: Returns what this gateway's callers ask for.
-            role_loads: Returns how busy the engines of its zone are.
+            on_notice: Called with each received notice.
+            loads: Returns the loads that engines of an availability zone
+                reported to this gateway.
+            demands: Returns the prefill work that its callers request.
+            role_loads: Returns the mean loads of the engines in its zone.
         """
         self._on_notice = on_notice
         self._loads = loads
@@ -146,60 +148,60 @@
         seen: Callable[[], codec.Seen],
         on_seen: Callable[[codec.Seen], None],
     ) -> None:
-        """Sets what is told of the key-value service with each notice.
+        """Sets the callbacks for the key-value service state in notices.
 
         Args:
-            seen: Returns what this gateway has seen.
-            on_seen: Takes in what another gateway has seen.
+            seen: Returns the latest changes that this gateway has seen.
+            on_seen: Called with those that another gateway has seen.
         """
         self._seen = seen
         self._on_seen = on_seen
 
     def tell_now(self) -> None:
-        """Sends a notice though nothing was placed."""
+        """Sends a notice even if nothing was placed."""
         self._pending.setdefault(self._availability_zone, {})
         self._has_pending.set()
 
     def tell_changing(self, server: fleet.Server) -> None:
-        """Tells that an engine was ordered to change its role."""
+        """Reports that an engine was ordered to change its role."""
         self._changing.append(codec.key_of_server(server.start))
         self._pending.setdefault(server.availability_zone, {})
         self.tell_now()
 
     @property
     def told_at_s(self) -> float:
-        """When the gateways of the own zone were last told anything."""
-        return self._told_at_s
+        """Monotonic time of the last notice to the own zone, in seconds."""
+        return self._last_sent_s
 
     @property
     def is_registered(self) -> bool:
-        """Whether the others can know of this gateway."""
+        """Whether this gateway's registration is visible to the others."""
         return self._peers.is_registered
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the store for its neighbours."""
+        """Whether this gateway reads the store on behalf of others."""
         return self._peers.is_reader
 
     @property
     def gateways_count(self) -> int:
-        """All gateways, this one included."""
+        """Number of all gateways, including this one."""
         return self._peers.gateways_count
 
     def hears_of(self, server: fleet.Server) -> bool:
-        """Tells whether this gateway hears of all work at an engine."""
+        """Returns whether all work at an engine is reported to this gateway."""
         return self._peers.hears_of(server.availability_zone)
 
     def start(self) -> None:
-        """Begins to send and to receive."""
+        """Starts sending and receiving."""
         self.socket.start()
         self._tasks = [
-            gevent.spawn(self._send),
-            gevent.spawn(self._tell_zones),
+            gevent.spawn(self._send_pending),
+            gevent.spawn(self._send_role_loads),
         ]
 
     def close(self) -> None:
-        """Stops both."""
+        """Stops sending and receiving."""
         gevent.killall(self._tasks)
         self.socket.close()
 
@@ -210,28 +212,28 @@
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        """Takes in one placement; it is told at once.
+        """Adds one placement to the notice that is sent next.
 
         Args:
             server: The engine.
-            work_s: Engine time that the placement takes.
-            parts: Long parts that the engine holds now, in order.
-            own_tokens: Other tokens that it holds now.
+            work_s: Engine time that the placement takes, in seconds.
+            parts: Long prompt parts that the engine now holds, in order.
+            own_tokens: Number of other tokens that it now holds.
         """
         if self._pending_since_s is None:
             self._pending_since_s = self._clock.monotonic_s()
         key = codec.key_of_server(server.start), parts
         pending = self._pending.setdefault(server.availability_zone, {})
-        before = pending.get(key)
+        earlier = pending.get(key)
         pending[key] = codec.Placement(
             key[0],
-            work_s + (before.work_s if before else 0.0),
+            work_s + (earlier.work_s if earlier else 0.0),
             parts,
-            own_tokens + (before.own_tokens if before else 0),
+            own_tokens + (earlier.own_tokens if earlier else 0),
         )
         self._has_pending.set()
 
-    def _send(self) -> None:
+    def _send_pending(self) -> None:
         while True:
             self._has_pending.wait()
             gevent.sleep(COLLECTING_S)
@@ -240,21 +242,23 @@
             since_s, self._pending_since_s = self._pending_since_s, None
             self._has_pending.clear()
             for zone, by_key in pending.items():
-                self._tell(zone, codec.fitting(by_key.values()), changing)
+                self._send_notice(
+                    zone, codec.fitting(by_key.values()), changing
+                )
                 if since_s is not None:
-                    self._note_wait(since_s)
+                    self._record_wait(since_s)
 
-    def _note_wait(self, since_s: float) -> None:
+    def _record_wait(self, since_s: float) -> None:
         waited_s = self._clock.monotonic_s() - since_s
-        _waited_s.observe({}, waited_s)
+        _wait_histogram.observe({}, waited_s)
         if waited_s > LATE_S:
-            # At most as many lines as the budget lets notices leave.
+            # The byte budget limits notices and thereby these log lines.
             logger.bind(
                 waited_s=round(waited_s, 3),
                 budget_bytes=round(self.socket.budget.level),
-            ).info("a notice left late: its bytes were not to be had before")
+            ).info("a notice left late: the byte budget was exhausted")
 
-    def _tell(
+    def _send_notice(
         self,
         zone: str,
         placements: tuple[codec.Placement, ...],
@@ -274,15 +278,15 @@
         )
         self._send_to(self._peers.addresses(zone), datagram)
         if zone == self._availability_zone:
-            self._told_at_s = self._clock.monotonic_s()
+            self._last_sent_s = self._clock.monotonic_s()
 
-    def _tell_zones(self) -> None:
-        """Tells other zones how busy the engines of this one are."""
+    def _send_role_loads(self) -> None:
+        """Sends the mean loads of this zone's engines to other zones."""
         while True:
             gevent.sleep(ZONE_LOADS_INTERVAL_S)
-            whom = self._peers.one_of_each_other_zone()
-            told = self._role_loads()
-            if not whom or not told:
+            receivers = self._peers.pick_gateway_per_other_zone()
+            role_loads = self._role_loads()
+            if not receivers or not role_loads:
                 continue
             self._sequence += 1
             notice = codec.Notice(
@@ -290,9 +294,9 @@
                 self._sequence,
                 (),
                 zone_key=codec.key_of(self._availability_zone),
-                role_loads=told,
+                role_loads=role_loads,
             )
-            self._send_to(whom, codec.encode(notice))
+            self._send_to(receivers, codec.encode(notice))
 
     def _send_to(
         self, peers: tuple[fleet.Address, ...], datagram: bytes
@@ -302,7 +306,7 @@
             gevent.sleep(wait_s)
         self.socket.send(b"n", datagram, peers)
 
-    def _take(self, datagram: bytes, source: fleet.Address) -> bool:
+    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
         decoded = codec.decode(datagram)
         if isinstance(decoded, Err):
             logger.warning("notice dropped: {}", decoded.err_value.message)
--- a/src/mulberrywharf/peers/queue_codec.py
+++ b/src/mulberrywharf/peers/queue_codec.py
@@ -131,8 +131,8 @@
     waits = answer.init("waits", len(message.waits))
     for told, wait in zip(waits, message.waits, strict=True):
         told.engine = wait.engine_key
-        told.waitMs = _ms(wait.wait_s)
-        told.knownMs = _ms(wait.known_s)
+        told.waitMs = _to_ms(wait.wait_s)
+        told.knownMs = _to_ms(wait.known_s)
         told.heldCount = wait.held_count
 
 
@@ -155,7 +155,7 @@
         told.tokens = part.tokens
 
 
-def _ms(seconds: float) -> int:
+def _to_ms(seconds: float) -> int:
     return max(0, min(int(seconds * _MS_PER_S), _UINT16_LIMIT))
 
 
@@ -169,21 +169,21 @@
         wire = _SCHEMA.QueueMessage.from_bytes_packed(datagram)
         kind = str(wire.which())
         if kind == "ask":
-            return Ok(_ask(wire.ask))
+            return Ok(_decode_ask(wire.ask))
         if kind == "waits":
-            return Ok(_waits(wire.waits))
-        return Ok(_work(wire.work))
+            return Ok(_decode_waits(wire.waits))
+        return Ok(_decode_work(wire.work))
     except (capnp.KjException, ValueError) as error:
         return Err(errors.BadFrameError(f"no message on queues: {error}"))
 
 
-def _ask(wire: Any) -> Ask:
+def _decode_ask(wire: Any) -> Ask:
     return Ask(
         wire.number, wire.priority, tuple(wire.engines), tuple(wire.parts)
     )
 
 
-def _waits(wire: Any) -> Waits:
+def _decode_waits(wire: Any) -> Waits:
     return Waits(
         wire.number,
         tuple(
@@ -198,7 +198,7 @@
     )
 
 
-def _work(wire: Any) -> Work:
+def _decode_work(wire: Any) -> Work:
     # By its number: the library raises on one that the schema doesn't name.
     number = wire.matter.raw
     if number >= len(_MATTERS):
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -30,20 +30,20 @@
 from mulberrywharf.peers import codec, datagrams, queue_codec
 from mulberrywharf.policy import part_caches, reading_queue
 
-ANSWER_LIMIT_S = 0.02
+REPLY_TIMEOUT_S = 0.02
 """How long an answer is awaited. A way between availability zones and back
 takes some 2 ms, and a gateway that is busy some ms more; callers wait some
 hundred for their first token."""
 
-COUNTED_S = 1.0
+QUEUE_COMPLETE_AFTER_S = 1.0
 """An owner that has counted for less is believed only where it knows of more
 than the asker: longer queues are seldom, as callers are refused then."""
 
-PARTS_COUNTED_S = 10.0
+PARTS_COMPLETE_AFTER_S = 10.0
 """An owner that has counted for so long is believed to know of all parts that
 an engine holds: those of before were used since, or make room soon."""
 
-FORGOTTEN_S = 10.0
+IDLE_QUEUE_TIMEOUT_S = 10.0
 """An engine that got no work for so long has no queue: what is kept of it is
 dropped, and counted anew."""
 
@@ -136,7 +136,7 @@
         ...
 
 
-class _Question:
+class _PendingQuestion:
     """A question that is under way."""
 
     def __init__(self, owners: frozenset[fleet.Address]):
@@ -169,10 +169,10 @@
         self._clock = system_clock
         self._queues: dict[int, reading_queue.ReadingQueue] = {}
         self._parts: Parts | None = None
-        self._questions: dict[int, _Question] = {}
+        self._questions: dict[int, _PendingQuestion] = {}
         self._owners_counts: dict[tuple[str, fleet.Role | None], int] = {}
         self._numbers = itertools.count(1)
-        socket.on_datagram(b"q", self._take)
+        socket.on_datagram(b"q", self._on_datagram)
 
     def keep_parts(self, parts: Parts) -> None:
         """Sets who knows of the parts that engines hold."""
@@ -236,16 +236,16 @@
             for engine in engines
         }
         keys_by_owner = self._keys_by_owner(engines)
-        found = self._own_waits(
+        found = self._local_waits(
             keys_by_owner.pop(None, []), priority, part_keys
         )
         found += self._ask(keys_by_owner, priority, part_keys)
         return {
             start_by_key[wait.engine_key]: ToldWait(
                 wait.wait_s,
-                wait.known_s >= COUNTED_S,
+                wait.known_s >= QUEUE_COMPLETE_AFTER_S,
                 wait.held_count,
-                wait.known_s >= PARTS_COUNTED_S,
+                wait.known_s >= PARTS_COMPLETE_AFTER_S,
             )
             for wait in found
             if wait.engine_key in start_by_key
@@ -270,8 +270,8 @@
         """
         number = next(self._numbers) % _NUMBERS_COUNT
         ticket = Ticket(server, number)
-        work = self._work(ticket, "placed")
-        self._tell(
+        work = self._new_work(ticket, "placed")
+        self._report(
             ticket,
             work._replace(
                 priority=priority,
@@ -284,11 +284,11 @@
 
     def read(self, ticket: Ticket) -> None:
         """Tells that an engine has read a prompt."""
-        self._tell(ticket, self._work(ticket, "read"))
+        self._report(ticket, self._new_work(ticket, "read"))
 
     def withdrawn(self, ticket: Ticket) -> None:
         """Tells that an engine will not read a prompt."""
-        self._tell(ticket, self._work(ticket, "withdrawn"))
+        self._report(ticket, self._new_work(ticket, "withdrawn"))
 
     def _keys_by_owner(
         self, engines: Sequence[fleet.Server]
@@ -311,33 +311,33 @@
         if not owners:
             return []
         number = next(self._numbers) % _NUMBERS_COUNT
-        question = self._questions[number] = _Question(owners)
+        question = self._questions[number] = _PendingQuestion(owners)
         for owner, keys in keys_by_owner.items():
             if owner is not None:
                 ask = queue_codec.Ask(number, priority, tuple(keys), part_keys)
                 self._socket.send(b"q", queue_codec.encode(ask), (owner,))
         try:
-            is_answered = question.is_answered.wait(ANSWER_LIMIT_S)
+            is_answered = question.is_answered.wait(REPLY_TIMEOUT_S)
         finally:
             del self._questions[number]
         result = "answered" if is_answered else "silent"
         _asked_total.inc({"result": result})
         return question.waits
 
-    def _work(
+    def _new_work(
         self, ticket: Ticket, matter: queue_codec.WorkMatter
     ) -> queue_codec.Work:
         key = codec.key_of_server(ticket.server.start)
         return queue_codec.Work(key, self._sender, ticket.number, matter)
 
-    def _tell(self, ticket: Ticket, work: queue_codec.Work) -> None:
+    def _report(self, ticket: Ticket, work: queue_codec.Work) -> None:
         owner = self.owner(ticket.server)
         if owner is None:
-            self._note(work)
+            self._record(work)
         else:
             self._socket.send(b"q", queue_codec.encode(work), (owner,))
 
-    def _take(self, datagram: bytes, source: fleet.Address) -> bool:
+    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
         decoded = queue_codec.decode(datagram)
         if isinstance(decoded, Err):
             logger.warning("message dropped: {}", decoded.err_value.message)
@@ -348,15 +348,15 @@
             case queue_codec.Waits() as waits:
                 self._on_waits(waits, source)
             case queue_codec.Work() as work:
-                self._note(work)
+                self._record(work)
         return True
 
     def _answer(self, ask: queue_codec.Ask, source: fleet.Address) -> None:
-        waits = self._own_waits(ask.engine_keys, ask.priority, ask.part_keys)
+        waits = self._local_waits(ask.engine_keys, ask.priority, ask.part_keys)
         answer = queue_codec.Waits(ask.number, tuple(waits))
         self._socket.send(b"q", queue_codec.encode(answer), (source,))
 
-    def _own_waits(
+    def _local_waits(
         self,
         engine_keys: Sequence[int],
         priority: int,
@@ -367,7 +367,7 @@
         for key in engine_keys:
             # Whoever asks takes this gateway for the owner, and will tell it
             # of what is placed: from now on all is counted here.
-            queue = self._queue(key, now_s)
+            queue = self._get_or_create_queue(key, now_s)
             found.append(
                 queue_codec.EngineWait(
                     key,
@@ -395,9 +395,9 @@
         if not question.owners:
             question.is_answered.set()
 
-    def _note(self, work: queue_codec.Work) -> None:
+    def _record(self, work: queue_codec.Work) -> None:
         now_s = self._clock.monotonic_s()
-        queue = self._queue(work.engine_key, now_s)
+        queue = self._get_or_create_queue(work.engine_key, now_s)
         placement = work.sender, work.number
         match work.matter:
             case "placed":
@@ -411,18 +411,20 @@
             case "withdrawn":
                 queue.withdraw(placement, now_s)
 
-    def _queue(self, key: int, now_s: float) -> reading_queue.ReadingQueue:
+    def _get_or_create_queue(
+        self, key: int, now_s: float
+    ) -> reading_queue.ReadingQueue:
         queue = self._queues.get(key)
         if queue is None:
-            self._forget_idle(now_s)
+            self._drop_idle_queues(now_s)
             queue = self._queues[key] = reading_queue.ReadingQueue(now_s)
         return queue
 
-    def _forget_idle(self, now_s: float) -> None:
+    def _drop_idle_queues(self, now_s: float) -> None:
         kept = sorted(
             (one.idle_s(now_s), key)
             for key, one in self._queues.items()
-            if one.idle_s(now_s) < FORGOTTEN_S
+            if one.idle_s(now_s) < IDLE_QUEUE_TIMEOUT_S
         )
         self._queues = {
             key: self._queues[key] for _, key in kept[: QUEUES_LIMIT_COUNT - 1]
--- a/src/mulberrywharf/peers/store_news.py
+++ b/src/mulberrywharf/peers/store_news.py
@@ -39,7 +39,7 @@
 matters did: with 40 of them some 70 bytes each, 1,900 bytes a second of the
 2,000 that a node may send."""
 
-HEARD_AGE_S = 4.0
+READER_TIMEOUT_S = 4.0
 """A reader is believed so long after its last word: one lost datagram of two
 readers' isn't noticed. When both are gone, a change that a watch has missed
 comes with its next opening, half a second later at the most."""
@@ -52,14 +52,14 @@
 sound watch begins to bring a change within some ms of its peers'; one that
 collects changes is left alone."""
 
-HURRY_INTERVAL_S = 2.0
+MIN_REOPEN_INTERVAL_S = 2.0
 """Between two openings for want of a change. A call that was just sent is given
 time: on a link of 5 Mbit/s that is full its answer may begin late."""
 
-TELL_WITHIN_S = (0.05, 0.25)
+NOTICE_DELAY_RANGE_S = (0.05, 0.25)
 """How long after a change a gateway tells it, if few others have by then."""
 
-ENOUGH_COUNT = 2
+SUFFICIENT_NOTICES_COUNT = 2
 """Peers that told a change, so that this gateway need not: one datagram may
 be lost."""
 
@@ -143,10 +143,10 @@
         self._notices = notices
         self._watches = watches
         self._era = era
-        self._told_counts: dict[tuple[str, int, int], int] = {}
+        self._notice_counts: dict[tuple[str, int, int], int] = {}
         self._pending: set[str] = set()
-        self._hurried_at_s: dict[str, float] = {}
-        self._heard_at_s = float("-inf")
+        self._reopened_at_s: dict[str, float] = {}
+        self._reader_heard_at_s = float("-inf")
         self._waits_long = False
         self._task: gevent.Greenlet | None = None
         notices.tell_seen(self.seen, self.on_seen)
@@ -201,21 +201,21 @@
         waits_long = (
             self._notices.is_registered
             and not is_reader
-            and now_s - self._heard_at_s <= HEARD_AGE_S
+            and now_s - self._reader_heard_at_s <= READER_TIMEOUT_S
         )
         if waits_long != self._waits_long:
-            self._turn(waits_long)
+            self._set_waits_long(waits_long)
         is_due = now_s - self._notices.told_at_s >= HEARTBEAT_INTERVAL_S
         if is_due and is_reader and self.seen().is_reading:
             self._notices.tell_now()
 
-    def _turn(self, waits_long: bool) -> None:
+    def _set_waits_long(self, waits_long: bool) -> None:
         self._waits_long = waits_long
         _waiting_long_gauge.set({}, int(waits_long))
         logger.bind(
             waits_long=waits_long,
             is_reader=self._notices.is_reader,
-            heard_age_s=round(time.monotonic() - self._heard_at_s, 3),
+            heard_age_s=round(time.monotonic() - self._reader_heard_at_s, 3),
         ).info("watches wait long" if waits_long else "watches wait briefly")
         if waits_long:
             return
@@ -236,38 +236,42 @@
             return
         if seen.era > self._era():
             for name, watched in self._watches().items():
-                self._hurry(name, watched, getattr(seen, name), seen.era)
+                self._reopen(name, watched, getattr(seen, name), seen.era)
             return
         if seen.is_reading:
-            self._heard_at_s = time.monotonic()
+            self._reader_heard_at_s = time.monotonic()
         for name, watched in self._watches().items():
             revision = getattr(seen, name)
             if revision >= watched.changed_revision:
                 key = (name, seen.era, revision)
-                self._told_counts[key] = self._told_counts.get(key, 0) + 1
+                self._notice_counts[key] = self._notice_counts.get(key, 0) + 1
             if revision > watched.seen_revision and name not in self._pending:
                 self._pending.add(name)
-                gevent.spawn_later(PATIENCE_S, self._check, name, revision)
+                gevent.spawn_later(
+                    PATIENCE_S, self._reopen_if_behind, name, revision
+                )
 
     def on_change(self) -> None:
         """Tells peers of a change, unless enough of them do."""
-        gevent.spawn_later(random.uniform(*TELL_WITHIN_S), self._tell)
+        gevent.spawn_later(
+            random.uniform(*NOTICE_DELAY_RANGE_S), self._send_if_needed
+        )
 
-    def _check(self, name: str, revision: int) -> None:
+    def _reopen_if_behind(self, name: str, revision: int) -> None:
         self._pending.discard(name)
         watched = self._watches().get(name)
         if watched is None or watched.seen_revision >= revision:
             return
-        self._hurry(name, watched, revision, self._era())
+        self._reopen(name, watched, revision, self._era())
 
-    def _hurry(
+    def _reopen(
         self, name: str, watched: Watched, revision: int, era: int
     ) -> None:
         now_s = time.monotonic()
-        last_s = self._hurried_at_s.get(name, float("-inf"))
-        if now_s - last_s < HURRY_INTERVAL_S:
+        last_s = self._reopened_at_s.get(name, float("-inf"))
+        if now_s - last_s < MIN_REOPEN_INTERVAL_S:
             return
-        self._hurried_at_s[name] = now_s
+        self._reopened_at_s[name] = now_s
         logger.bind(
             matter=name,
             heard=revision,
@@ -277,19 +281,19 @@
         ).warning("peers know of a change that the watch did not bring")
         watched.hurry()
 
-    def _tell(self) -> None:
+    def _send_if_needed(self) -> None:
         current = self._watches()
         if any(
-            self._told_counts.get(
+            self._notice_counts.get(
                 (name, self._era(), watched.changed_revision), 0
             )
-            < ENOUGH_COUNT
+            < SUFFICIENT_NOTICES_COUNT
             for name, watched in current.items()
         ):
             self._notices.tell_now()
-        self._told_counts = {
+        self._notice_counts = {
             (name, era, revision): count
-            for (name, era, revision), count in self._told_counts.items()
+            for (name, era, revision), count in self._notice_counts.items()
             if name in current
             and era == self._era()
             and revision >= current[name].changed_revision
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Gateways: notices between them, and the directory in the store."""
+"""Tests notices between gateways and the directory of gateways in the store."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 class KnownPeers:
-    """Peers that tests fill."""
+    """Peers with the addresses that a test passes in."""
 
     def __init__(self, *addresses: fleet.Address):
         self.known = addresses
@@ -36,7 +36,7 @@
     def addresses(self, availability_zone: str) -> tuple[fleet.Address, ...]:
         return self.known if availability_zone == ZONE else ()
 
-    def one_of_each_other_zone(self) -> tuple[fleet.Address, ...]:
+    def pick_gateway_per_other_zone(self) -> tuple[fleet.Address, ...]:
         return self.known
 
     def hears_of(self, availability_zone: str) -> bool:
@@ -68,7 +68,7 @@
         )
         self.assertEqual(codec.decode(codec.encode(notice)).unwrap(), notice)
 
-    def test_a_full_notice_fits_a_datagram(self) -> None:
+    def test_full_notice_fits_in_one_datagram(self) -> None:
         placements = tuple(
             codec.Placement(
                 n, 1.0, (_part(2**64 - 1 - n),) * parts_count, 60_000
@@ -82,11 +82,11 @@
         sealed = datagrams.seal(b"n", datagram)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
-    def test_damaged_datagrams_are_errors(self) -> None:
-        """One damaged datagram ends a gateway.
+    def test_damaged_datagrams_do_not_raise(self) -> None:
+        """Guards against a damaged datagram that terminates a gateway.
 
-        Sequence: bytes are cut or changed on the way. Cause: the reader of
-        the library aborts or raises where nobody expects it.
+        If bytes are truncated or changed in transit, the library's reader may
+        abort or raise an unexpected exception.
         """
         whole = codec.encode(
             codec.Notice(
@@ -106,10 +106,12 @@
     def setUp(self) -> None:
         self.one_at = fleet.Address("127.0.0.1", self.free_port())
         self.two_at = fleet.Address("127.0.0.1", self.free_port())
-        self.heard: list[codec.Placement] = []
+        self.received: list[codec.Placement] = []
         self.one = self.start(self.one_at, KnownPeers(self.two_at))
         self.two = self.start(self.two_at, KnownPeers(self.one_at))
-        self.two.on_notice(lambda notice: self.heard.extend(notice.placements))
+        self.two.on_notice(
+            lambda notice: self.received.extend(notice.placements)
+        )
 
     def free_port(self) -> int:
         with gevent.socket.socket(type=gevent.socket.SOCK_DGRAM) as sock:
@@ -124,76 +126,78 @@
         self.addCleanup(made.close)
         return made
 
-    def test_a_placement_is_told_at_once(self) -> None:
+    def test_placement_is_sent_at_once(self) -> None:
         self.one.add(ENGINE, 0.1, (PART,), 3_000)
-        builders_platform.wait_until(lambda: self.heard, limit_s=1.0)
-        (told,) = self.heard
-        self.assertEqual(told.engine_key, codec.key_of_server(ENGINE.start))
-        self.assertEqual(told.parts, (PART,))
-        self.assertAlmostEqual(told.work_s, 0.1)
-        self.assertEqual(told.own_tokens, 3_000)
-
-    def test_placements_of_one_moment_are_added_up(self) -> None:
+        builders_platform.wait_until(lambda: self.received, limit_s=1.0)
+        (placement,) = self.received
+        self.assertEqual(
+            placement.engine_key, codec.key_of_server(ENGINE.start)
+        )
+        self.assertEqual(placement.parts, (PART,))
+        self.assertAlmostEqual(placement.work_s, 0.1)
+        self.assertEqual(placement.own_tokens, 3_000)
+
+    def test_simultaneous_placements_are_merged(self) -> None:
         for _ in range(3):
             self.one.add(ENGINE, 0.1, (PART,), 1_000)
-        builders_platform.wait_until(lambda: self.heard, limit_s=1.0)
-        (told,) = self.heard
-        self.assertAlmostEqual(told.work_s, 0.3, places=5)
-        self.assertEqual(told.own_tokens, 3_000)
+        builders_platform.wait_until(lambda: self.received, limit_s=1.0)
+        (placement,) = self.received
+        self.assertAlmostEqual(placement.work_s, 0.3, places=5)
+        self.assertEqual(placement.own_tokens, 3_000)
 
-    def test_work_in_another_zone_is_told_there_alone(self) -> None:
+    def test_work_in_another_zone_is_sent_only_there(self) -> None:
         self.one.add(
             ENGINE._replace(availability_zone="zone-b"), 0.1, (PART,), 1
         )
         self.one.add(
             ENGINE._replace(start=build.start("near")), 0.1, (PART,), 1
         )
-        builders_platform.wait_until(lambda: self.heard, limit_s=1.0)
+        builders_platform.wait_until(lambda: self.received, limit_s=1.0)
         gevent.sleep(0.05)
-        (told,) = self.heard
-        self.assertEqual(told.engine_key, codec.key_of("near"))
-
-    def test_other_zones_hear_how_busy_this_one_is(self) -> None:
-        told = (codec.RoleLoad(3, True, usual_load.Load(0.5, 0.25)),)
-        heard: list[codec.Notice] = []
-        self.two.on_notice(heard.append)
-        self.one.on_notice(lambda _: None, role_loads=lambda: told)
+        (placement,) = self.received
+        self.assertEqual(placement.engine_key, codec.key_of("near"))
+
+    def test_role_loads_are_sent_to_other_zones(self) -> None:
+        role_loads = (codec.RoleLoad(3, True, usual_load.Load(0.5, 0.25)),)
+        received: list[codec.Notice] = []
+        self.two.on_notice(received.append)
+        self.one.on_notice(lambda _: None, role_loads=lambda: role_loads)
         builders_platform.wait_until(
-            lambda: heard, limit_s=2 * notices.ZONE_LOADS_INTERVAL_S
+            lambda: received, limit_s=2 * notices.ZONE_LOADS_INTERVAL_S
         )
-        self.assertEqual(heard[0].role_loads, told)
-        self.assertEqual(heard[0].zone_key, codec.key_of(ZONE))
+        self.assertEqual(received[0].role_loads, role_loads)
+        self.assertEqual(received[0].zone_key, codec.key_of(ZONE))
 
-    def test_strangers_are_not_heard(self) -> None:
-        """Engines look busy because of somebody who is no gateway.
+    def test_unknown_senders_are_ignored(self) -> None:
+        """Guards against a foreign host that makes engines look busy.
 
-        Sequence: a datagram comes from an address outside the directory.
-        Cause: whatever came to the port was believed.
+        Every datagram that reached the port was accepted, also from addresses
+        outside the directory.
         """
-        stranger = notices.WorkNotices(
+        unknown = notices.WorkNotices(
             fleet.Address("127.0.0.2", self.free_port()),
             KnownPeers(self.two_at),
             9,
             ZONE,
             clock.SystemClock(),
         )
-        stranger.start()
-        self.addCleanup(stranger.close)
-        stranger.add(ENGINE, 5.0, (PART,), 1)
+        unknown.start()
+        self.addCleanup(unknown.close)
+        unknown.add(ENGINE, 5.0, (PART,), 1)
         gevent.sleep(0.05)
-        self.assertEqual(self.heard, [])
+        self.assertEqual(self.received, [])
 
-    def test_what_is_spent_stays_bounded(self) -> None:
-        """Notices take more of the network than the operators allow.
+    def test_sent_bytes_stay_within_the_budget(self) -> None:
+        """Guards against notices that exceed the operators' byte limit.
 
-        Sequence: long prompts come at a rate far above the usual for long.
-        Cause: each was told in a datagram of its own, whatever had been sent.
+        When long prompts arrived far faster than usual for a long time, each
+        was sent in its own datagram, regardless of the bytes already sent.
         """
         sent_before = datagrams.SENT_BURST_BYTES
         for _ in range(2_000):
             self.one.add(ENGINE, 0.1, (PART,), 1)
             gevent.sleep(0.0005)
-        self.assertLess(len(self.heard) * 100, 2 * sent_before)
+        self.assertLess(len(self.received) * 100, 2 * sent_before)
 
 
 class DirectoryTest(unittest.TestCase):
@@ -216,21 +220,22 @@
         self.addCleanup(made.close)
         return made
 
-    def test_gateways_find_each_other(self) -> None:
+    def test_gateways_discover_each_other(self) -> None:
         one, two = self.start("one", 1), self.start("two", 2)
         builders_platform.wait_until(lambda: one.addresses(ZONE))
         builders_platform.wait_until(lambda: two.addresses(ZONE))
         self.assertEqual(one.addresses(ZONE), (fleet.Address("127.0.0.1", 2),))
         self.assertEqual(two.addresses(ZONE), (fleet.Address("127.0.0.1", 1),))
         self.assertTrue(one.knows("127.0.0.1"))
-        self.assertEqual(one.one_of_each_other_zone(), ())
+        self.assertEqual(one.pick_gateway_per_other_zone(), ())
 
-    def test_a_key_of_another_writer_names_no_gateway(self) -> None:
-        """A gateway knows of no peer any more, and refuses half its callers.
+    def test_keys_of_other_programs_are_ignored(self) -> None:
+        """Guards against a gateway that loses its peers and refuses callers.
 
-        Sequence: another program writes a key under the gateways' prefix whose
-        value is no address. Cause: reading it raised, which ended the task
-        that follows the others, for good and without a line.
+        Another program writes a key under the gateways' prefix whose value is
+        not an address. Parsing it raised and ended the task that reads the
+        registrations, permanently and without a log line. Without peers, the
+        gateway refused half of its callers.
         """
         for number, value in enumerate(
             (
@@ -251,32 +256,32 @@
         )
         self.assertEqual((one.gateways_count, two.gateways_count), (2, 2))
 
-    def test_in_a_large_fleet_the_engines_zone_is_told(self) -> None:
-        """Control traffic grows with the square of the fleet.
+    def test_large_fleet_notifies_only_the_zone_of_the_engine(self) -> None:
+        """Guards against control traffic quadratic in the size of the fleet.
 
-        Sequence: 80 gateways, each tells each other one. Cause: nothing
-        bounded how many are told.
+        With 80 gateways, each notified all others; nothing limited the number
+        of receivers.
         """
         one = self.start("one", 1)
-        for number in range(directory.TOLD_LIMIT_COUNT + 10):
+        for number in range(directory.FULL_MESH_LIMIT_COUNT + 10):
             zone = "zone-a" if number < 5 else "zone-b"
             self.store.put(
                 f"{directory.KEY_PREFIX}vm-{number}/boot",
                 f"127.0.0.1:{1000 + number}/{zone}".encode(),
             )
         builders_platform.wait_until(
-            lambda: one.gateways_count == directory.TOLD_LIMIT_COUNT + 11
+            lambda: one.gateways_count == directory.FULL_MESH_LIMIT_COUNT + 11
         )
         self.assertEqual(len(one.addresses(ZONE)), 5)
         self.assertTrue(one.hears_of(ZONE))
         self.assertEqual(
-            len(one.addresses("zone-b")), directory.TOLD_LIMIT_COUNT + 5
+            len(one.addresses("zone-b")), directory.FULL_MESH_LIMIT_COUNT + 5
         )
         self.assertFalse(one.hears_of("zone-b"))
-        (neighbour,) = one.one_of_each_other_zone()
+        (neighbour,) = one.pick_gateway_per_other_zone()
         self.assertIn(neighbour, one.addresses("zone-b"))
 
-    def test_a_gateway_that_closes_is_gone(self) -> None:
+    def test_closed_gateway_is_removed(self) -> None:
         one, two = self.start("one", 1), self.start("two", 2)
         builders_platform.wait_until(lambda: one.addresses(ZONE))
         two.close()
@@ -284,13 +289,13 @@
             builders_platform.wait_until(lambda: not one.addresses(ZONE))
         )
 
-    def test_a_restarted_gateway_counts_once(self) -> None:
-        """Half of the callers are refused while engines are idle.
+    def test_restarted_gateway_counts_once(self) -> None:
+        """Guards against refusing half of the callers while engines are idle.
 
-        Sequence: all gateways are killed and start again; the keys of before
-        stay in the store until their leases lapse. Cause: each key counted as
-        a gateway, and what one sees of the load as a ninth of it instead of
-        an eighteenth.
+        All gateways are killed and restarted; their previous keys stay in the
+        store until the leases expire. Each key was counted as a gateway, so
+        each of nine gateways took its own load for an eighteenth of the total
+        instead of a ninth.
         """
         one = self.start("one", 1)
         self.start("two", 2, "before")
@@ -301,13 +306,13 @@
         )
         self.assertEqual(one.addresses(ZONE), (fleet.Address("127.0.0.1", 3),))
 
-    def test_a_gateway_whose_key_is_gone_counts_on_nobody(self) -> None:
-        """One gateway refuses a new route with 404 for a second too long.
+    def test_gateway_without_its_key_is_not_registered(self) -> None:
+        """Guards against a gateway that answers 404 for a new route too long.
 
-        Sequence: the store turns a gateway away and takes its key; a change
-        is made as it lets it in again. Its peers tell it nothing, and it
-        waits as if they did. Cause: it went by whom it knew, not by who knew
-        it.
+        The store rejects a gateway's calls and removes its key; a change is
+        made as the store accepts the calls again. The peers no longer notify
+        the gateway, but it relied on them because it still knew them. It then
+        refused the new route for one second too long.
         """
         one = self.start("one", 1)
         self.assertTrue(builders_platform.wait_until(lambda: one.is_registered))
@@ -319,10 +324,10 @@
             )
         )
 
-    def test_all_choose_the_same_readers(self) -> None:
-        """Every gateway goes to the store for itself, or none does.
+    def test_all_gateways_choose_the_same_readers(self) -> None:
+        """Guards against a fleet in which all gateways are readers, or none.
 
-        Cause: each chose the readers by a list of its own.
+        This happens if each gateway chooses the readers from a different list.
         """
         names = [f"vm-{number}" for number in range(5)]
         started = [
@@ -334,31 +339,31 @@
         readers_count = sum(one.is_reader for one in started)
         self.assertEqual(readers_count, directory.READERS_COUNT)
 
-    def test_a_gateway_that_knows_nobody_reads(self) -> None:
+    def test_gateway_without_peers_is_a_reader(self) -> None:
         self.assertTrue(self.start("one", 1).is_reader)
 
     def test_each_zone_of_a_large_fleet_has_readers(self) -> None:
-        """A zone that is cut off hears of no change.
+        """Guards against a partitioned zone that learns of no change.
 
-        Cause: the readers of a large fleet, who tell their own zone alone,
-        all stood in another one.
+        The readers of a large fleet notify only their own zone, and all of
+        them were in another zone.
         """
-        for number in range(directory.TOLD_LIMIT_COUNT + 10):
+        for number in range(directory.FULL_MESH_LIMIT_COUNT + 10):
             self.store.put(
                 f"{directory.KEY_PREFIX}vm-{number}/boot",
                 f"127.0.0.1:{1000 + number}/zone-b".encode(),
             )
         one = self.start("one", 1)
         builders_platform.wait_until(
-            lambda: one.gateways_count == directory.TOLD_LIMIT_COUNT + 11
+            lambda: one.gateways_count == directory.FULL_MESH_LIMIT_COUNT + 11
         )
         self.assertTrue(one.is_reader)
 
-    def test_a_lost_registration_is_made_again(self) -> None:
-        """A gateway is not told of work for the rest of its life.
+    def test_lost_registration_is_created_again(self) -> None:
+        """Guards against a gateway that is never notified of work again.
 
-        Sequence: the store takes its key away while it lives. Cause: the
-        registration was made once.
+        The store removes its key while it runs. The gateway registered only
+        once.
         """
         one, _ = self.start("one", 1), self.start("two", 2)
         builders_platform.wait_until(lambda: one.addresses(ZONE))
@@ -375,12 +380,12 @@
             builders_platform.wait_until(lambda: one.addresses(ZONE), limit_s)
         )
 
-    def test_a_new_registration_does_not_wait_for_the_old_lease(self) -> None:
-        """A gateway is not told of work for seconds after a lost renewal.
+    def test_new_registration_does_not_wait_for_the_old_lease(self) -> None:
+        """Guards against seconds without notices after failed renewals.
 
-        Sequence: the renewal of its lease fails for so long that it gives the
-        lease up; the store has not let it lapse yet. Cause: the same key was
-        created again, and it was still there.
+        Renewals fail for so long that the gateway abandons its lease, which has
+        not yet expired in the store. The gateway then tried to create the same
+        key again, which still existed.
         """
         one = self.start("one", 1)
         builders_platform.wait_until(lambda: self.registered_count() == 1)
--- a/tests/test_queue_owners.py
+++ b/tests/test_queue_owners.py
@@ -199,8 +199,8 @@
         began_s = clock.SystemClock().monotonic_s()
         self.assertEqual(self.waits(), {})
         took_s = clock.SystemClock().monotonic_s() - began_s
-        self.assertGreaterEqual(took_s, queue_owners.ANSWER_LIMIT_S)
-        self.assertLess(took_s, 20 * queue_owners.ANSWER_LIMIT_S)
+        self.assertGreaterEqual(took_s, queue_owners.REPLY_TIMEOUT_S)
+        self.assertLess(took_s, 20 * queue_owners.REPLY_TIMEOUT_S)
 
     def test_who_has_just_become_the_owner_says_so(self) -> None:
         """All gateways send to an engine with a full queue.
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -89,12 +89,12 @@
         self.assertEqual(self.routes.hurries_count, 0)
 
     def test_a_change_is_told_unless_enough_peers_did(self) -> None:
-        latest_s = store_news.TELL_WITHIN_S[1] + 0.05
+        latest_s = store_news.NOTICE_DELAY_RANGE_S[1] + 0.05
         self.news.on_change()
         gevent.sleep(latest_s)
         self.assertEqual(self.notices.sent_count, 1)
         self.news.on_change()
-        for _ in range(store_news.ENOUGH_COUNT):
+        for _ in range(store_news.SUFFICIENT_NOTICES_COUNT):
             self.news.on_seen(codec.Seen(7, 8))
         gevent.sleep(latest_s)
         self.assertEqual(self.notices.sent_count, 1)
@@ -119,7 +119,7 @@
         watches went on waiting as if somebody read.
         """
         self.hear_reader()
-        self.news._heard_at_s -= store_news.HEARD_AGE_S
+        self.news._reader_heard_at_s -= store_news.READER_TIMEOUT_S
         self.news._look()
         self.assertEqual(self.news.patience(), watch.BRIEF)
         self.assertEqual(self.hurries_counts(), [1, 1])
