--- a/src/mulberrywharf/peers/store_news.py
+++ b/src/mulberrywharf/peers/store_news.py
@@ -1,15 +1,16 @@
-"""Gateways tell each other how far they have seen the key-value service.
-
-A watch that the service leaves without a word brings no change until it is
-opened again. Opened every two seconds by each gateway, two watches cost three
-quarters of all that a fleet pays for calls. Here a few gateways, the readers,
-open theirs so often, and tell the others what they have seen and that they go
-on reading. The others let theirs wait as long as the service allows: a reader's
-notice shows them that theirs were left, and they open them again at once.
-
-Nothing that must hold depends on a reader. Whoever hears from none that reads,
-because they are gone, frozen, cut off or turned away by the service, is as good
-as a reader itself until it does.
+"""Exchanges the latest key-value service revisions between gateways.
+
+The service may silently drop a waiting watch, which then delivers no change
+until it is reopened. If each gateway reopens its two watches every two seconds,
+this takes three quarters of what a fleet pays for calls. Therefore only a few
+gateways, the readers, reopen theirs that often. They send the others the
+revisions that they have seen, and heartbeats that they are still reading. The
+other gateways let their watches wait as long as the service allows. A reader's
+notice shows them that a watch was dropped, and they reopen it at once.
+
+Correctness never depends on a reader. A gateway that hears from no active
+reader, because the readers have stopped, hang, are partitioned or are rejected
+by the service, reads as often as a reader until it hears from one again.
 """
 
 import random
@@ -25,43 +26,45 @@
 from mulberrywharf.platform_service import watch
 
 LONG = watch.BRIEF._replace(silence_s=30.0)
-"""For a gateway that hears from a reader: as long as the service keeps a call
-waiting. A pause behind a failure stays brief: whom the service turns away loses
-its key too, so its peers no longer tell it of anything."""
+"""Used while a gateway hears from a reader. Calls wait as long as the service
+allows. The pause after a failure stays short, because a gateway that the
+service rejects also loses its key, so its peers no longer notify it."""
 
 READING_AGE_S = 3.0
-"""A gateway whose watches were both answered within it is reading: they are
-opened every 2 s, and an answer comes within 0.4 s even where the service is
-slow."""
+"""A gateway is reading if both of its watches were answered within this time.
+They are reopened every 2 s, and an answer takes up to 0.4 s even if the service
+is slow."""
 
 HEARTBEAT_INTERVAL_S = 1.5
-"""A reader tells its peers that it reads so often, unless a notice of other
-matters did: with 40 of them some 70 bytes each, 1,900 bytes a second of the
-2,000 that a node may send."""
+"""Interval at which a reader notifies its peers that it is reading, unless
+another notice has done so. With 40 peers and about 70 bytes each, this takes
+1,900 of the 2,000 bytes/s that a node may send."""
 
 READER_TIMEOUT_S = 4.0
-"""A reader is believed so long after its last word: one lost datagram of two
-readers' isn't noticed. When both are gone, a change that a watch has missed
-comes with its next opening, half a second later at the most."""
+"""Time after its last notice for which a reader is assumed to be active. With
+two readers, one lost datagram has no effect. If both have stopped, a change
+that a watch missed arrives when the watch is reopened, at most half a second
+after this time."""
 
 CHECK_INTERVAL_S = 0.5
-"""Between two looks at whether a reader is heard and a heartbeat is due."""
+"""Interval between checks whether a reader is active and a heartbeat is due."""
 
 PATIENCE_S = 0.3
-"""From a peer's news until a watch that has not brought it is opened again. A
-sound watch begins to bring a change within some ms of its peers'; one that
-collects changes is left alone."""
+"""Delay from a peer's notice of a change until a watch that has not delivered
+it is reopened. A working watch starts to deliver a change within a few ms of
+its peers'; one that is still receiving changes is not interrupted."""
 
 MIN_REOPEN_INTERVAL_S = 2.0
-"""Between two openings for want of a change. A call that was just sent is given
-time: on a link of 5 Mbit/s that is full its answer may begin late."""
+"""Minimum time between two such reopenings of a watch. It leaves a new call
+time to be answered: on a saturated 5 Mbit/s link, the answer may start late."""
 
 NOTICE_DELAY_RANGE_S = (0.05, 0.25)
-"""How long after a change a gateway tells it, if few others have by then."""
+"""Range of the random delay after which a gateway notifies its peers of a
+change, unless enough others have done so by then."""
 
 SUFFICIENT_NOTICES_COUNT = 2
-"""Peers that told a change, so that this gateway need not: one datagram may
-be lost."""
+"""Number of notices of a change, sent by peers, that make this gateway's own
+unnecessary. It tolerates the loss of one datagram."""
 
 
 _waiting_long_gauge = metrics.gauge(
@@ -71,44 +74,44 @@
 
 
 class Watched(Protocol):
-    """A watch as it matters here."""
+    """State of a watch, and a way to reopen it."""
 
     @property
     def age_s(self) -> float:
-        """How long ago the service last answered it."""
+        """Time since the service last answered the watch, in seconds."""
         ...
 
     @property
     def changed_revision(self) -> int:
-        """Revision of the last change that it brought."""
+        """Revision of the latest change that the watch delivered."""
         ...
 
     @property
     def seen_revision(self) -> int:
-        """Revision up to which it brought every change."""
+        """Revision up to which the watch delivered every change."""
         ...
 
     def hurry(self) -> None:
-        """Opens it again."""
+        """Reopens the watch if it waits for a change."""
         ...
 
 
 class Notices(Protocol):
-    """Carries the news."""
+    """Exchanges notices with other gateways."""
 
     @property
     def told_at_s(self) -> float:
-        """When the gateways of the own zone were last told anything."""
+        """Monotonic time of the last notice to the own zone, in seconds."""
         ...
 
     @property
     def is_registered(self) -> bool:
-        """Whether the others can know of this gateway."""
+        """Whether this gateway's registration is visible to the others."""
         ...
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the service for its neighbours."""
+        """Whether this gateway reads the service on behalf of others."""
         ...
 
     def tell_seen(
@@ -116,7 +119,7 @@
         seen: Callable[[], codec.Seen],
         on_seen: Callable[[codec.Seen], None],
     ) -> None:
-        """Sets what is told and who takes in what is heard."""
+        """Sets the callbacks for what is sent and what is received."""
         ...
 
     def tell_now(self) -> None:
@@ -125,7 +128,10 @@
 
 
 class StoreNews:
-    """Compares this gateway's watches with what peers have seen."""
+    """Compares this gateway's watches with the revisions that peers have seen.
+
+    A watch that stays behind is reopened.
+    """
 
     def __init__(
         self,
@@ -133,11 +139,12 @@
         watches: Callable[[], Mapping[str, Watched]],
         era: Callable[[], int] = lambda: 0,
     ):
-        """Makes it and hooks it to the notices.
+        """Creates it and registers its callbacks with the notices.
 
         Args:
-            notices: Carries the news.
-            watches: Returns the watches by the names of ``codec.Seen``.
+            notices: Exchanges notices with other gateways.
+            watches: Returns the watches, keyed by the ``codec.Seen`` field that
+                holds their revision.
             era: Returns the newest era of the service that was seen.
         """
         self._notices = notices
@@ -152,40 +159,40 @@
         notices.tell_seen(self.seen, self.on_seen)
 
     def start(self) -> None:
-        """Begins to look for readers, and to send heartbeats as one."""
+        """Starts monitoring the readers, and sending heartbeats as a reader."""
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends both."""
+        """Stops both."""
         if self._task is not None:
             self._task.kill()
 
     def patience(self) -> watch.Patience:
-        """Returns how long the watches may wait now."""
+        """Returns how long the watches may currently wait."""
         return LONG if self._waits_long else watch.BRIEF
 
     def patience_for_routes(self) -> watch.Patience:
-        """Returns the same for the routes.
+        """Returns how long the watch of the routes may currently wait.
 
-        Operators are promised them within 3 s of a moment at which the
-        service leaves its watches, also at gateways that a reader has to tell
-        of the change.
+        Operators are promised that changed routes are in force within 3 s after
+        the service drops its watches, including on gateways that learn of the
+        change from a reader.
         """
         return LONG if self._waits_long else watch.PROMPT
 
     def seen(self) -> codec.Seen:
-        """Returns what this gateway has seen."""
-        found = self._watches()
+        """Returns the latest changes that this gateway has seen."""
+        watches = self._watches()
         return codec.Seen(
-            **{name: found[name].changed_revision for name in found},
-            is_reading=self._is_reading(found),
+            **{name: watches[name].changed_revision for name in watches},
+            is_reading=self._is_reading(watches),
             era=self._era(),
         )
 
-    def _is_reading(self, found: Mapping[str, Watched]) -> bool:
-        # A gateway that counts on a reader may have had an answer just now,
-        # but nobody may count on its next one.
-        ages_s = [watched.age_s for watched in found.values()]
+    def _is_reading(self, watches: Mapping[str, Watched]) -> bool:
+        # A gateway that relies on a reader may just have received an answer,
+        # but its next one may take long, so others must not rely on it.
+        ages_s = [watched.age_s for watched in watches.values()]
         is_fresh = bool(ages_s) and max(ages_s) <= READING_AGE_S
         return is_fresh and not self._waits_long
 
@@ -195,7 +202,7 @@
             self._look()
 
     def _look(self) -> None:
-        """Takes in whether a reader is heard; sends a heartbeat as one."""
+        """Updates whether watches wait long; sends a due heartbeat."""
         now_s = time.monotonic()
         is_reader = self._notices.is_reader
         waits_long = (
@@ -219,18 +226,19 @@
         ).info("watches wait long" if waits_long else "watches wait briefly")
         if waits_long:
             return
-        # They may wait for half a minute by now, and the service may have
-        # left them meanwhile without a word.
+        # The calls may still wait for up to half a minute, and the service may
+        # have silently dropped the watches in the meantime.
         for watched in self._watches().values():
             watched.hurry()
 
     def on_seen(self, seen: codec.Seen) -> None:
-        """Takes in what a peer has seen.
+        """Processes the latest changes that a peer has seen.
 
-        Revisions of another era say nothing of this one's. A peer of an older
-        era has not noticed yet that the service is back from an older copy:
-        whoever counted on it as a reader would wait for news of the past. One
-        of a newer era is no proof by itself; the service's own answer is.
+        Revisions of different eras are not comparable. A peer in an older era
+        has not yet noticed that the service was restored from an older copy;
+        relying on it as a reader would mean waiting for outdated changes. A
+        peer in a newer era does not prove a restore. The watches are reopened,
+        because only the service's own answer does.
         """
         if seen.era < self._era():
             return
@@ -252,7 +260,7 @@
                 )
 
     def on_change(self) -> None:
-        """Tells peers of a change, unless enough of them do."""
+        """Notifies peers of a change unless enough others do so first."""
         gevent.spawn_later(
             random.uniform(*NOTICE_DELAY_RANGE_S), self._send_if_needed
         )
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other of changes their watches may miss."""
+"""Tests how gateways notify each other of changes that a watch may miss."""
 
 import time
 import unittest
@@ -14,7 +14,7 @@
 from tests import builders_platform
 from tests import builders_routes as build
 
-_SETTLED_S = store_news.PATIENCE_S + 0.1
+_AFTER_REOPEN_DELAY_S = store_news.PATIENCE_S + 0.1
 
 
 class _Watch:
@@ -22,10 +22,10 @@
         self.changed_revision = changed
         self.seen_revision = seen
         self.age_s = 0.5
-        self.hurries_count = 0
+        self.reopenings_count = 0
 
     def hurry(self) -> None:
-        self.hurries_count += 1
+        self.reopenings_count += 1
 
 
 class _Notices:
@@ -36,7 +36,7 @@
         self.sent_count = 0
 
     def tell_seen(self, seen: object, on_seen: object) -> None:
-        """Needs neither: the tests call them."""
+        """Ignores both callbacks; the tests call them directly."""
 
     def tell_now(self) -> None:
         self.sent_count += 1
@@ -55,40 +55,40 @@
             },
         )
 
-    def test_what_is_told(self) -> None:
+    def test_seen_contains_the_changed_revisions(self) -> None:
         self.assertEqual(self.news.seen(), codec.Seen(7, 8, is_reading=True))
 
-    def test_a_watch_that_stays_behind_is_opened_again(self) -> None:
-        """A gateway serves old routes for seconds.
+    def test_watch_that_stays_behind_is_reopened(self) -> None:
+        """Guards against a gateway that serves old routes for seconds.
 
-        Sequence: the service leaves a waiting watch without a word; a peer
-        whose watch was opened later brings the change. Cause: the gateway
-        waits for its own watch to end.
+        The service silently drops a waiting watch; a peer whose watch was
+        opened later receives a change. The gateway waited until its own watch
+        ended.
         """
         for _ in range(3):
             self.news.on_seen(codec.Seen(12, 8))
-        gevent.sleep(_SETTLED_S)
-        self.assertEqual(self.routes.hurries_count, 1)
-        self.assertEqual(self.servers.hurries_count, 0)
+        gevent.sleep(_AFTER_REOPEN_DELAY_S)
+        self.assertEqual(self.routes.reopenings_count, 1)
+        self.assertEqual(self.servers.reopenings_count, 0)
 
-    def test_a_watch_that_was_just_opened_again_is_given_time(self) -> None:
+    def test_watch_that_was_just_reopened_is_not_reopened(self) -> None:
         for _ in range(3):
             self.news.on_seen(codec.Seen(12, 8))
-            gevent.sleep(_SETTLED_S)
-        self.assertEqual(self.routes.hurries_count, 1)
+            gevent.sleep(_AFTER_REOPEN_DELAY_S)
+        self.assertEqual(self.routes.reopenings_count, 1)
 
-    def test_a_watch_that_brings_it_a_moment_later_is_left_alone(self) -> None:
+    def test_watch_that_delivers_the_change_late_is_not_reopened(self) -> None:
         self.news.on_seen(codec.Seen(12, 8))
         self.routes.seen_revision = 12
-        gevent.sleep(_SETTLED_S)
-        self.assertEqual(self.routes.hurries_count, 0)
+        gevent.sleep(_AFTER_REOPEN_DELAY_S)
+        self.assertEqual(self.routes.reopenings_count, 0)
 
-    def test_old_news_change_nothing(self) -> None:
+    def test_older_revisions_are_ignored(self) -> None:
         self.news.on_seen(codec.Seen(9, 3))
-        gevent.sleep(_SETTLED_S)
-        self.assertEqual(self.routes.hurries_count, 0)
+        gevent.sleep(_AFTER_REOPEN_DELAY_S)
+        self.assertEqual(self.routes.reopenings_count, 0)
 
-    def test_a_change_is_told_unless_enough_peers_did(self) -> None:
+    def test_change_is_sent_unless_enough_peers_did(self) -> None:
         latest_s = store_news.NOTICE_DELAY_RANGE_S[1] + 0.05
         self.news.on_change()
         gevent.sleep(latest_s)
@@ -99,63 +99,62 @@
         gevent.sleep(latest_s)
         self.assertEqual(self.notices.sent_count, 1)
 
-    def test_a_watch_waits_long_while_a_reader_is_heard(self) -> None:
-        """Calls to the service grow with the fleet.
+    def test_watch_waits_long_while_a_reader_is_active(self) -> None:
+        """Guards against calls to the service that grow with the fleet.
 
-        Symptom: three quarters of what a fleet of 18 gateways pays for calls
-        goes for opening two watches each every few seconds. Cause: each of
-        them looked for itself.
+        If each gateway of a fleet of 18 reopens its two watches every few
+        seconds, this takes three quarters of what the fleet pays for calls.
         """
         self.assertEqual(self.news.patience(), watch.BRIEF)
-        self.hear_reader()
+        self.receive_reader_heartbeat()
         self.assertEqual(self.news.patience(), store_news.LONG)
-        self.assertEqual(self.hurries_counts(), [0, 0])
+        self.assertEqual(self.reopenings_counts(), [0, 0])
 
-    def test_watches_are_opened_again_when_no_reader_is_heard(self) -> None:
-        """Routes stay old for half a minute.
+    def test_watches_are_reopened_when_no_reader_is_active(self) -> None:
+        """Guards against routes that stay old for half a minute.
 
-        Sequence: the readers are gone, or cut off; the service has left this
-        gateway's watches without a word, and a change is made. Cause: the
-        watches went on waiting as if somebody read.
+        The readers have stopped or are unreachable, the service has silently
+        dropped this gateway's watches, and a change is made. The watches kept
+        waiting as if a reader were active.
         """
-        self.hear_reader()
+        self.receive_reader_heartbeat()
         self.news._reader_heard_at_s -= store_news.READER_TIMEOUT_S
         self.news._look()
         self.assertEqual(self.news.patience(), watch.BRIEF)
-        self.assertEqual(self.hurries_counts(), [1, 1])
+        self.assertEqual(self.reopenings_counts(), [1, 1])
         self.news._look()
-        self.assertEqual(self.hurries_counts(), [1, 1])
+        self.assertEqual(self.reopenings_counts(), [1, 1])
 
-    def test_a_peer_that_does_not_read_relieves_nobody(self) -> None:
-        """No gateway reads the service any more.
+    def test_peer_that_is_not_reading_is_no_active_reader(self) -> None:
+        """Guards against a fleet in which no gateway reads the service.
 
-        Sequence: the service turns the readers away; they go on telling their
-        placements. Cause: whatever they told counted as a sign of reading.
+        The service rejects the readers, which still send notices of their
+        placements. Every notice counted as a sign that its sender was reading.
         """
         self.news.on_seen(codec.Seen(7, 8))
         self.news._look()
         self.assertEqual(self.news.patience(), watch.BRIEF)
 
-    def test_a_gateway_that_peers_do_not_know_counts_on_nobody(self) -> None:
-        self.hear_reader()
+    def test_unregistered_gateway_does_not_rely_on_readers(self) -> None:
+        self.receive_reader_heartbeat()
         self.notices.is_registered = False
         self.news._look()
         self.assertEqual(self.news.patience(), watch.BRIEF)
 
-    def test_a_reader_reads_and_says_so(self) -> None:
+    def test_reader_waits_briefly_and_sends_heartbeats(self) -> None:
         self.notices.is_reader = True
-        self.hear_reader()
+        self.receive_reader_heartbeat()
         self.assertEqual(self.news.patience(), watch.BRIEF)
         self.assertEqual(self.notices.sent_count, 1)
         self.notices.told_at_s = time.monotonic()
         self.news._look()
         self.assertEqual(self.notices.sent_count, 1)
 
-    def test_a_reader_that_the_service_left_does_not_beat(self) -> None:
-        """A change is missed by a whole fleet.
+    def test_reader_without_answers_sends_no_heartbeat(self) -> None:
+        """Guards against a change that a whole fleet misses.
 
-        Sequence: the readers are cut off from the service, and not from their
-        peers. Cause: they told that they read because they meant to.
+        The readers can reach their peers but not the service. They sent
+        heartbeats because of their role, not because they received answers.
         """
         self.notices.is_reader = True
         self.routes.age_s = store_news.READING_AGE_S + 0.1
@@ -163,34 +162,33 @@
         self.assertEqual(self.notices.sent_count, 0)
         self.assertFalse(self.news.seen().is_reading)
 
-    def test_a_gateway_that_counts_on_readers_does_not_claim_to_read(
+    def test_gateway_that_relies_on_readers_is_not_reading(
         self,
     ) -> None:
-        """Gateways wait for each other.
+        """Guards against gateways that wait for each other.
 
-        Sequence: a watch that waits long has just been answered. Cause: that
-        counted as reading, though its next answer may be half a minute away.
+        A watch that waits long has just been answered. This counted as reading,
+        although the next answer may take half a minute.
         """
-        self.hear_reader()
+        self.receive_reader_heartbeat()
         self.assertFalse(self.news.seen().is_reading)
 
-    def hear_reader(self) -> None:
+    def receive_reader_heartbeat(self) -> None:
         self.news.on_seen(codec.Seen(7, 8, is_reading=True))
         self.news._look()
 
-    def hurries_counts(self) -> list[int]:
-        return [one.hurries_count for one in (self.routes, self.servers)]
+    def reopenings_counts(self) -> list[int]:
+        return [one.reopenings_count for one in (self.routes, self.servers)]
 
 
-class HurryTest(unittest.TestCase):
-    def test_an_answer_that_is_on_its_way_is_awaited(self) -> None:
-        """A gateway on a slow link never gets a large change.
+class WatchReopenTest(unittest.TestCase):
+    def test_answer_in_transit_is_not_interrupted(self) -> None:
+        """Guards against a large change that never arrives over a slow link.
 
-        Symptom: routes in force seconds late on a whole fleet, while its
-        links are full. Sequence: a document of 1,700 routes takes most of a
-        second to come; peers tell of it meanwhile. Cause: the watch counted
-        as left without a word, was opened again, and the document was sent
-        from its beginning each time.
+        With saturated links, routes arrived into force seconds late on a whole
+        fleet. A document of 1,700 routes takes most of a second to transfer,
+        and peers report the change meanwhile. The watch was taken for dropped
+        and reopened, and each time the transfer started again.
         """
         routes = self.follow(watch.Patience(30.0, 30.0))
         builders_platform.wait_until(lambda: False, limit_s=0.4)
@@ -202,10 +200,10 @@
             gevent.sleep(0.2)
             calls_count = len(self.store.calls)
             watched.hurry()
-        came = builders_platform.wait_until(
+        arrived = builders_platform.wait_until(
             lambda: _version(routes) == 4, limit_s=0.6
         )
-        self.assertTrue(came)
+        self.assertTrue(arrived)
         self.assertLessEqual(len(self.store.calls), calls_count + 1)
 
     def setUp(self) -> None:
@@ -219,7 +217,7 @@
         self.store.put(documents.ROUTES_KEY, value)
 
     def follow(self, patience: watch.Patience) -> follower.RouteFollower:
-        """Returns routes that are followed, once they are known."""
+        """Returns a started follower that has received the routes."""
         client = build.store_client(self.store.port, wait_s=30.0)
         self.addCleanup(client.close)
         routes = follower.RouteFollower(
@@ -230,24 +228,25 @@
         builders_platform.wait_until(lambda: routes.current() is not None)
         return routes
 
-    def hurry(self, routes: follower.RouteFollower) -> None:
-        """Hurries the watch and checks that version 4 comes."""
+    def reopen_and_check(self, routes: follower.RouteFollower) -> None:
+        """Reopens the watch and checks that version 4 arrives."""
         watched = routes.watched()
         assert watched is not None
         self.assertLess(watched.seen_revision, self.store.store.revision)
         watched.hurry()
-        came = builders_platform.wait_until(
+        arrived = builders_platform.wait_until(
             lambda: _version(routes) == 4, limit_s=1.5
         )
-        self.assertTrue(came)
+        self.assertTrue(arrived)
         self.assertEqual(watched.changed_revision, self.store.store.revision)
 
-    def test_a_watch_that_pauses_goes_on_when_hurried(self) -> None:
-        """A gateway is the last to hear of a change after an outage.
+    def test_reopening_interrupts_a_pause_between_calls(self) -> None:
+        """Guards against a gateway that lags behind its peers after an outage.
 
-        Sequence: the service refuses calls for long, the pause behind them
-        has grown; it comes back, a peer sees a change. Cause: only a waiting
-        call was broken off, not a pause.
+        The service refuses calls for a long time, so that the pause between
+        calls has grown. It recovers, and a peer sees a change. Reopening
+        interrupted only a waiting call, not a pause, so the gateway was the
+        last to learn of the change.
         """
         with mock.patch.object(
             http_calls, "full_jitter_s", lambda count, **_: 30.0 * count
@@ -261,19 +260,19 @@
             gevent.sleep(0.3)
             self.store.faults = {}
             self.put(4)
-            self.hurry(routes)
+            self.reopen_and_check(routes)
 
-    def test_a_watch_left_without_a_word_goes_on_when_hurried(self) -> None:
-        """A gateway serves old routes until its watch ends.
+    def test_reopening_recovers_a_silently_dropped_watch(self) -> None:
+        """Guards against a gateway that serves old routes until its watch ends.
 
-        Sequence: the service leaves a watch that waits; a change is made.
-        Cause: nothing but its end opened the watch again.
+        The service drops a waiting watch, and a change is made. Only the end of
+        the watch caused it to be reopened.
         """
         routes = self.follow(watch.Patience(30.0, 30.0))
         builders_platform.wait_until(lambda: False, limit_s=0.4)
         self.store.hang_watches()
         self.put(4)
-        self.hurry(routes)
+        self.reopen_and_check(routes)
 
 
 def _version(routes: follower.RouteFollower) -> int:
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -1,4 +1,7 @@
-"""Gateways of which a few read the store for all: real sockets, one process."""
+"""Tests gateways of which a few read the store on behalf of all.
+
+The gateways use real sockets and run in one process.
+"""
 
 import itertools
 import unittest
@@ -16,18 +19,18 @@
 
 ZONE = "zone-a"
 GATEWAYS_COUNT = 5
-_PLAYS_COUNT = 3
+_REPETITIONS_COUNT = 3
 
 IN_FORCE_S = 3.0
-"""What operators are promised of a change that is made while the store leaves
-watches without a word."""
+"""Time within which operators are promised that a change is in force if it is
+made while the store silently drops watches."""
 
 IN_FORCE_WITHOUT_READERS_S = 5.0
-"""The same while readers are gone, or not heard, from the same moment on."""
+"""The same bound if the readers stop or become unreachable at that moment."""
 
 
 class _Gateway:
-    """What a gateway runs to hear of changes of the routes."""
+    """The parts of a gateway that follow changes of the routes."""
 
     def __init__(self, store_port: int, number: int):
         self.address = fleet.Address("127.0.0.1", _free_port())
@@ -91,7 +94,7 @@
                 limit_s=10.0,
             )
         )
-        # Calls that were to wait briefly are over by then.
+        # Waits until the calls with a short wait have ended.
         gevent.sleep(watch.BRIEF.silence_s + 0.5)
 
     def waiting_long(self) -> list[_Gateway]:
@@ -124,11 +127,11 @@
     def watch_calls_count(self) -> int:
         return sum("/kv-watch" in str(call) for call in self.store.calls)
 
-    def test_only_readers_open_their_watches_again(self) -> None:
-        """Calls to the store grow with the fleet.
+    def test_only_readers_reopen_their_watches(self) -> None:
+        """Guards against calls to the store that grow with the fleet.
 
-        Symptom: every gateway opens its watches every two seconds while
-        nothing changes. Cause: each looked for itself.
+        Every gateway reopened its watches every two seconds while nothing
+        changed, because each read the store for itself.
         """
         before_count = self.watch_calls_count()
         quiet_s = 6.0
@@ -138,29 +141,29 @@
         self.assertLess(opened_count, 0.6 * by_all_count)
         self.assertGreaterEqual(opened_count, 2 * directory.READERS_COUNT)
 
-    def test_a_change_that_no_watch_brought_comes_from_a_reader(self) -> None:
-        """A whole fleet serves old routes for half a minute.
+    def test_change_missed_by_all_watches_comes_from_a_reader(self) -> None:
+        """Guards against a fleet that serves old routes for half a minute.
 
-        Sequence: the store drops its history and leaves every waiting watch
-        without a word; a change is made. Cause: the watches wait long, and
-        nobody looks.
+        The store discards its history and silently drops every waiting watch;
+        then a change is made. The watches wait long, and no gateway reads the
+        store.
         """
         self.store.hang_watches()
         self.wait_for(self.put(), self.gateways, IN_FORCE_S)
 
-    def test_a_change_comes_though_the_only_reader_has_just_asked(
+    def test_change_arrives_if_the_only_reader_has_just_asked(
         self,
     ) -> None:
-        """Gateways refuse proper requests by old routes.
+        """Guards against valid requests refused because of old routes.
 
-        The store turns one reader away, and leaves the watches just behind
-        the other one's call.
+        The store rejects one reader, and drops the watches just after the
+        other reader's call.
         """
         readers = [one for one in self.gateways if not one.waits_long]
         readers[0].routes.close()
         left = [one for one in self.gateways if one is not readers[0]]
-        for _ in range(_PLAYS_COUNT):
-            # What was collecting a change is over by then.
+        for _ in range(_REPETITIONS_COUNT):
+            # Waits until the calls that were receiving a change have ended.
             gevent.sleep(3.0)
             before_count = self.watch_calls_count()
             builders_platform.wait_until(
@@ -170,12 +173,12 @@
             self.store.hang_watches()
             self.wait_for(self.put(), left, IN_FORCE_S)
 
-    def test_a_change_comes_though_the_readers_are_gone(self) -> None:
-        """A fleet that lost its readers serves old routes for half a minute.
+    def test_change_arrives_if_the_readers_have_stopped(self) -> None:
+        """Guards against old routes for half a minute after losing the readers.
 
-        Sequence: the readers are killed; the store leaves the others' watches
-        without a word in the same moment, and a change is made. Cause: the
-        others wait for news of readers that are gone.
+        The readers are killed; the store silently drops the others' watches at
+        the same moment, and a change is made. The others kept waiting for
+        notices of the stopped readers.
         """
         left = self.waiting_long()
         for one in self.gateways:
@@ -186,17 +189,17 @@
         self.store.hang_watches()
         self.wait_for(self.put(), left)
 
-    def test_a_change_reaches_whom_the_network_cut_from_peers(self) -> None:
-        """A gateway that hears nobody serves old routes.
+    def test_change_reaches_a_gateway_partitioned_from_its_peers(self) -> None:
+        """Guards against old routes on a gateway that receives no notices.
 
-        Sequence: one gateway's peers no longer reach it; the store leaves its
-        watch without a word, and a change is made. Cause: it went on waiting
-        for news of readers that it could not hear.
+        One gateway's peers can no longer reach it; the store silently drops its
+        watch, and a change is made. It kept waiting for notices of readers that
+        could not reach it.
         """
-        deaf = self.waiting_long()[0]
-        deaf.notices.close()
+        isolated = self.waiting_long()[0]
+        isolated.notices.close()
         self.store.hang_watches()
-        self.wait_for(self.put(), [deaf])
+        self.wait_for(self.put(), [isolated])
 
 
 def _free_port() -> int:
