--- a/src/mulberrywharf/peers/__init__.py
+++ b/src/mulberrywharf/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other of the work that they place."""
+"""Discovery of other gateways and the messages exchanged with them."""
--- a/src/mulberrywharf/peers/queue.capnp
+++ b/src/mulberrywharf/peers/queue.capnp
@@ -1,6 +1,6 @@
 @0xd3a6f21c88b04e97;
-# Datagrams on an engine's queue, to and from the gateway that keeps it.
-# queue_codec.py turns them into NamedTuples.
+# Datagrams about an engine's queue, to and from the gateway that owns it.
+# queue_codec.py maps them to NamedTuples.
 
 struct QueueMessage {
   union {
@@ -12,9 +12,9 @@
 
 struct Ask {
   number @0 :UInt32;         # repeated in the answer
-  priority @1 :UInt8;        # of the prompt that is to be placed
-  engines @2 :List(UInt32);  # hashes of engines and their starts
-  parts @3 :List(UInt64);    # long shared parts of the prompt, in order
+  priority @1 :UInt8;        # of the prompt to be placed; 0 is the most urgent
+  engines @2 :List(UInt32);  # hashes of engine ids and starts
+  parts @3 :List(UInt64);    # keys of the prompt's long shared parts, in order
 }
 
 struct Waits {
@@ -24,20 +24,20 @@
 
 struct Wait {
   engine @0 :UInt32;
-  waitMs @1 :UInt16;   # until the engine reads the prompt
-  knownMs @2 :UInt16;  # for how long all of the engine's work is counted
-  heldCount @3 :UInt8; # of the prompt's parts, from the first one on
+  waitMs @1 :UInt16;   # until the engine starts the prompt's prefill
+  knownMs @2 :UInt16;  # time for which all of the engine's work was counted
+  heldCount @3 :UInt8; # leading parts of the prompt that the engine holds
 }
 
 struct Work {
   engine @0 :UInt32;
-  sender @1 :UInt32;    # names the start of the sending process
-  number @2 :UInt32;    # the sender's for the prompt
+  sender @1 :UInt32;    # identifies the start of the sending process
+  number @2 :UInt32;    # given to the prompt by the sender
   priority @3 :UInt8;
   matter @4 :Matter;
-  workUs @5 :UInt32;    # what reading takes, of placed ones
-  parts @6 :List(Part); # long shared parts, in order, of placed ones
-  ownTokens @7 :UInt32; # its other tokens
+  workUs @5 :UInt32;    # duration of the prefill; only if placed
+  parts @6 :List(Part); # long shared parts, in order; only if placed
+  ownTokens @7 :UInt32; # other tokens of the prompt; only if placed
 
   enum Matter {
     placed @0;
@@ -47,6 +47,6 @@
 }
 
 struct Part {
-  key @0 :UInt64;         # hash of the part and all before it
+  key @0 :UInt64;         # hash of the part and all parts before it
   tokens @1 :UInt32;
 }
--- a/src/mulberrywharf/peers/queue_codec.py
+++ b/src/mulberrywharf/peers/queue_codec.py
@@ -1,4 +1,4 @@
-"""Messages on engines' queues to datagrams and back, by Cap'n Proto."""
+"""Encodes and decodes messages about engines' queues with Cap'n Proto."""
 
 import pathlib
 from functools import singledispatch
@@ -11,10 +11,10 @@
 from mulberrywharf.policy import part_caches
 
 ENGINES_LIMIT_COUNT = 16
-"""Engines in one question; a gateway keeps the queues of a few."""
+"""Maximum number of engines in one question; a gateway owns a few queues."""
 
 PARTS_LIMIT_COUNT = 4
-"""Parts of one prompt in one message, as many as notices tell."""
+"""Maximum number of a prompt's parts in one message, the same as in notices."""
 
 _UINT16_LIMIT = 0xFFFF
 _MS_PER_S = 1000.0
@@ -24,20 +24,21 @@
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("queue.capnp")))
 
 WorkMatter = Literal["placed", "read", "withdrawn"]
-"""What became of a prompt; ``withdrawn`` ones will not be read."""
+"""State change of a prompt: it was sent to the engine (``placed``), its prefill
+was completed (``read``) or will not be completed (``withdrawn``)."""
 
 _MATTERS: tuple[WorkMatter, ...] = ("placed", "read", "withdrawn")
-"""In the order of their numbers in the schema."""
+"""Ordered by their numbers in the schema."""
 
 
 class Ask(NamedTuple):
-    """How long would a prompt wait at these engines, and what do they hold?
+    """Asks how long a prompt would wait at engines and which parts they hold.
 
     Attributes:
-        number: Repeated in the answer.
-        priority: Of the prompt, 0 is read first.
-        engine_keys: See ``codec.key_of_server``.
-        part_keys: Of the prompt's long shared parts, in order.
+        number: Number of the question, repeated in the answer.
+        priority: Priority of the prompt; 0 is the most urgent.
+        engine_keys: Keys of the engines, see ``codec.key_of_server``.
+        part_keys: Keys of the prompt's long shared parts, in order.
     """
 
     number: int
@@ -50,12 +51,11 @@
     """How long a prompt would wait at one engine.
 
     Attributes:
-        engine_key: See ``codec.key_of_server``.
-        wait_s: Until the engine reads it.
-        known_s: For how long all of the engine's work has been counted. What
-            was placed before that is not in ``wait_s``.
-        held_count: How many of the prompt's parts the engine holds, from the
-            first one on.
+        engine_key: Key of the engine, see ``codec.key_of_server``.
+        wait_s: Time until the engine starts its prefill, in seconds.
+        known_s: Time in seconds for which all work of the engine has been
+            counted. Earlier placements are not included in ``wait_s``.
+        held_count: Number of the prompt's leading parts that the engine holds.
     """
 
     engine_key: int
@@ -65,11 +65,11 @@
 
 
 class Waits(NamedTuple):
-    """The answer to a question, with the engines that are known.
+    """The answer to a question.
 
     Attributes:
-        number: Of the question.
-        waits: One of each engine.
+        number: Number of the question.
+        waits: One wait for each engine.
     """
 
     number: int
@@ -77,17 +77,17 @@
 
 
 class Work(NamedTuple):
-    """What became of a prompt at an engine.
+    """Reports a state change of a prompt at an engine.
 
     Attributes:
-        engine_key: See ``codec.key_of_server``.
-        sender: Names the start of the process that placed it.
-        number: The sender's for the prompt.
-        matter: What became of it.
-        priority: Of the prompt, 0 is read first.
-        work_s: What reading it takes; of placed ones only.
-        parts: Its long shared parts, in order; of placed ones only.
-        own_tokens: Its other tokens; of placed ones only.
+        engine_key: Key of the engine, see ``codec.key_of_server``.
+        sender: Identifies the start of the process that placed the prompt.
+        number: Number that the sender gave the prompt.
+        matter: The state change.
+        priority: Priority of the prompt; 0 is the most urgent.
+        work_s: Duration of its prefill in seconds; only if placed.
+        parts: Its long shared parts, in order; only if placed.
+        own_tokens: Number of its other tokens; only if placed.
     """
 
     engine_key: int
@@ -104,18 +104,18 @@
 
 
 def encode(message: QueueMessage) -> bytes:
-    """Returns a message as the bytes of a datagram."""
+    """Returns the body of the datagram that carries a message."""
     wire = _SCHEMA.QueueMessage.new_message()
-    _fill(message, wire)
+    _encode_into(message, wire)
     return bytes(wire.to_bytes_packed())
 
 
 @singledispatch
-def _fill(message: Any, wire: Any) -> None:
-    raise TypeError(f"no message on queues: {message!r}")
+def _encode_into(message: Any, wire: Any) -> None:
+    raise TypeError(f"not a queue message: {message!r}")
 
 
-@_fill.register
+@_encode_into.register
 def _(message: Ask, wire: Any) -> None:
     ask = wire.init("ask")
     ask.number = message.number
@@ -124,19 +124,19 @@
     ask.parts = list(message.part_keys[:PARTS_LIMIT_COUNT])
 
 
-@_fill.register
+@_encode_into.register
 def _(message: Waits, wire: Any) -> None:
     answer = wire.init("waits")
     answer.number = message.number
     waits = answer.init("waits", len(message.waits))
-    for told, wait in zip(waits, message.waits, strict=True):
-        told.engine = wait.engine_key
-        told.waitMs = _to_ms(wait.wait_s)
-        told.knownMs = _to_ms(wait.known_s)
-        told.heldCount = wait.held_count
+    for wire_wait, wait in zip(waits, message.waits, strict=True):
+        wire_wait.engine = wait.engine_key
+        wire_wait.waitMs = _to_ms(wait.wait_s)
+        wire_wait.knownMs = _to_ms(wait.known_s)
+        wire_wait.heldCount = wait.held_count
 
 
-@_fill.register
+@_encode_into.register
 def _(message: Work, wire: Any) -> None:
     work = wire.init("work")
     work.engine = message.engine_key
@@ -148,11 +148,13 @@
     work.ownTokens = message.own_tokens
     parts = message.parts[:PARTS_LIMIT_COUNT]
     if not parts:
-        # Without a list it takes no pointer.
+        # Omitting the list saves its pointer.
         return
-    for told, part in zip(work.init("parts", len(parts)), parts, strict=True):
-        told.key = part.key
-        told.tokens = part.tokens
+    for wire_part, part in zip(
+        work.init("parts", len(parts)), parts, strict=True
+    ):
+        wire_part.key = part.key
+        wire_part.tokens = part.tokens
 
 
 def _to_ms(seconds: float) -> int:
@@ -160,10 +162,10 @@
 
 
 def decode(datagram: bytes) -> Result[QueueMessage, errors.BadFrameError]:
-    """Reads the bytes of a datagram.
+    """Decodes the body of a datagram.
 
     Returns:
-        The message, or why it is none.
+        The message, or an error if the bytes are not a valid message.
     """
     try:
         wire = _SCHEMA.QueueMessage.from_bytes_packed(datagram)
@@ -174,7 +176,7 @@
             return Ok(_decode_waits(wire.waits))
         return Ok(_decode_work(wire.work))
     except (capnp.KjException, ValueError) as error:
-        return Err(errors.BadFrameError(f"no message on queues: {error}"))
+        return Err(errors.BadFrameError(f"not a queue message: {error}"))
 
 
 def _decode_ask(wire: Any) -> Ask:
@@ -188,18 +190,18 @@
         wire.number,
         tuple(
             EngineWait(
-                told.engine,
-                told.waitMs / _MS_PER_S,
-                told.knownMs / _MS_PER_S,
-                told.heldCount,
+                wait.engine,
+                wait.waitMs / _MS_PER_S,
+                wait.knownMs / _MS_PER_S,
+                wait.heldCount,
             )
-            for told in wire.waits
+            for wait in wire.waits
         ),
     )
 
 
 def _decode_work(wire: Any) -> Work:
-    # By its number: the library raises on one that the schema doesn't name.
+    # Uses the number, as the library raises if the schema has no name for it.
     number = wire.matter.raw
     if number >= len(_MATTERS):
         raise ValueError(f"unknown matter {number}")
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -1,19 +1,20 @@
-"""One gateway keeps the queue of an engine; the others ask it.
-
-Telling every gateway of every placement costs bytes with the square of their
-number. Beyond some twenty of them notices wait for their bytes, a second and
-more, and queues of a few tenths of a second are known when they are over:
-gateways send to engines that look idle and are not, and half of all long
-prompts come late. Here a placement is told to one gateway, the owner of the
-engine's queue, and who has a prompt asks the owners of the best engines. That
-costs the same whatever the number of gateways.
-
-Owners are found by rendezvous hashing over the gateways of the engine's
-availability zone, without an election. Nothing that must hold depends on them.
-An owner that doesn't answer within some milliseconds, because it is gone,
-frozen or cut off, leaves the asker with what it believes by itself; one that
-has just become it says for how long it has counted. Two gateways that are both
-taken for the owner know a part of the queue each.
+"""Tracks each engine's queue at one gateway, its owner, which the others ask.
+
+Sending each placement to every gateway costs bytes in proportion to the square
+of their number. With more than about 20 gateways, notices wait a second or more
+for the byte budget, and queues of a few tenths of a second are over before
+others learn of them. Gateways then send to engines that look idle but are not,
+and half of all long prompts are answered late. Here, a placement is reported
+only to the owner of the engine's queue, and a gateway that has a prompt asks
+the owners of the best engines. The cost of this does not depend on the number
+of gateways.
+
+Owners are chosen by rendezvous hashing over the gateways of the engine's
+availability zone, without an election. Correctness never depends on them. If an
+owner does not answer within a few milliseconds because it has stopped, hangs or
+is partitioned, the asking gateway uses its own estimate. A new owner reports
+for how long it has been counting. If two gateways are both taken for the owner,
+each knows a part of the queue.
 """
 
 import collections
@@ -31,36 +32,39 @@
 from mulberrywharf.policy import part_caches, reading_queue
 
 REPLY_TIMEOUT_S = 0.02
-"""How long an answer is awaited. A way between availability zones and back
-takes some 2 ms, and a gateway that is busy some ms more; callers wait some
-hundred for their first token."""
+"""Maximum time to wait for answers. A round trip between availability zones
+takes about 2 ms, and a busy gateway a few ms more; callers wait some 100 ms for
+their first token."""
 
 QUEUE_COMPLETE_AFTER_S = 1.0
-"""An owner that has counted for less is believed only where it knows of more
-than the asker: longer queues are seldom, as callers are refused then."""
+"""Counting time after which an owner's wait is complete. A wait from an owner
+that has counted for less is used only if it exceeds the asking gateway's own
+estimate. Queues longer than this are rare, because callers are refused then."""
 
 PARTS_COMPLETE_AFTER_S = 10.0
-"""An owner that has counted for so long is believed to know of all parts that
-an engine holds: those of before were used since, or make room soon."""
+"""Counting time after which an owner is assumed to know all parts that an
+engine holds: older parts have been used since, or will be evicted soon."""
 
 IDLE_QUEUE_TIMEOUT_S = 10.0
-"""An engine that got no work for so long has no queue: what is kept of it is
-dropped, and counted anew."""
+"""Time without new work after which an engine's queue is assumed to be empty.
+The queue is then dropped, and counting starts again."""
 
 ENGINES_PER_OWNER_COUNT = 3
-"""Engines whose queues one gateway keeps, on the mean. A question costs about
-the same for one engine or for a few, and the best of eight engines that are
-known is far better than the best of three."""
+"""Average number of engines whose queues one gateway owns. A question about a
+few engines costs about the same as one about a single engine, and the best of
+eight known engines is far better than the best of three."""
 
 ASKED_COUNT = 3
-"""Owners that are asked for one prompt while there are bytes for it."""
+"""Number of owners that are asked for one prompt within the byte budget."""
 
 ASKED_IN_DEBT_COUNT = 1
-"""The same while no bytes are left: the best engine's queue may be long."""
+"""The same while the byte budget is exhausted. One owner is still asked,
+because the best engine's queue may be long."""
 
 QUEUES_LIMIT_COUNT = 1_000
-"""Queues that are kept at the most, more than any fleet has engines: a gateway
-that asks for engines that don't exist must not fill this one's memory."""
+"""Maximum number of queues in memory, more than any fleet has engines. It
+prevents a gateway that asks about nonexistent engines from filling the memory
+of this one."""
 
 _NUMBERS_COUNT = 2**32
 
@@ -71,15 +75,14 @@
 
 
 class ToldWait(NamedTuple):
-    """How long a prompt would wait at an engine, by what its owner says.
+    """The wait that the owner of an engine's queue reported for a prompt.
 
     Attributes:
-        wait_s: Until the engine reads it.
-        is_whole: Whether the owner has counted all that may still wait there.
-        held_count: How many of the prompt's parts the engine holds, from the
-            first one on.
-        knows_parts: Whether the owner has counted for so long that it knows
-            of all parts that are still held.
+        wait_s: Time until the engine starts its prefill, in seconds.
+        is_whole: Whether the owner has counted all work that may still wait.
+        held_count: Number of the prompt's leading parts that the engine holds.
+        knows_parts: Whether the owner has counted for long enough to know all
+            parts that the engine still holds.
     """
 
     wait_s: float
@@ -89,11 +92,11 @@
 
 
 class Ticket(NamedTuple):
-    """A prompt as it was told to the owner of its engine's queue.
+    """Identifies a prompt that was reported to the owner of its engine's queue.
 
     Attributes:
         server: The engine.
-        number: This gateway's for the prompt.
+        number: Number that this gateway gave the prompt.
     """
 
     server: fleet.Server
@@ -101,7 +104,7 @@
 
 
 class Parts(Protocol):
-    """What this gateway knows of the parts that engines hold."""
+    """Prompt parts that engines hold, as far as this gateway knows."""
 
     def note_counted(
         self,
@@ -109,11 +112,11 @@
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        """Takes in what another gateway's prompt leaves at an engine."""
+        """Records what another gateway's prompt leaves at an engine."""
         ...
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
-        """Returns how many of a prompt's parts an engine holds."""
+        """Returns how many of a prompt's leading parts an engine holds."""
         ...
 
 
@@ -122,7 +125,7 @@
 
     @property
     def tells_all(self) -> bool:
-        """Whether all gateways are told of all work."""
+        """Whether all work is reported to all gateways (a full mesh)."""
         ...
 
     def owner(
@@ -132,12 +135,12 @@
         owners_count: int,
         kind: str,
     ) -> fleet.Address | None:
-        """Returns who keeps an engine's queue, None for this gateway."""
+        """Returns the owner of an engine's queue, None for this gateway."""
         ...
 
 
 class _PendingQuestion:
-    """A question that is under way."""
+    """A question that still waits for answers."""
 
     def __init__(self, owners: frozenset[fleet.Address]):
         self.owners = set(owners)
@@ -146,7 +149,7 @@
 
 
 class QueueOwners:
-    """Asks and tells owners of queues, and is one of them."""
+    """Asks the owners of queues, reports to them, and is an owner itself."""
 
     def __init__(
         self,
@@ -155,13 +158,13 @@
         sender: int,
         system_clock: clock.Clock,
     ):
-        """Makes it; hooks it to the socket, whose owner starts it.
+        """Creates it and registers it with the socket.
 
         Args:
             directory: The other gateways.
-            socket: Carries the messages.
-            sender: Names this start of the process.
-            system_clock: Measures queues.
+            socket: Carries the messages; the caller starts it.
+            sender: Identifies this start of the process.
+            system_clock: Measures the queues.
         """
         self._directory = directory
         self._socket = socket
@@ -175,19 +178,19 @@
         socket.on_datagram(b"q", self._on_datagram)
 
     def keep_parts(self, parts: Parts) -> None:
-        """Sets who knows of the parts that engines hold."""
+        """Sets the record of the parts that engines hold."""
         self._parts = parts
 
     @property
     def is_used(self) -> bool:
-        """Whether the fleet is so large that owners keep the queues."""
+        """Whether the fleet is so large that owners track the queues."""
         return not self._directory.tells_all
 
     def follow(self, known: Sequence[fleet.Server]) -> None:
-        """Takes in the engines; owners share those of a zone and a role.
+        """Sets the engines; the owners are chosen for each zone and role.
 
-        One question tells of engines of one role, between which most prompts
-        choose.
+        A question then covers engines of one role, which are the alternatives
+        for most prompts.
         """
         counts = collections.Counter(
             (server.availability_zone, server.role)
@@ -200,7 +203,7 @@
         }
 
     def owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Returns who keeps an engine's queue, None for this gateway."""
+        """Returns the owner of an engine's queue, None for this gateway."""
         kind = server.availability_zone, server.role
         return self._directory.owner(
             codec.key_of_server(server.start),
@@ -211,7 +214,7 @@
 
     @property
     def asked_count(self) -> int:
-        """Owners that may be asked for one prompt now."""
+        """Number of owners that may be asked for one prompt now."""
         has_bytes = self._socket.budget.level > 0
         return ASKED_COUNT if has_bytes else ASKED_IN_DEBT_COUNT
 
@@ -225,11 +228,12 @@
 
         Args:
             engines: The engines.
-            priority: Of the prompt, 0 is read first.
-            part_keys: Of its long shared parts, in order.
+            priority: Priority of the prompt; 0 is the most urgent.
+            part_keys: Keys of its long shared parts, in order.
 
         Returns:
-            What came in time; other engines' owners did not answer.
+            The waits that arrived in time. Engines are missing if their owner
+            did not answer.
         """
         start_by_key = {
             codec.key_of_server(engine.start): engine.start
@@ -259,14 +263,14 @@
         parts: tuple[part_caches.HeldPart, ...] = (),
         own_tokens: int = 0,
     ) -> Ticket:
-        """Tells that a prompt was sent to an engine.
+        """Reports that a prompt was sent to an engine.
 
         Args:
             server: The engine.
-            work_s: What reading the prompt takes.
-            priority: 0 is read first.
+            work_s: Duration of the prompt's prefill in seconds.
+            priority: Priority of the prompt; 0 is the most urgent.
             parts: Its long shared parts, in order.
-            own_tokens: Its other tokens.
+            own_tokens: Number of its other tokens.
         """
         number = next(self._numbers) % _NUMBERS_COUNT
         ticket = Ticket(server, number)
@@ -283,11 +287,11 @@
         return ticket
 
     def read(self, ticket: Ticket) -> None:
-        """Tells that an engine has read a prompt."""
+        """Reports that an engine has completed a prompt's prefill."""
         self._report(ticket, self._new_work(ticket, "read"))
 
     def withdrawn(self, ticket: Ticket) -> None:
-        """Tells that an engine will not read a prompt."""
+        """Reports that an engine will not complete a prompt's prefill."""
         self._report(ticket, self._new_work(ticket, "withdrawn"))
 
     def _keys_by_owner(
@@ -365,8 +369,8 @@
         now_s = self._clock.monotonic_s()
         found = []
         for key in engine_keys:
-            # Whoever asks takes this gateway for the owner, and will tell it
-            # of what is placed: from now on all is counted here.
+            # The asking gateway takes this one for the owner and will report
+            # its placements here, so all work is counted from now on.
             queue = self._get_or_create_queue(key, now_s)
             found.append(
                 queue_codec.EngineWait(
@@ -387,7 +391,7 @@
         self, waits: queue_codec.Waits, source: fleet.Address
     ) -> None:
         question = self._questions.get(waits.number)
-        # An answer that nobody waits for came too late.
+        # The question is missing if the answer arrived too late.
         if question is None or source not in question.owners:
             return
         question.owners.discard(source)
@@ -422,9 +426,9 @@
 
     def _drop_idle_queues(self, now_s: float) -> None:
         kept = sorted(
-            (one.idle_s(now_s), key)
-            for key, one in self._queues.items()
-            if one.idle_s(now_s) < IDLE_QUEUE_TIMEOUT_S
+            (queue.idle_s(now_s), key)
+            for key, queue in self._queues.items()
+            if queue.idle_s(now_s) < IDLE_QUEUE_TIMEOUT_S
         )
         self._queues = {
             key: self._queues[key] for _, key in kept[: QUEUES_LIMIT_COUNT - 1]
--- a/tests/test_queue_owners.py
+++ b/tests/test_queue_owners.py
@@ -1,4 +1,4 @@
-"""Who keeps the queue of an engine, and how the others ask."""
+"""Tests the owners of engines' queues and the questions to them."""
 
 import random
 import unittest
@@ -40,8 +40,8 @@
 )
 
 
-ABORTING = bytes.fromhex("010650010101ba10031103015109020107a086ae")
-"""A question with some bytes changed, on which the library aborts."""
+ABORTING_DATAGRAM = bytes.fromhex("010650010101ba10031103015109020107a086ae")
+"""A question with some bytes changed, which makes the library abort."""
 
 
 class CodecTest(unittest.TestCase):
@@ -51,11 +51,11 @@
                 decoded = queue_codec.decode(queue_codec.encode(message))
                 self.assertEqual(decoded.unwrap(), message)
 
-    def test_damaged_datagrams_are_errors(self) -> None:
-        """One damaged datagram ends a gateway.
+    def test_damaged_datagrams_do_not_raise(self) -> None:
+        """Guards against a damaged datagram that terminates a gateway.
 
-        Sequence: bytes are cut or changed on the way. Cause: the reader of
-        the library aborts or raises where nobody expects it.
+        If bytes are truncated or changed in transit, the library's reader may
+        abort or raise an unexpected exception.
         """
         for message in MESSAGES:
             whole = queue_codec.encode(message)
@@ -67,32 +67,32 @@
                 queue_codec.decode(bytes(changed))
         self.assertIsInstance(queue_codec.decode(b""), Err)
 
-    def test_numbers_beyond_the_wire_are_cut(self) -> None:
+    def test_numbers_outside_the_wire_range_are_clamped(self) -> None:
         wait = queue_codec.EngineWait(3, 1e6, -1.0)
         sent = queue_codec.encode(queue_codec.Waits(7, (wait,)))
-        (told,) = queue_codec.decode(sent).unwrap().waits  # type: ignore[union-attr]
-        self.assertGreater(told.wait_s, 60.0)
-        self.assertEqual(told.known_s, 0.0)
+        (decoded,) = queue_codec.decode(sent).unwrap().waits  # type: ignore[union-attr]
+        self.assertGreater(decoded.wait_s, 60.0)
+        self.assertEqual(decoded.known_s, 0.0)
 
 
 class Peers:
-    """Gateways that tests fill; the one named keeps all queues."""
+    """Gateways with given IPs; ``queue_owner`` owns all queues."""
 
     tells_all = False
 
     def __init__(self) -> None:
-        self.keeper: fleet.Address | None = None
+        self.queue_owner: fleet.Address | None = None
         self.known_ips = {"127.0.0.1"}
 
     def knows(self, ip: str) -> bool:
         return ip in self.known_ips
 
     def owner(self, *_: object) -> fleet.Address | None:
-        return self.keeper
+        return self.queue_owner
 
 
 class Parts:
-    """Takes in what prompts leave at engines; all parts are held."""
+    """Records what prompts leave at engines; engines hold all parts."""
 
     def __init__(self) -> None:
         self.counted: list[tuple[object, ...]] = []
@@ -107,9 +107,9 @@
 class QueueOwnersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.peers = Peers()
-        self.keeper_at = self.free_address()
-        self.keeper = self.start(self.keeper_at, Peers(), 1)
-        self.peers.keeper = self.keeper_at
+        self.owner_at = self.free_address()
+        self.owner = self.start(self.owner_at, Peers(), 1)
+        self.peers.queue_owner = self.owner_at
         self.asker_at = self.free_address()
         self.asker = self.start(self.asker_at, self.peers, 2)
 
@@ -133,80 +133,81 @@
     ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
         return (asker or self.asker).waits([ENGINE, OTHER], 2)
 
-    def told_s(self, asker: queue_owners.QueueOwners | None = None) -> float:
-        told = self.waits(asker).get(ENGINE.start)
-        return told.wait_s if told is not None else -1.0
+    def wait_s(self, asker: queue_owners.QueueOwners | None = None) -> float:
+        wait = self.waits(asker).get(ENGINE.start)
+        return wait.wait_s if wait is not None else -1.0
 
     def assert_answers(self) -> None:
-        """Waits until the keeper has read all that was sent, and answers."""
+        """Waits until the owner has processed all datagrams and answers."""
         self.assertTrue(
             builders_platform.wait_until(lambda: ENGINE.start in self.waits())
         )
-        self.assertEqual(self.told_s(), 0.0)
+        self.assertEqual(self.wait_s(), 0.0)
 
-    def test_what_one_placed_another_is_told(self) -> None:
-        """Queues of a few tenths of a second are known when they are over.
+    def test_wait_includes_placements_of_other_gateways(self) -> None:
+        """Guards against learning of short queues only when they are over.
 
-        Sequence: a gateway places a prompt; another one has a prompt some ms
-        later. Cause: notices to all wait for their bytes for a second.
+        A gateway places a prompt, and another one has a prompt a few ms later.
+        Notices to all gateways wait a second for the byte budget, longer than
+        a queue of a few tenths of a second exists.
         """
         third = self.start(self.free_address(), self.peers, 3)
         self.asker.placed(ENGINE, 0.4, 2)
         self.assertTrue(
-            builders_platform.wait_until(lambda: self.told_s(third) > 0.1)
+            builders_platform.wait_until(lambda: self.wait_s(third) > 0.1)
         )
         self.assertTrue(
             builders_platform.wait_until(lambda: OTHER.start in self.waits())
         )
         self.assertEqual(self.waits()[OTHER.start].wait_s, 0.0)
 
-    def test_what_was_read_or_withdrawn_counts_no_more(self) -> None:
+    def test_read_and_withdrawn_prompts_are_no_longer_counted(self) -> None:
         for end in (self.asker.read, self.asker.withdrawn):
             with self.subTest(end=end.__name__):
                 ticket = self.asker.placed(ENGINE, 0.4, 2)
                 self.assertTrue(
-                    builders_platform.wait_until(lambda: self.told_s() > 0.1)
+                    builders_platform.wait_until(lambda: self.wait_s() > 0.1)
                 )
                 end(ticket)
                 self.assertTrue(
-                    builders_platform.wait_until(lambda: self.told_s() == 0.0)
+                    builders_platform.wait_until(lambda: self.wait_s() == 0.0)
                 )
 
-    def test_what_an_engine_holds_is_told_with_its_wait(self) -> None:
-        """Shared parts are read again though another engine holds them.
+    def test_answer_reports_the_parts_that_an_engine_holds(self) -> None:
+        """Guards against prefilling shared parts that another engine holds.
 
-        Sequence: a gateway's prompt leaves a part at an engine; another one
-        has a prompt with that part. Cause: parts were told by notices alone,
-        which wait for their bytes for seconds in a large fleet.
+        A gateway's prompt leaves a part at an engine, and another gateway has a
+        prompt with that part. Parts were reported only by notices, which wait
+        seconds for the byte budget in a large fleet.
         """
-        kept = Parts()
-        self.keeper.keep_parts(kept)
+        recorded = Parts()
+        self.owner.keep_parts(recorded)
         self.asker.placed(ENGINE, 0.4, 2, (PART,), 700)
         key = codec.key_of_server(ENGINE.start)
-        self.assertTrue(builders_platform.wait_until(lambda: kept.counted))
-        self.assertEqual(kept.counted, [(key, (PART,), 700)])
-        told = self.asker.waits([ENGINE], 2, (1, 2))[ENGINE.start]
-        self.assertEqual(told.held_count, 2)
-        self.assertFalse(told.knows_parts)
+        self.assertTrue(builders_platform.wait_until(lambda: recorded.counted))
+        self.assertEqual(recorded.counted, [(key, (PART,), 700)])
+        wait = self.asker.waits([ENGINE], 2, (1, 2))[ENGINE.start]
+        self.assertEqual(wait.held_count, 2)
+        self.assertFalse(wait.knows_parts)
 
-    def test_an_owner_that_is_gone_costs_some_milliseconds(self) -> None:
-        """Callers wait for a gateway that is frozen or cut off.
+    def test_unreachable_owner_delays_a_prompt_by_milliseconds(self) -> None:
+        """Guards against callers that wait for a hanging or partitioned owner.
 
-        Cause: nobody else answers for the engine; what the asker believes by
-        itself has to do.
+        No other gateway answers for the engine, so the asking gateway must use
+        its own estimate after a short timeout.
         """
-        self.peers.keeper = self.free_address()
+        self.peers.queue_owner = self.free_address()
         began_s = clock.SystemClock().monotonic_s()
         self.assertEqual(self.waits(), {})
         took_s = clock.SystemClock().monotonic_s() - began_s
         self.assertGreaterEqual(took_s, queue_owners.REPLY_TIMEOUT_S)
         self.assertLess(took_s, 20 * queue_owners.REPLY_TIMEOUT_S)
 
-    def test_who_has_just_become_the_owner_says_so(self) -> None:
-        """All gateways send to an engine with a full queue.
+    def test_new_owner_reports_its_wait_as_incomplete(self) -> None:
+        """Guards against all gateways sending to an engine with a full queue.
 
-        Sequence: the owner of its queue is killed; the next one has counted
-        nothing yet. Cause: no count was taken for an empty queue.
+        The owner of its queue is killed, and the new owner has not counted
+        anything yet. The missing count was taken for an empty queue.
         """
         self.assertTrue(
             builders_platform.wait_until(lambda: ENGINE.start in self.waits())
@@ -215,31 +216,31 @@
         self.assertTrue(builders_platform.wait_until(self.is_whole))
 
     def is_whole(self) -> bool:
-        told = self.waits().get(ENGINE.start)
-        return told is not None and told.is_whole
+        wait = self.waits().get(ENGINE.start)
+        return wait is not None and wait.is_whole
 
-    def test_the_owner_itself_needs_no_message(self) -> None:
-        self.peers.keeper = None
+    def test_owner_counts_its_own_placements_without_messages(self) -> None:
+        self.peers.queue_owner = None
         self.asker.placed(ENGINE, 0.4, 2)
-        self.assertGreater(self.told_s(), 0.2)
-
-    def test_strangers_are_not_heard(self) -> None:
-        self.keeper_peers = Peers()
-        self.keeper_peers.known_ips = set()
-        deaf_at = self.free_address()
-        self.start(deaf_at, self.keeper_peers, 4)
-        self.peers.keeper = deaf_at
+        self.assertGreater(self.wait_s(), 0.2)
+
+    def test_unknown_senders_are_ignored(self) -> None:
+        self.owner_peers = Peers()
+        self.owner_peers.known_ips = set()
+        other_owner_at = self.free_address()
+        self.start(other_owner_at, self.owner_peers, 4)
+        self.peers.queue_owner = other_owner_at
         self.assertEqual(self.waits(), {})
 
-    def test_answers_of_others_and_late_ones_are_dropped(self) -> None:
-        """A gateway that answers for another makes an engine look idle.
+    def test_late_answers_and_those_of_other_gateways_are_dropped(self) -> None:
+        """Guards against a foreign answer that makes an engine look idle.
 
-        Sequence: the owner is silent; a datagram with the number of the
-        question comes from another gateway. Cause: an answer was known by its
-        number alone.
+        The owner does not answer, and a datagram with the number of the
+        question arrives from another gateway. Answers were matched only by
+        their number.
         """
         silent = self.free_address()
-        self.peers.keeper = silent
+        self.peers.queue_owner = silent
         asking = gevent.spawn(self.waits)
         gevent.sleep(0.001)
         wait = queue_codec.EngineWait(
@@ -251,16 +252,16 @@
                 sock.sendto(datagrams.seal(b"q", answer), tuple(self.asker_at))
             self.assertEqual(asking.get(), {})
 
-    def test_damaged_datagrams_end_no_gateway(self) -> None:
-        """A gateway's process is aborted by one datagram.
+    def test_damaged_datagrams_do_not_abort_the_process(self) -> None:
+        """Guards against one datagram that aborts the process of a gateway.
 
-        Sequence: bytes of a datagram are changed on the way, or a gateway of
-        another version sends its own. Cause: the library throws while it
-        cleans up behind some of them, which nothing can catch.
+        Bytes of a datagram are changed in transit, or a gateway of another
+        version sends a different format. For some inputs, the library throws an
+        exception during cleanup, which cannot be caught.
         """
         rng = random.Random(1)
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
-            sock.sendto(b"q" + ABORTING, tuple(self.keeper_at))
+            sock.sendto(b"q" + ABORTING_DATAGRAM, tuple(self.owner_at))
             for number in range(3_000):
                 sealed = datagrams.seal(
                     b"q", queue_codec.encode(MESSAGES[number % len(MESSAGES)])
@@ -269,28 +270,28 @@
                 for _ in range(rng.randrange(1, 5)):
                     place = rng.randrange(len(damaged))
                     damaged[place] = rng.randrange(256)
-                sock.sendto(bytes(damaged), tuple(self.keeper_at))
+                sock.sendto(bytes(damaged), tuple(self.owner_at))
                 sock.sendto(
-                    rng.randbytes(rng.randrange(40)), tuple(self.keeper_at)
+                    rng.randbytes(rng.randrange(40)), tuple(self.owner_at)
                 )
                 gevent.sleep(0)
         self.assert_answers()
 
-    def test_questions_fill_no_memory(self) -> None:
+    def test_number_of_queues_is_bounded(self) -> None:
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             for first in range(0, 3 * queue_owners.QUEUES_LIMIT_COUNT, 16):
                 ask = queue_codec.Ask(1, 0, tuple(range(first, first + 16)))
                 sealed = datagrams.seal(b"q", queue_codec.encode(ask))
-                sock.sendto(sealed, tuple(self.keeper_at))
+                sock.sendto(sealed, tuple(self.owner_at))
                 gevent.sleep(0)
         self.assert_answers()
         self.assertLessEqual(
-            len(self.keeper._queues), queue_owners.QUEUES_LIMIT_COUNT
+            len(self.owner._queues), queue_owners.QUEUES_LIMIT_COUNT
         )
 
 
 class OwnerTest(unittest.TestCase):
-    """Which gateways keep queues, by what the store lists."""
+    """Tests the choice of queue owners from the gateways in the store."""
 
     def directory_of(
         self, vm_id: str, zone: str, *vm_ids: str
@@ -315,7 +316,7 @@
         )
         return made
 
-    def test_all_choose_the_same_one_of_the_engines_zone(self) -> None:
+    def test_all_gateways_choose_the_same_owner_in_the_zone(self) -> None:
         vm_ids = [f"a{n}" for n in range(9)] + [f"b{n}" for n in range(9)]
         for key in range(50):
             found = set()
@@ -327,14 +328,14 @@
             (owner,) = found
             self.assertLessEqual(int(owner.ip.rpartition(".")[2]), 9)
 
-    def test_a_few_gateways_keep_all_queues_of_a_kind(self) -> None:
+    def test_a_few_gateways_own_all_queues_of_a_kind(self) -> None:
         known = self.directory_of("b0", "b", *(f"a{n}" for n in range(20)))
         owners = {known.owner(key, "a", 4, "prefill") for key in range(200)}
         self.assertEqual(len(owners), 4)
         others = {known.owner(key, "a", 4, "decode") for key in range(200)}
         self.assertNotEqual(owners, others)
 
-    def test_without_gateways_there_nobody_keeps_them(self) -> None:
+    def test_zone_without_gateways_has_no_owner(self) -> None:
         known = self.directory_of("b0", "b", "b1")
         self.assertIsNone(known.owner(1, "a", 3, "prefill"))
 
