--- a/src/mulberrywharf/peers/directory.py
+++ b/src/mulberrywharf/peers/directory.py
@@ -34,8 +34,8 @@
 
 READERS_COUNT = 2
 """Number of readers among gateways that exchange notices. Readers reopen their
-watches often; the others use long waits while they hear from a reader. With a
-single reader, its restart would make all others read the store."""
+watches often; the others let theirs wait long while they hear from a reader.
+With a single reader, its restart would make all others read the store."""
 
 FIRST_READ_DELAY_S = 1.5
 """Delay of the first read after the start. Gateways that start together have
@@ -48,9 +48,9 @@
 would cost five times what a node may send."""
 
 RESTORE_GRACE_S = 12.0
-"""How long gateways stay known that are missing after the store was restored
-from an older copy. They notice it at their next renewal, register again within
-seconds, and are found by the next read."""
+"""How long known gateways are kept that are missing from the store after it was
+restored from an older copy. They notice the loss at their next renewal,
+register again within seconds, and are found by the next read."""
 
 REMOVED_PEER_TIMEOUT_S = 30.0
 """How long datagrams are exchanged with a gateway after its key is removed. It
@@ -235,7 +235,7 @@
             availability_zone: Zone of the engine.
             owners_count: Number of gateways in the zone that share the queues
                 of its engines of this kind.
-            kind: Kind of the engine; the owners are chosen for each kind.
+            kind: Kind of the engine; each kind has its own owners.
         """
         wanted = engine_key, availability_zone, owners_count, kind
         if wanted not in self._owner_cache:
--- a/src/mulberrywharf/peers/notices.py
+++ b/src/mulberrywharf/peers/notices.py
@@ -27,7 +27,7 @@
 one gateway of each other zone. If all zones have the same number of gateways,
 each gateway hears from each other zone about once per second. A notice takes
 about 80 bytes per zone, or 560 bytes/s with eight zones. The mix of requests
-shifts within three seconds."""
+shifts within three seconds, so older reports are of little use."""
 
 LATE_S = 0.1
 """Notices that waited longer than this are logged, because queues of a few
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -33,8 +33,8 @@
 
 REPLY_TIMEOUT_S = 0.02
 """Maximum time to wait for answers. A round trip between availability zones
-takes about 2 ms, and a busy gateway a few ms more; callers wait some 100 ms for
-their first token."""
+takes about 2 ms, and a busy gateway a few ms more. Callers wait on the order of
+100 ms for their first token."""
 
 QUEUE_COMPLETE_AFTER_S = 1.0
 """Counting time after which an owner's wait is complete. A wait from an owner
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -82,7 +82,7 @@
         sealed = datagrams.seal(b"n", datagram)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
-    def test_damaged_datagrams_do_not_raise(self) -> None:
+    def test_damaged_datagrams_are_errors(self) -> None:
         """Guards against a damaged datagram that terminates a gateway.
 
         If bytes are truncated or changed in transit, the library's reader may
--- a/tests/test_queue_owners.py
+++ b/tests/test_queue_owners.py
@@ -51,7 +51,7 @@
                 decoded = queue_codec.decode(queue_codec.encode(message))
                 self.assertEqual(decoded.unwrap(), message)
 
-    def test_damaged_datagrams_do_not_raise(self) -> None:
+    def test_damaged_datagrams_are_errors(self) -> None:
         """Guards against a damaged datagram that terminates a gateway.
 
         If bytes are truncated or changed in transit, the library's reader may
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -185,7 +185,7 @@
     def test_answer_in_transit_is_not_interrupted(self) -> None:
         """Guards against a large change that never arrives over a slow link.
 
-        With saturated links, routes arrived into force seconds late on a whole
+        With saturated links, routes took effect seconds late on a whole
         fleet. A document of 1,700 routes takes most of a second to transfer,
         and peers report the change meanwhile. The watch was taken for dropped
         and reopened, and each time the transfer started again.
