--- a/src/mulberrywharf/authority/findings.py
+++ b/src/mulberrywharf/authority/findings.py
@@ -1,4 +1,4 @@
-"""What can be the matter with one engine, and what is known of it."""
+"""Known facts about an engine, and the findings of reconciling it."""
 
 from typing import NamedTuple
 
@@ -10,17 +10,17 @@
 
 
 class WantedEngine(NamedTuple):
-    """The state that the rules describe for one engine.
+    """The desired state of an engine, according to the rules.
 
     Attributes:
-        role: Role to take, or empty when the rules leave it open.
-        model: Model to have loaded, or empty when left open.
-        adapter: Adapter to have loaded, or empty.
+        role: Desired role, or empty if the rules do not specify one.
+        model: Model that is to be loaded, or empty if not specified.
+        adapter: Adapter that is to be loaded, or empty.
         version: Version of the weights, or empty.
-        drained: Whether it shall take no work.
-        rule: Name of the rule that says so.
-        config_version: Version of the configuration that holds the rule.
-        reason: Why, for operators.
+        drained: Whether the engine is to accept no work.
+        rule: Name of the rule that requires this state.
+        config_version: Version of the configuration that contains the rule.
+        reason: Why this state is desired, for operators.
     """
 
     role: str = ""
@@ -34,15 +34,15 @@
 
 
 class EngineFacts(NamedTuple):
-    """All that is known of one engine at one instant.
+    """What is known about one engine at one time.
 
     Attributes:
-        engine_id: The engine.
-        wanted: What the rules want, None while that is unknown.
-        record: Its latest order record, or None.
-        report: What it says of itself, or None. Reports lag.
-        accepted_unix_s: Wall clock at which it last accepted the order in
-            flight from this process, or 0.
+        engine_id: Id of the engine.
+        wanted: Desired state, or None while it is unknown.
+        record: Latest order record, or None.
+        report: Latest report of the engine, or None. It may lag.
+        accepted_unix_s: Wall clock time at which the engine first accepted the
+            order in flight from this process, or 0.
     """
 
     engine_id: str
@@ -53,12 +53,14 @@
 
 
 class Holder(NamedTuple):
-    """Who reconciles.
+    """The lease holder that reconciles the engine.
 
     Attributes:
-        fencing_number: Of the lease.
-        quiet: True while old orders may still arrive at the engine.
-        clock_margin_s: Allowed error between the engine's clock and ours.
+        fencing_number: Fencing number of the lease.
+        quiet: True while orders of a previous holder may still arrive at the
+            engine; no order may be sent then.
+        clock_margin_s: Maximum error between the clocks of the engine and of
+            this process.
     """
 
     fencing_number: int
@@ -66,16 +68,16 @@
     clock_margin_s: float = 0.0
 
 
-class InOrder(NamedTuple):
-    """Nothing is to be done."""
+class NoOrderNeeded(NamedTuple):
+    """No order is needed."""
 
 
-class Unseen(NamedTuple):
-    """The engine gave no report; nothing is ordered without one."""
+class NoReport(NamedTuple):
+    """The engine has not reported; no order is sent without a report."""
 
 
 class Waiting(NamedTuple):
-    """An order is on its way and runs as recorded.
+    """No order may be sent now.
 
     Attributes:
         why: What is waited for.
@@ -85,24 +87,24 @@
 
 
 class Applied(NamedTuple):
-    """The engine says that it has carried out the order in flight."""
+    """The engine has executed the order in flight."""
 
     record: OrderRecord
 
 
-class Broken(NamedTuple):
-    """The engine took the order on and failed in the middle of it."""
+class NotApplied(NamedTuple):
+    """The engine accepted the order in flight but did not execute it."""
 
     record: OrderRecord
 
 
 class Unfinished(NamedTuple):
-    """The order in flight is still wanted; go on with it.
+    """The order in flight is still wanted and is to be continued.
 
     Attributes:
-        record: The order.
-        draining: Whether the engine says that it takes no new work.
-        idle: Whether it has finished all its work besides.
+        record: Record of the order.
+        draining: Whether the engine reports that it accepts no new work.
+        idle: Whether it has also finished all its work.
     """
 
     record: OrderRecord
@@ -110,43 +112,43 @@
     idle: bool
 
 
-class Undrained(NamedTuple):
-    """The engine drained for the order in flight, and serves again."""
+class DrainEnded(NamedTuple):
+    """The engine was drained for the order in flight but serves again."""
 
     record: OrderRecord
 
 
 class Superseded(NamedTuple):
-    """The order in flight is not wanted any more and can be dropped."""
+    """The order in flight is no longer wanted and can be dropped."""
 
     record: OrderRecord
 
 
 class Astray(NamedTuple):
-    """The engine is in a state that the rules don't describe.
+    """The engine is not in the desired state.
 
     Attributes:
-        action: The order that mends it.
-        wanted: What the rules want.
-        unordered: True when its last settled order doesn't explain the state
-            either, as after a crash in mid-change.
-        needs_drain: Whether it has to finish its work first.
+        action: Action of the order that corrects it.
+        wanted: Desired state.
+        unexplained: Whether the last settled order does not explain the state
+            either, as after a crash during a change.
+        needs_drain: Whether the engine has to finish its work first.
     """
 
     action: orders.OrderAction
     wanted: WantedEngine
-    unordered: bool
+    unexplained: bool
     needs_drain: bool
 
 
 Finding = (
-    InOrder
-    | Unseen
+    NoOrderNeeded
+    | NoReport
     | Waiting
     | Applied
-    | Broken
+    | NotApplied
     | Unfinished
-    | Undrained
+    | DrainEnded
     | Superseded
     | Astray
 )
--- a/src/mulberrywharf/authority/lease_fuse.py
+++ b/src/mulberrywharf/authority/lease_fuse.py
@@ -1,9 +1,10 @@
-"""A timer that ends the process when its lease is spent.
+"""A watchdog timer that kills the process shortly before its lease ends.
 
-A process that is frozen past its lease and then wakes would go on from the
-very instruction at which it was stopped, which may be the send of an order.
-No check can run before that instruction. The kernel can: SIGALRM, left at
-its default action, kills the process on waking before it runs anything.
+A process that is suspended until after its lease has ended resumes at the
+instruction at which it was suspended, which may be the send of an order. No
+check in the process can run before that instruction, but the kernel can act:
+SIGALRM with its default action kills the process when it resumes, before it
+executes anything.
 """
 
 import signal
@@ -16,18 +17,20 @@
 
 
 class LeaseFuse:
-    """Knows until when this process may send orders, and enforces it.
+    """Tracks until when this process may send orders, and enforces it.
 
-    Three instants follow from the lease, all measured from before the
-    renewal was sent, since the service counts from when it arrived:
+    Three times follow from the lease. All are measured from before the renewal
+    was sent, because the key-value service measures from when it arrived:
 
-    - ``orders_end_s``: no order leaves after it. Its bytes live for at most
-      ``user_timeout_s``, so they are gone when the authority ends.
-    - the fuse, ``margin_s`` before the lease's end: the kernel kills.
-    - the lease's end: another process may take over.
+    - ``user_timeout_s`` before the timer: the last time at which an order may
+      be sent. Its unacknowledged bytes are retransmitted for at most
+      ``user_timeout_s``, so none arrives after the authority has ended.
+    - The timer, ``margin_s`` before the end of the lease: the kernel kills the
+      process.
+    - The end of the lease: another process may take over.
 
-    A process that runs notices the first and steps down, which disarms the
-    timer; only one that is frozen meets the second.
+    A running process reaches the first time and steps down, which disarms the
+    timer. Only a suspended process is killed.
     """
 
     def __init__(
@@ -47,19 +50,19 @@
         self._offset_s = clock.unix_s() - clock.monotonic_s()
 
     def renewed(self, lease_end_monotonic_s: float) -> bool:
-        """Takes in a lease that was granted or renewed, and arms the timer.
+        """Updates the end of the lease after a renewal, and arms the timer.
 
         Args:
-            lease_end_monotonic_s: Until when the lease is surely held,
-                counted from before the renewal was sent.
+            lease_end_monotonic_s: Time until which the lease is certainly
+                held, measured from before the renewal was sent.
 
         Returns:
-            False when too little of the lease is left to arm anything.
+            False if too little of the lease is left to arm the timer.
         """
         self._end_monotonic_s = lease_end_monotonic_s - self._margin_s
         offset_s = self._clock.unix_s() - self._clock.monotonic_s()
-        # A pause of the VM while the renewal was under way shows as a jump
-        # between the clocks. The smaller offset is that from before it.
+        # If the VM was paused during the renewal, the offset between the clocks
+        # has grown. The smaller offset is the one from before the pause.
         self._end_unix_s = self._end_monotonic_s + min(offset_s, self._offset_s)
         self._offset_s = offset_s
         if not self._enabled:
@@ -67,54 +70,55 @@
         return self._arm()
 
     def step_down(self) -> None:
-        """Gives up the authority in order; the process may live on."""
+        """Ends the authority and disarms the timer, so the process lives on."""
         self._end_monotonic_s = float("-inf")
         self._end_unix_s = float("-inf")
         if self._enabled:
             signal.setitimer(signal.ITIMER_REAL, 0)
 
     def remaining_s(self) -> float:
-        """Returns the seconds until the timer fires, by the worse clock.
+        """Returns the seconds until the timer is due, by the earlier clock.
 
-        A pause of the whole VM can stop the monotonic clock and the timer
-        with it; the wall clock, set right by the host, shows the loss. A
-        wall clock that jumps only shortens the authority, never lengthens
-        it.
+        A pause of the whole VM can stop the monotonic clock and the timer with
+        it; the wall clock, which the host corrects, shows the lost time. A jump
+        of the wall clock can only shorten the authority, never extend it.
         """
         by_monotonic_s = self._end_monotonic_s - self._clock.monotonic_s()
         by_wall_s = self._end_unix_s - self._clock.unix_s()
         return min(by_monotonic_s, by_wall_s)
 
     def holds(self) -> bool:
-        """Tells whether an order may leave now.
+        """Tells whether an order may be sent now.
 
-        Its bytes may wait in the kernel for the user timeout; they must be
-        dead before the lease is, so that much has to be left.
+        The kernel may retransmit its bytes for the user timeout and must have
+        dropped them before the lease ends, so at least that much time must be
+        left.
         """
         if not self._enabled:
             return self._end_monotonic_s > float("-inf")
         return self.remaining_s() > self._user_timeout_s
 
     def check(self) -> None:
-        """Lets an order pass, or stops it.
+        """Checks that an order may be sent now.
 
         Raises:
             errors.AuthorityLostError: Too little of the lease is left.
         """
         if not self.holds():
             raise errors.AuthorityLostError(
-                "the lease leaves no time for an order",
+                "the lease ends too soon to send an order",
                 advice="The zone's next lease holder finishes the orders.",
             )
 
     def _arm(self) -> bool:
-        """Arms the timer and makes sure that it fires on time.
-
-        ``setitimer`` takes a span, not an instant. Were the process frozen
-        between reading the clock and arming, the timer would fire late by
-        that pause, and a second pause could outlive the lease. So the timer
-        is read back, before the clock, and armed anew until both agree. No
-        order can leave in between: this code doesn't yield.
+        """Arms the timer and verifies that it fires on time.
+
+        ``setitimer`` takes a duration, not a point in time. If the process is
+        suspended between reading the clock and arming the timer, the timer
+        fires late by that pause, and a second pause could last beyond the
+        lease. So the timer is read back, before the clock, and armed again
+        until both agree. No order can be sent meanwhile, because this code does
+        not yield.
         """
         for _ in range(_ARM_ATTEMPTS):
             left_s = self._end_monotonic_s - self._clock.monotonic_s()
@@ -129,10 +133,10 @@
 
 
 def restore_default_alarm() -> None:
-    """Leaves SIGALRM at its default action, which ends the process.
+    """Restores the default action of SIGALRM, which kills the process.
 
-    A parent may have set it to be ignored, which survives an exec; the
-    timer would then fire without effect.
+    A parent process may have set it to be ignored, which is inherited through
+    exec; the timer would then have no effect.
     """
     signal.signal(signal.SIGALRM, signal.SIG_DFL)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGALRM})
--- a/src/mulberrywharf/authority/order_records.py
+++ b/src/mulberrywharf/authority/order_records.py
@@ -1,8 +1,8 @@
-"""The zone's order records: one value in the key-value service.
+"""Order records of a zone, stored as one value in the key-value service.
 
-All engines of a zone share one value, so that writes grow with the zones and
-not with the engines. An order is recorded before it is sent; whoever holds
-the zone's lease next finds here what may be half done.
+All engines of a zone share one value, so the number of writes grows with the
+number of zones, not of engines. An order is recorded before it is sent, so the
+zone's next lease holder finds here which orders may be partly executed.
 """
 
 import json
@@ -17,11 +17,14 @@
 from mulberrywharf.engines import orders
 
 OrderPhase = Literal["recorded", "draining", "sent", "applied", "failed"]
-"""``recorded``: nothing left. ``draining``: routers stop new work and the
-engine was told to. ``sent``: the order itself may have left. ``applied`` and
-``failed`` are final."""
+"""Phase of an order.
 
-_GONE_KEPT_S = 86_400.0
+``recorded``: nothing was sent yet. ``draining``: routers send the engine no new
+work, and the engine may have been told to drain. ``sent``: the order itself may
+have been sent. ``applied`` and ``failed`` are final.
+"""
+
+_REMOVED_ENGINE_RETENTION_S = 86_400.0
 
 IN_FLIGHT_PHASES: frozenset[OrderPhase] = frozenset(
     ("recorded", "draining", "sent")
@@ -49,19 +52,20 @@
     """The latest order of one engine.
 
     Attributes:
-        order_id: Unique; the engine reports the last one that it applied.
-        rule: Name of the rule that the order follows from.
-        config_version: Version of the configuration that holds the rule.
-        fencing_number: Of the lease under which it was last recorded.
-        action: What the engine shall do.
-        role: Role that the engine is to have after it. Sent only with
-            ``set-role``; other actions carry it along, so that an engine
-            which loses its role in a crash can be given it back.
-        model: For ``load-model``.
-        adapter: For ``load-model``, or empty.
-        version: For ``load-model``, or empty.
-        phase: How far it is.
-        recorded_unix_s: When this phase was recorded.
+        order_id: Unique id; the engine reports the last one that it applied.
+        rule: Name of the rule that caused the order.
+        config_version: Version of the configuration that contains the rule.
+        fencing_number: Fencing number of the lease under which the order was
+            last recorded.
+        action: What the engine is to do.
+        role: Role of the engine after the order. It is sent only with
+            ``set-role``. Other actions record it so that the role can be
+            restored if the engine loses it in a crash.
+        model: Model to load, for ``load-model``.
+        adapter: Adapter to load, for ``load-model``, or empty.
+        version: Version of the weights, for ``load-model``, or empty.
+        phase: Phase of the order.
+        recorded_unix_s: Wall clock time at which this phase was recorded.
         reason: Why it was ordered, for operators.
     """
 
@@ -79,7 +83,7 @@
     reason: str = ""
 
     def in_flight(self) -> bool:
-        """Tells whether the order is not settled yet."""
+        """Tells whether the order is not in a final phase yet."""
         return self.phase in IN_FLIGHT_PHASES
 
     def order(self, fencing_number: int) -> orders.Order:
@@ -95,21 +99,22 @@
         )
 
     def drain_order_id(self) -> str:
-        """Returns the id under which the engine is told to drain first.
+        """Returns the id of the order that drains the engine first.
 
-        It changes with each time that the phase is recorded, so that an
-        engine that took up work again in between can be drained anew.
+        The id changes each time the phase is recorded. An engine ignores an id
+        that it has seen, so this allows draining again after it has resumed
+        work.
         """
         return f"{self.order_id}/drain/{round(self.recorded_unix_s * 1000)}"
 
     def awaited_order_id(self) -> str:
-        """Returns the id that was sent, or is to be sent, in this phase."""
+        """Returns the id of the order that is sent in this phase."""
         if self.phase == "draining":
             return self.drain_order_id()
         return self.order_id
 
     def drain_order(self, fencing_number: int) -> orders.Order:
-        """Returns the order that makes the engine finish its work first."""
+        """Returns the order that tells the engine to drain first."""
         return orders.Order(
             order_id=self.drain_order_id(),
             fencing_number=fencing_number,
@@ -118,13 +123,13 @@
 
 
 class HolderFields(TypedDict):
-    """Who last wrote the records, as JSON.
+    """The holder that last wrote the records, as JSON.
 
     Attributes:
-        vm_id: Its entry VM.
-        fencing_number: Of its lease.
-        settled: True once it has ended with every order of its own settled,
-            so that none of its bytes can still arrive.
+        vm_id: Entry VM of the holder.
+        fencing_number: Fencing number of its lease.
+        settled: True if it has released the lease with all its orders settled,
+            so that none of its orders can still arrive.
     """
 
     vm_id: str
@@ -133,18 +138,18 @@
 
 
 class ZoneRecordsFields(TypedDict):
-    """The zone's value as JSON."""
+    """The stored value of a zone, as JSON."""
 
     write_id: str
     holder: HolderFields
     records: dict[str, OrderRecordFields]
 
 
-_ADAPTER = pydantic.TypeAdapter(ZoneRecordsFields)
+_TYPE_ADAPTER = pydantic.TypeAdapter(ZoneRecordsFields)
 
 
 class Holder(NamedTuple):
-    """Who last wrote the records; fields as in ``HolderFields``."""
+    """The holder that last wrote the records; fields as in ``HolderFields``."""
 
     vm_id: str
     fencing_number: int
@@ -152,11 +157,11 @@
 
 
 class ZoneRecords(NamedTuple):
-    """Every engine's latest order, and who wrote them.
+    """The latest order of each engine, and the holder that wrote them.
 
     Attributes:
-        holder: The writer, or None while the value doesn't exist.
-        records: By engine id.
+        holder: The writer, or None if the value does not exist yet.
+        records: Order records by engine id.
     """
 
     holder: Holder | None
@@ -165,16 +170,17 @@
     def without_gone(
         self, engine_ids: Collection[str], now_unix_s: float
     ) -> "ZoneRecords":
-        """Returns these records without those of engines long gone.
+        """Returns these records without those of engines removed long ago.
 
-        VMs are replaced daily and all records share one value of limited
-        size. The VM list lags, so a record outlives its engine for a day.
+        VMs are replaced daily, and all records share one value of limited size.
+        The VM list may lag, so a record is kept for a day after it was written
+        even if the list does not contain its engine.
 
         Args:
-            engine_ids: Engines that the VM list names.
-            now_unix_s: Wall clock.
+            engine_ids: Engines in the VM list.
+            now_unix_s: Wall clock time.
         """
-        kept_from_unix_s = now_unix_s - _GONE_KEPT_S
+        kept_from_unix_s = now_unix_s - _REMOVED_ENGINE_RETENTION_S
         kept = {
             engine_id: record
             for engine_id, record in self.records.items()
@@ -184,15 +190,15 @@
         return ZoneRecords(self.holder, kept)
 
     def drained_engine_ids(self) -> frozenset[str]:
-        """Returns the engines that routers give no new work."""
+        """Returns the engines to which routers send no new work."""
         return frozenset(
             engine_id
             for engine_id, record in self.records.items()
-            if _keeps_work_away(record)
+            if _blocks_new_work(record)
         )
 
 
-def _keeps_work_away(record: OrderRecord) -> bool:
+def _blocks_new_work(record: OrderRecord) -> bool:
     if record.action == "resume":
         return False
     if record.action == "drain":
@@ -204,12 +210,12 @@
 
 
 def encode(zone_records: ZoneRecords, write_id: str) -> bytes:
-    """Returns the value to store.
+    """Encodes records for storage.
 
     Args:
-        zone_records: With its holder set.
-        write_id: Unique name of this write; read back when the write's
-            answer was lost.
+        zone_records: Records, with the holder set.
+        write_id: Unique id of this write. If the response to the write is lost,
+            the id tells whether the stored value is this one.
     """
     assert zone_records.holder is not None
     fields = {
@@ -224,8 +230,8 @@
 
 
 def decode(value: bytes) -> Result[ZoneRecords, errors.OrderRecordsError]:
-    """Reads a stored value."""
-    fields = _checked(value)
+    """Decodes a stored value."""
+    fields = _parse(value)
     if isinstance(fields, Err):
         return fields
     holder = Holder(**fields.ok_value["holder"])
@@ -237,21 +243,21 @@
 
 
 def write_id_of(value: bytes) -> str:
-    """Returns the name of the write that stored the value, or empty."""
-    fields = _checked(value)
+    """Returns the id of the write that stored a value, or an empty string."""
+    fields = _parse(value)
     return "" if isinstance(fields, Err) else fields.ok_value["write_id"]
 
 
-def _checked(
+def _parse(
     value: bytes,
 ) -> Result[ZoneRecordsFields, errors.OrderRecordsError]:
     try:
         document: Any = json.loads(value)
-        return Ok(_ADAPTER.validate_python(document))
+        return Ok(_TYPE_ADAPTER.validate_python(document))
     except ValueError as error:
         return Err(
             errors.OrderRecordsError(
-                f"order records: {error}",
+                f"cannot decode the order records: {error}",
                 advice="Look at the value with mulberrywharf's handover page.",
             )
         )
--- a/src/mulberrywharf/authority/quiet_time.py
+++ b/src/mulberrywharf/authority/quiet_time.py
@@ -1,21 +1,22 @@
-"""When a new lease holder may first order an engine.
+"""Computes when a new lease holder may send its first order to an engine.
 
-An engine that ignores fencing numbers takes whatever arrives. Orders that the
-previous holder sent in its last instant may still be on their way, so the new
-holder stays quiet until none can arrive any more, and only then reads the
-engine's state and orders.
+An engine that ignores fencing numbers executes every order it receives. Orders
+that the previous holder sent right before its lease ended may still be in
+transit. The new holder therefore waits until none can arrive any more before it
+reads the engine's state and sends orders.
 """
 
 from typing import NamedTuple
 
 
 class Takeover(NamedTuple):
-    """How this process came to hold the zone's lease.
+    """How this process acquired the lease.
 
     Attributes:
-        acquired_s: Monotonic clock when the lease was known to be held.
-        predecessor_unsettled: False only when nobody held the lease before,
-            or the predecessor recorded that all its orders were settled.
+        acquired_s: Monotonic time at which the lease was known to be held.
+        predecessor_unsettled: Whether orders of the previous holder may still
+            be in transit. False only if there was no previous holder, or it
+            recorded that all its orders were settled.
     """
 
     acquired_s: float
@@ -23,16 +24,18 @@
 
 
 class QuietTime(NamedTuple):
-    """The bounds that the settings give.
+    """Waiting time of a new holder, derived from the settings.
 
     Attributes:
-        lease_ttl_s: Length of the lease. Already over when the key could be
-            taken, unless an operator or a restored service removed the key
-            early; then the predecessor still believes in it for this long.
-        user_timeout_s: How long unacknowledged order bytes live.
-        clock_margin_s: Allowed error between clocks.
-        fencing_checking_kinds: Kinds that refuse an old fencing number.
-        off: True only in tests that show what happens without it.
+        lease_ttl_s: Length of the lease. The previous lease has usually ended
+            when the key becomes free. But if an operator or a restored store
+            removed the key early, the previous holder may act on its lease for
+            up to this time.
+        user_timeout_s: How long unacknowledged bytes of an order are
+            retransmitted.
+        clock_margin_s: Maximum error between the clocks.
+        fencing_checking_kinds: Engine kinds that reject an old fencing number.
+        off: Disables the wait; only for tests that show its effect.
     """
 
     lease_ttl_s: float
@@ -42,17 +45,17 @@
     off: bool = False
 
     def length_s(self) -> float:
-        """Returns the longest time that an old order may still arrive."""
+        """Returns for how long an order of the previous holder may arrive."""
         if self.off:
             return 0.0
         return self.lease_ttl_s + self.user_timeout_s + self.clock_margin_s
 
     def ends_s(self, takeover: Takeover, engine_kind: str) -> float:
-        """Returns the monotonic instant from which the engine may be ordered.
+        """Returns the monotonic time from which an engine may be ordered.
 
         Args:
-            takeover: How the lease was won.
-            engine_kind: Make of the engine.
+            takeover: How the lease was acquired.
+            engine_kind: Kind of the engine.
         """
         if engine_kind in self.fencing_checking_kinds:
             return takeover.acquired_s
@@ -61,7 +64,7 @@
         return takeover.acquired_s + self.length_s()
 
     def all_over(self, takeover: Takeover, now_s: float) -> bool:
-        """Tells whether no engine of any kind has to be spared any more."""
+        """Tells whether engines of every kind may be ordered."""
         if not takeover.predecessor_unsettled:
             return True
         return now_s >= takeover.acquired_s + self.length_s()
--- a/src/mulberrywharf/authority/reconcile.py
+++ b/src/mulberrywharf/authority/reconcile.py
@@ -1,16 +1,16 @@
-"""Compares what is wanted of an engine with its record and its own word.
+"""Compares the desired state of an engine with its order record and report.
 
-``find`` says what is the matter with one engine; ``steps.next_step`` says what
-follows from it. Both are pure. At most one order of an engine is in flight,
-since the next one only follows once the record is settled or nothing
-irrevocable of it has left.
+``find`` returns a finding about one engine, and ``steps.next_step`` returns
+what to do about it. Both are pure functions. At most one order per engine is in
+flight: the next one is sent only after the record is settled, or if the order
+itself was not sent yet.
 """
 
 from mulberrywharf import fleet
 from mulberrywharf.authority import findings, order_records
 
 ADAPTER_LOAD_LIMIT_S = 60.0
-"""After this an accepted load of an adapter has ended, one way or other."""
+"""Time after which an accepted load of an adapter has succeeded or failed."""
 
 OrderRecord = order_records.OrderRecord
 
@@ -18,18 +18,18 @@
 def find(
     facts: findings.EngineFacts, holder: findings.Holder
 ) -> findings.Finding:
-    """Says what is the matter with one engine."""
+    """Returns the finding about one engine."""
     if facts.report is None:
-        return findings.Unseen()
+        return findings.NoReport()
     if facts.report.state == "changing":
-        return findings.Waiting("the engine is in mid-change")
+        return findings.Waiting("the engine is carrying out a change")
     record = facts.record
     if record is not None and record.in_flight():
         return _find_in_flight(facts, record, facts.report, holder)
     if holder.quiet:
-        return findings.Waiting("old orders may still arrive")
+        return findings.Waiting("orders of a previous holder may still arrive")
     if facts.wanted is None:
-        return findings.InOrder()
+        return findings.NoOrderNeeded()
     return _find_settled(facts.wanted, record, facts.report)
 
 
@@ -39,90 +39,91 @@
     report: fleet.LoadReport,
     holder: findings.Holder,
 ) -> findings.Finding:
-    if _carried_out(record, report):
+    if _is_applied(record, report):
         return findings.Applied(record)
     if holder.quiet:
-        return findings.Waiting("old orders may still arrive")
+        return findings.Waiting("orders of a previous holder may still arrive")
     fresh_from_unix_s = record.recorded_unix_s + holder.clock_margin_s
     fresh = report.reported_unix_s > fresh_from_unix_s
-    if fresh and _gave_up(record, report):
-        return findings.Broken(record)
-    if _is_over(facts, record, report, holder):
+    if fresh and _ended_unapplied(record, report):
+        return findings.NotApplied(record)
+    if _has_ended(facts, record, report, holder):
         return (
             findings.Applied(record)
-            if _effect(record, report)
-            else findings.Broken(record)
+            if _matches_order(record, report)
+            else findings.NotApplied(record)
         )
     if _still_wanted(record, facts.wanted):
-        if _serves_again(facts, record, report, holder):
-            return findings.Undrained(record)
+        if _takes_work_again(facts, record, report, holder):
+            return findings.DrainEnded(record)
         return _unfinished_finding(record, report)
     if record.phase != "sent":
         return findings.Superseded(record)
     if fresh and record.fencing_number != holder.fencing_number:
-        # The quiet time is over and the engine neither runs the order nor
-        # has applied it: the predecessor's order never arrived.
+        # Orders of the previous holder can no longer arrive, and the engine has
+        # neither started nor applied this one: it was lost.
         return findings.Superseded(record)
-    # Its own order may still arrive. Repeating it is harmless and settles
-    # it; only then may another follow.
+    # An order of this holder may still arrive. Repeating it is harmless and
+    # settles it, after which another order may be sent.
     return _unfinished_finding(record, report)
 
 
 def _unfinished_finding(
     record: OrderRecord, report: fleet.LoadReport
 ) -> findings.Unfinished:
-    # The counts mean something only in a report that was taken after the
-    # engine stopped new work; an older one may say idle while a stream has
-    # just begun.
+    # The request counts are valid only in a report from after the engine
+    # stopped accepting work. An older report may show an idle engine although a
+    # stream has just begun.
     draining = report.state in ("draining", "failed")
     return findings.Unfinished(record, draining, draining and _idle(report))
 
 
-def _gave_up(record: OrderRecord, report: fleet.LoadReport) -> bool:
-    """Tells whether the order ended without being carried out.
+def _ended_unapplied(record: OrderRecord, report: fleet.LoadReport) -> bool:
+    """Tells whether the order has ended without being executed.
 
-    An engine that crashed in the change comes back failed, or serving in a
-    state that nobody ordered. Repeating the same id wouldn't help: it has
-    seen it.
+    An engine that crashed during the change reports that it failed, or serves
+    in a state that was not ordered. It ignores a repeated order, because it has
+    seen the id.
     """
     if record.phase != "sent":
         return False
     return report.state == "failed" or report.order_id == record.order_id
 
 
-def _is_over(
+def _has_ended(
     facts: findings.EngineFacts,
     record: OrderRecord,
     report: fleet.LoadReport,
     holder: findings.Holder,
 ) -> bool:
-    """Tells whether an accepted order has ended, whatever the report names.
+    """Tells whether an accepted order has ended, even if not reported.
 
-    An engine reports the last order that it applied. If another came right
-    after this one, such as one of a process without authority, the report
-    never names this one, and repeating it changes nothing: it would stay in
-    flight for ever. But an engine that has accepted a change and isn't in
-    one any more has ended it.
+    An engine reports only the last order that it applied. If another one
+    follows immediately, for example from a process without authority, the
+    report never contains this one, and a repeated order is ignored. The order
+    would stay in flight forever. But an engine that has accepted a change and
+    is no longer changing has ended it.
     """
     if record.phase != "sent" or not facts.accepted_unix_s:
         return False
     ends_unix_s = facts.accepted_unix_s + holder.clock_margin_s
     if record.adapter:
-        # Loaded beside the work; the engine doesn't say that it is loading.
+        # An adapter is loaded while the engine serves, and the engine does not
+        # report that it is loading.
         ends_unix_s += ADAPTER_LOAD_LIMIT_S
     return report.reported_unix_s > ends_unix_s
 
 
-def _serves_again(
+def _takes_work_again(
     facts: findings.EngineFacts,
     record: OrderRecord,
     report: fleet.LoadReport,
     holder: findings.Holder,
 ) -> bool:
-    """Tells whether an engine that was drained takes work once more.
+    """Tells whether a drained engine accepts work again.
 
-    A late order of a process without authority may have ended the draining.
-    Repeating the same drain would do nothing: the engine has seen it.
+    A late order of a process without authority may have ended the drain. The
+    engine would ignore a repeated drain order, because it has seen the id.
     """
     if record.phase != "draining" or not facts.accepted_unix_s:
         return False
@@ -130,14 +131,14 @@
     return report.state == "ready" and report.reported_unix_s > drained_unix_s
 
 
-def _carried_out(record: OrderRecord, report: fleet.LoadReport) -> bool:
+def _is_applied(record: OrderRecord, report: fleet.LoadReport) -> bool:
     if report.order_id != record.order_id or record.phase != "sent":
         return False
-    return _effect(record, report)
+    return _matches_order(record, report)
 
 
-def _effect(record: OrderRecord, report: fleet.LoadReport) -> bool:
-    """Tells whether the engine is as the order makes it."""
+def _matches_order(record: OrderRecord, report: fleet.LoadReport) -> bool:
+    """Tells whether the engine is in the state that the order requires."""
     if report.state == "failed":
         return False
     if record.action == "set-role":
@@ -174,24 +175,28 @@
             "set-role", wanted._replace(role=role), True, needs_drain=False
         )
     if wanted.role and report.role != wanted.role:
-        unordered = not _explained(record, report)
-        return findings.Astray("set-role", wanted, unordered, needs_drain=True)
+        unexplained = not _explains_role(record, report)
+        return findings.Astray(
+            "set-role", wanted, unexplained, needs_drain=True
+        )
     if wanted.model and not _has_model(
         report, wanted.model, "", wanted.version
     ):
         base = wanted._replace(adapter="")
         return findings.Astray("load-model", base, False, needs_drain=True)
     if wanted.adapter and wanted.adapter not in report.adapters:
-        # An adapter is loaded beside the work that goes on.
+        # An adapter is loaded while the engine serves.
         return findings.Astray("load-model", wanted, False, needs_drain=False)
     if wanted.drained and report.state != "draining":
         return findings.Astray("drain", wanted, False, needs_drain=False)
     if not wanted.drained and report.state == "draining":
         return findings.Astray("resume", wanted, False, needs_drain=False)
-    return findings.InOrder()
+    return findings.NoOrderNeeded()
 
 
-def _explained(record: OrderRecord | None, report: fleet.LoadReport) -> bool:
+def _explains_role(
+    record: OrderRecord | None, report: fleet.LoadReport
+) -> bool:
     if record is None:
         return True
     return record.role in ("", report.role)
--- a/src/mulberrywharf/authority/record_store.py
+++ b/src/mulberrywharf/authority/record_store.py
@@ -16,11 +16,11 @@
 
 
 class LeaseKey(NamedTuple):
-    """The key that proves the lease, and its revision.
+    """The key that proves that a lease is held, and its revision.
 
     Attributes:
-        key: Such as ``/mulberry/D/controllers/ZONE``.
-        mod_revision: Of the holder's own creation of it.
+        key: Key, such as ``/mulberry/D/controllers/ZONE``.
+        mod_revision: Revision at which the holder created the key.
     """
 
     key: str
@@ -28,11 +28,11 @@
 
 
 class RecordStore:
-    """The zone's order records as one lease holder keeps them.
+    """A lease holder's view of the zone's order records.
 
-    Every write compares two revisions: of the records and of the lease key.
-    A holder that was deposed while frozen can thus not write: the key it
-    compares with is gone or another's.
+    Every write is conditional on two revisions: those of the records and of the
+    lease key. A holder that lost the lease while it was suspended therefore
+    cannot write, because its lease key was deleted or created by another one.
     """
 
     def __init__(
@@ -51,10 +51,10 @@
         self._revision = 0
 
     def load(self) -> Result[order_records.ZoneRecords, StoreError]:
-        """Reads the records as they stand.
+        """Reads the current records.
 
-        Needed before the first write, and again while ``must_load`` says
-        that an earlier write may or may not have taken effect.
+        Required before the first write, and again while ``must_load`` is set
+        because an earlier write may or may not have taken effect.
         """
         answer = self._key_value.get(self._key, purpose=_PURPOSE)
         if isinstance(answer, Err):
@@ -78,18 +78,20 @@
         zone_records: order_records.ZoneRecords,
         lease_key: LeaseKey,
     ) -> Result[None, StoreError]:
-        """Replaces the records, if the lease is still held.
+        """Replaces the records if the lease is still held.
 
-        A lost answer is resolved by reading back the write's own name. The
-        same bytes may be written again, since both would need the same
-        revision and only one of them can find it.
+        If the response is lost, the stored write id tells whether the write
+        took effect. Repeating the write is safe: both attempts require the same
+        revision, so only one can succeed.
 
         Args:
             zone_records: All records, with this holder.
             lease_key: Proof of the lease.
 
         Returns:
-            AuthorityLostError when another holds the lease or wrote.
+            Nothing if the records were written; AuthorityLostError if another
+            process holds the lease or has written the records; another error
+            if the write failed.
         """
         assert zone_records.holder is not None
         number = next(self._write_numbers)
@@ -139,24 +141,26 @@
         stored = answer.ok_value
         revision = 0 if stored is None else stored.mod_revision
         if revision == self._revision:
-            return Err(self._unchanged(error))
+            return Err(self._error_if_unchanged(error))
         if stored is None:
-            return Err(errors.AuthorityLostError(f"{self._key} is gone"))
+            return Err(errors.AuthorityLostError(f"{self._key} was deleted"))
         if order_records.write_id_of(stored.value) == write_id:
             return Ok(revision)
-        return Err(self._changed(stored.value, lease_key))
+        return Err(self._error_if_changed(stored.value, lease_key))
 
-    def _unchanged(self, error: errors.PlatformError) -> errors.PlatformError:
+    def _error_if_unchanged(
+        self, error: errors.PlatformError
+    ) -> errors.PlatformError:
         if isinstance(error, errors.RevisionConflictError):
             return errors.AuthorityLostError(
-                f"{self._key}: the lease key is gone or another's"
+                f"{self._key}: the lease key was deleted or has another holder"
             )
         return error
 
-    def _changed(
+    def _error_if_changed(
         self, value: bytes, lease_key: LeaseKey
     ) -> errors.PlatformError:
-        """Tells an own late write from one of another holder."""
+        """Distinguishes an earlier write of this holder from another's."""
         decoded = order_records.decode(value)
         if isinstance(decoded, Ok):
             holder = decoded.ok_value.holder
--- a/src/mulberrywharf/authority/role_holder.py
+++ b/src/mulberrywharf/authority/role_holder.py
@@ -2,21 +2,24 @@
 
 The duties are ordering engine roles and calling the operators' platform.
 
-An engine that does not check fencing numbers carries out whatever arrives. So
-no order may leave after the authority has passed on, and none of the next
-holder may leave while one of the last could still be on its way:
-
-- The holder has a key under a lease. Its fencing number is the revision that
-  created the key, behind the service's era: revisions are given out again when
-  the service comes back from an older copy. So it rises from holder to holder.
-- It records an order before it sends it, in a write that fails if the key is
-  no longer its own. It checks the lease once more before the first byte.
-- Whoever finds that another ordered before waits for longer than the lease
-  and the longest life of an order's bytes.
-
-A process that is frozen between the check and the send could send late. The
-lease is measured by a clock that counts a frozen machine's time, so the order
-has to leave with the very instruction at which it was frozen.
+An engine that does not check fencing numbers executes every order it receives.
+So a holder must not send an order after its lease has ended, and the next
+holder must not send one while an order of the previous holder may still be in
+transit:
+
+- The holder owns a key attached to a lease. Its fencing number combines the
+  store's era with the revision that created the key, because a store that is
+  restored from an older copy assigns revisions again. The number therefore
+  increases from holder to holder.
+- The holder records an order before it sends it, in a write that fails if it no
+  longer owns the key. It checks the lease again right before the first byte.
+- A new holder that may follow another one first waits for longer than the
+  lease plus the time that unacknowledged bytes of an order can be delivered.
+
+A process that is suspended between the check and the send can still send late.
+The lease is measured by a clock that keeps counting while the machine is
+suspended, so this only happens if the process is suspended between these two
+instructions.
 """
 
 import random
@@ -35,19 +38,20 @@
 KEY_PREFIX = "mulberrywharf/roles/"
 
 USER_TIMEOUT_S = 0.5
-"""How long the bytes of an order may wait for the engine; one that is alive
-answers within milliseconds."""
+"""TCP user timeout of order connections: how long unacknowledged bytes are
+retransmitted. A working engine responds within milliseconds."""
 
 ERA_NUMBERS_COUNT = 2**32
-"""Fencing numbers of one era, more than any service gives out revisions. Two
-million eras fit the 53 bits of a number that every reader of JSON knows."""
+"""Fencing numbers reserved for one era, more than the revisions that a store
+assigns. Two million eras fit into the 53 bits that every JSON parser reads
+exactly."""
 
 NON_CANDIDATE_INTERVAL_FACTOR = 4.0
-"""Multiplies the look interval of VMs that are not candidates, because each
-look costs a call to the service."""
+"""Multiplies the check interval of VMs that are not candidates, because each
+check costs a call to the store."""
 
 CLOCK_MARGIN_S = 0.5
-"""Allowed error between the clocks of two VMs over one lease."""
+"""Maximum drift between the clocks of two VMs during one lease."""
 
 
 class Duty(NamedTuple):
@@ -80,17 +84,18 @@
 
 
 class HolderTiming(NamedTuple):
-    """How the right to order is sought and kept.
+    """Timing of acquiring and renewing the lease.
 
     Attributes:
-        lease_ttl_s: Length of the lease. Renewals, at a third of it, cost a
-            tenth of a call each; a holder that is gone is followed after so
-            long at the earliest, and roles stay as they are meanwhile.
-        first_look_s: Until the first look at whether somebody holds the key,
-            at the most: all start together, and most then find that another
-            holds it already.
-        look_interval_s: Between two looks; each may be stale and costs a
-            tenth of a call.
+        lease_ttl_s: Length of the lease. It is renewed every third of this
+            time, and each renewal costs a tenth of a call. A failed holder is
+            replaced after this time at the earliest; roles do not change until
+            then.
+        first_look_s: Maximum random delay before the first check whether the
+            key is held. Gateways start at the same time; with the delay, most
+            find that another one already holds the key.
+        look_interval_s: Interval between two checks. A check may read stale
+            data and costs a tenth of a call.
     """
 
     lease_ttl_s: float = 6.0
@@ -99,11 +104,11 @@
 
 
 class Authority(NamedTuple):
-    """The right to order, as it stood when it was asked for.
+    """Proof that this gateway held the duty when it asked.
 
     Attributes:
         number: The fencing number.
-        guard: Holds in the store only as long as the right does.
+        guard: Write condition that fails once the holder key has changed.
     """
 
     number: int
@@ -111,7 +116,7 @@
 
 
 class RoleHolder:
-    """Campaigns for the right to order roles, and tells when it holds."""
+    """Tries to acquire a duty, and tells whether this gateway holds it."""
 
     def __init__(
         self,
@@ -124,17 +129,19 @@
         duty: Duty = ROLES_DUTY,
         is_candidate: Callable[[], bool] = lambda: True,
     ):
-        """Prepares it; nothing is asked for before ``start``.
+        """Creates the holder; ``start`` begins to acquire the duty.
 
         Args:
-            client: The key-value service.
-            vm_id: Names the holder.
-            turn_s: Least time between orders of two holders.
-            timing: The usual one when None.
-            system_clock: Counts also the time of a frozen machine.
+            client: Client of the key-value store.
+            vm_id: Identifies this gateway as the holder.
+            turn_s: Minimum time between orders of two holders, in seconds;
+                the lease is at least as long.
+            timing: Timing of the lease; the defaults if None.
+            system_clock: Clock that keeps counting while the machine is
+                suspended.
             duty: The duty to hold.
-            is_candidate: Whether this VM looks at the usual interval. Other
-                VMs look less often, and take over if no candidate is left.
+            is_candidate: Whether this VM checks at the normal interval. Other
+                VMs check less often, and take over if no candidate is left.
         """
         self._is_candidate = is_candidate
         self._duty = duty
@@ -151,11 +158,11 @@
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins to campaign."""
+        """Starts the task that acquires the duty."""
         self._task = gevent.spawn(self._campaign)
 
     def close(self) -> None:
-        """Gives the right back, if it is held."""
+        """Stops the task and releases the duty if it is held."""
         if self._task is not None:
             self._task.kill()
         self._authority = None
@@ -164,9 +171,9 @@
             self._lease = None
 
     def authority(self) -> Result[Authority, errors.AuthorityLostError]:
-        """Returns the right to order, if it is held now and may be used.
+        """Returns the authority if it is held now and may be used.
 
-        Call it again right before the first byte of an order leaves.
+        Call this again right before the first byte of an order is sent.
         """
         held = self._lease
         if self._authority is None or held is None:
@@ -178,27 +185,29 @@
         now_s = self._clock.monotonic_s()
         ends_s = held.valid_until_monotonic_s - USER_TIMEOUT_S - CLOCK_MARGIN_S
         if now_s >= ends_s:
-            return Err(errors.AuthorityLostError("the lease is nearly over"))
+            return Err(
+                errors.AuthorityLostError("the lease is about to expire")
+            )
         if now_s < self._may_order_from_s:
             return Err(
                 errors.AuthorityLostError(
-                    "an order of the last holder may still be on its way"
+                    "an order of the previous holder may still be in transit"
                 )
             )
         return Ok(self._authority)
 
     def check(self) -> None:
-        """Lets an order pass, or stops it.
+        """Checks that an order may be sent now.
 
         Raises:
-            AuthorityLostError: It must not leave.
+            AuthorityLostError: The order must not be sent.
         """
         held = self.authority()
         if isinstance(held, Err):
             raise held.err_value
 
     def record(self, value: bytes) -> Result[None, errors.PlatformError]:
-        """Records an order before it leaves, if the right is still held."""
+        """Records an order before it is sent, if the duty is still held."""
         held = self.authority()
         if isinstance(held, Err):
             return held
@@ -210,13 +219,18 @@
             purpose=self._duty.name,
         )
         if isinstance(written, Err):
-            # Nobody knows what stands there now; the next holder reads it.
+            # The write may or may not have taken effect; the next holder reads
+            # the record.
             self._give_up(f"an order was not recorded: {written.err_value}")
             return written
         if self._authority is not held.ok_value:
-            # Its answer showed that the service is back from an older copy,
-            # where another key may bear the revision of the guard.
-            return Err(errors.AuthorityLostError("the right was lost"))
+            # The response showed that the store was restored from an older
+            # copy, in which another key may have the guard's revision.
+            return Err(
+                errors.AuthorityLostError(
+                    "the duty was lost while the order was being recorded"
+                )
+            )
         self._record_revision = written.ok_value.mod_revision
         self._last_record = value
         return Ok(None)
@@ -281,7 +295,8 @@
             held.close()
             return
         acquired_s = self._clock.monotonic_s()
-        # Read once the key is held: no order is recorded without it.
+        # Read after the key was acquired: a previous holder can no longer
+        # change the record.
         record = self._client.get(
             self._duty.record_key, purpose=self._duty.name
         )
@@ -294,12 +309,13 @@
             held.close()
             return
         if not held.is_valid():
-            # Lost while the record was read; nobody was told yet.
+            # The lease expired while the record was read; self._lease is not
+            # set yet, so _on_lost ignored it.
             held.close()
             return
-        self._begin(held, created.ok_value, record.ok_value, acquired_s)
+        self._become_holder(held, created.ok_value, record.ok_value, acquired_s)
 
-    def _begin(
+    def _become_holder(
         self,
         held: lease.LeaseHolder,
         key: key_value.KeyValue,
@@ -314,8 +330,9 @@
                 {self._duty.name} if self._duty.is_fencing_checked else ()
             ),
         )
-        # A record that isn't there proves nothing where the service can come
-        # back from an older copy: the last holder's may be lost with it.
+        # Where the store can be restored from an older copy, a missing record
+        # does not prove that no order was sent: the restore may have lost the
+        # previous holder's record.
         takeover = quiet_time.Takeover(
             acquired_s,
             predecessor_unsettled=(
--- a/src/mulberrywharf/authority/role_keeper.py
+++ b/src/mulberrywharf/authority/role_keeper.py
@@ -1,8 +1,8 @@
-"""Orders engines into the roles that their load asks for.
+"""Orders engines to change roles according to their load.
 
-One gateway of the fleet does so, the one that holds the right to. Each round
-begins with what engines say of themselves; nothing is remembered of the rounds
-before but the loads' means and an order that is not settled yet.
+Only the gateway that holds the duty does so. Each round starts by reading the
+reports of the engines. Between rounds, only the mean loads and the orders whose
+outcome is not known yet are kept.
 """
 
 import json
@@ -19,23 +19,25 @@
 from mulberrywharf.engines import role_orders
 from mulberrywharf.policy import role_split
 
-ROUND_S = 1.0
-"""Between two rounds: a report costs a little, and loads are averaged over
-some seconds."""
+ROUND_INTERVAL_S = 1.0
+"""Interval between two rounds: reading a report has a small cost, and loads are
+averaged over several seconds anyway."""
 
-UNSETTLED_S = 10.0
-"""An order without an answer may be carried out for some seconds more. Until
-then, or until the engine shows what became of it, no other one is sent; later
-it can do no harm, since an engine that took another order meanwhile refuses
-it by its number of orders."""
+SETTLE_TIMEOUT_S = 10.0
+"""How long the outcome of an order is awaited. An engine may execute an
+unanswered order seconds later, so no other order is sent until this time has
+passed or the engine's report shows the outcome. After that, a late order is
+harmless: an engine that has accepted another order meanwhile rejects it because
+its expected count of accepted orders no longer matches."""
 
-REPORTING_SHARE = 0.75
-"""Part of the engines that have to report. Some may have crashed a moment ago;
-where more are silent this gateway is cut off from an availability zone, and
-what it sees is no picture of the fleet."""
+MIN_REPORTING_SHARE = 0.75
+"""Share of a service's engines that must report before a change is made. A few
+may have just crashed; if more are missing, this gateway is probably partitioned
+from an availability zone and does not see the whole fleet."""
 
-CALM_S = 3.0
-"""After the store failed a call the list of engines may be old for so long."""
+STALE_LIST_S = 3.0
+"""Time after a failed call to the store during which the list of engines may be
+stale."""
 
 _CONCURRENT_REPORTS_COUNT = 16
 
@@ -45,45 +47,48 @@
 
 
 class Engines(Protocol):
-    """The engines that there are."""
+    """Provides the current engines."""
 
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
-        """Returns the engines of each service that may get new work."""
+        """Returns the engines of each service that may receive new work."""
         ...
 
     def may_ask(self, server: fleet.Server) -> bool:
-        """Tells whether an engine takes anything of this node now."""
+        """Tells whether this node may send an engine anything now."""
         ...
 
     def trouble_age_s(self) -> float:
-        """Returns how long ago the list was last in doubt."""
+        """Returns the time since the list was last possibly stale."""
         ...
 
     def wanted_prefill(self, service: str) -> float | None:
-        """Returns the prefill engines that reading would keep busy."""
+        """Returns how many engines the current prompts keep busy in prefill.
+
+        None if this is unknown.
+        """
         ...
 
 
 class Holder(Protocol):
-    """The right to order."""
+    """Holds the duty of ordering roles."""
 
     def authority(
         self,
     ) -> Result[role_holder.Authority, errors.AuthorityLostError]:
-        """Returns it, if it is held and may be used now."""
+        """Returns the authority if it is held and may be used now."""
         ...
 
     def check(self) -> None:
-        """Raises AuthorityLostError if an order must not leave now."""
+        """Raises AuthorityLostError if an order must not be sent now."""
         ...
 
     def record(self, value: bytes) -> Result[None, errors.PlatformError]:
-        """Records an order before it leaves."""
+        """Records an order before it is sent."""
         ...
 
 
-class _Sent(NamedTuple):
-    """An order whose effect was not seen yet."""
+class _SentOrder(NamedTuple):
+    """An order that was sent, and whether the engine accepted it."""
 
     order: role_orders.RoleOrder
     sent_s: float
@@ -94,7 +99,7 @@
 
 
 class RoleKeeper:
-    """Plans and orders, round by round, while the right to is held."""
+    """Plans and sends role orders in rounds while the duty is held."""
 
     def __init__(
         self,
@@ -106,19 +111,19 @@
         on_accepted: Callable[[fleet.Server], None] = lambda _: None,
         on_restarted: Callable[
             [fleet.ServerStart, fleet.ServerStart], None
-        ] = lambda known, told: None,
+        ] = lambda known, reported: None,
     ):
-        """Makes it; no round begins before ``start``.
+        """Creates it; ``start`` begins the rounds.
 
         Args:
-            holder: The right to order.
-            engines: The engines that there are.
-            client: Speaks to them.
-            vm_id: Names this gateway in orders.
-            system_clock: Measures how long orders are awaited.
-            on_accepted: Called with an engine that has taken an order on.
-            on_restarted: Called with the start that an engine's record
-                shows and the other one that it reports.
+            holder: Holds the duty of ordering roles.
+            engines: Provides the current engines.
+            client: Reads reports and sends orders.
+            vm_id: Identifies this gateway in orders.
+            system_clock: Measures how long the outcome of an order is awaited.
+            on_accepted: Called with an engine that has accepted an order.
+            on_restarted: Called with the start in an engine's record and the
+                different start that the engine reports.
         """
         self._holder = holder
         self._engines = engines
@@ -128,36 +133,37 @@
         self._on_accepted = on_accepted
         self._on_restarted = on_restarted
         self._splits: dict[str, role_split.RoleSplit] = {}
-        self._unsettled: _Sent | None = None
-        self._ordered: dict[fleet.ServerStart, _Sent] = {}
+        self._unsettled: _SentOrder | None = None
+        self._last_orders: dict[fleet.ServerStart, _SentOrder] = {}
         self._last_reason: dict[str, str] = {}
         self._pool = gevent.pool.Pool(_CONCURRENT_REPORTS_COUNT)
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins the rounds."""
+        """Starts the rounds."""
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends them; an order that has left stays recorded."""
+        """Stops the rounds; orders that were sent stay recorded."""
         if self._task is not None:
             self._task.kill()
         self._pool.kill()
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(ROUND_S)
+            gevent.sleep(ROUND_INTERVAL_S)
             if isinstance(self._holder.authority(), Err):
-                # Another may order meanwhile; all is looked at anew then.
+                # Another gateway may send orders until this one holds the duty
+                # again, so the state of earlier rounds is dropped.
                 self._splits.clear()
-                self._ordered.clear()
+                self._last_orders.clear()
                 self._unsettled = None
                 continue
             for service, servers in self._engines.engines().items():
                 self.round(service, servers)
 
     def round(self, service: str, servers: Sequence[fleet.Server]) -> None:
-        """Looks at the engines of one service, and orders one if need be."""
+        """Reads the engines of one service and orders one if necessary."""
         reports = self._reports(servers)
         now_s = self._clock.monotonic_s()
         self._settle(reports, servers, now_s)
@@ -168,23 +174,27 @@
             self._order(decision, report.accepted_count)
 
     def _reports(self, servers: Sequence[fleet.Server]) -> _Reports:
-        """Asks engines; one that reports another start says nothing of this.
+        """Reads the engines' reports, without those of restarted engines.
 
-        Its count of orders began anew, so an order by the old count could be
-        taken on by the new start as if it were meant for it.
+        The count of accepted orders restarts with the engine, so the new start
+        could accept an order that was meant for the old one.
         """
         servers = [one for one in servers if self._engines.may_ask(one)]
-        asked = self._pool.map(self._client.report, servers)
+        results = self._pool.map(self._client.report, servers)
         reports = {}
-        for server, asked_one in zip(servers, asked, strict=True):
-            if isinstance(asked_one, Err):
+        for server, result in zip(servers, results, strict=True):
+            if isinstance(result, Err):
                 continue
-            report = asked_one.ok_value
-            told = server.start._replace(started_unix_ms=report.started_unix_ms)
-            if told == server.start or not _both_told(told, server.start):
+            report = result.ok_value
+            reported = server.start._replace(
+                started_unix_ms=report.started_unix_ms
+            )
+            if reported == server.start or not _both_start_times_known(
+                reported, server.start
+            ):
                 reports[server.start] = report
             else:
-                self._on_restarted(server.start, told)
+                self._on_restarted(server.start, reported)
         return reports
 
     def _decide(
@@ -194,7 +204,7 @@
         reports: _Reports,
         now_s: float,
     ) -> role_split.Decision:
-        if len(reports) < REPORTING_SHARE * len(servers):
+        if len(reports) < MIN_REPORTING_SHARE * len(servers):
             return role_split.Stay("too many engines do not report")
         loads = [
             self._load(one, reports[one.start], now_s)
@@ -207,7 +217,7 @@
         )
         if self._unsettled is not None:
             return role_split.Stay("the last order is not settled")
-        if self._engines.trouble_age_s() < CALM_S:
+        if self._engines.trouble_age_s() < STALE_LIST_S:
             return role_split.Stay("the list of engines may be old")
         return decision
 
@@ -217,16 +227,17 @@
         report: role_orders.EngineReport,
         now_s: float,
     ) -> role_split.EngineLoad:
-        """Returns an engine's load, in the role that it is to have.
+        """Returns an engine's load, in the role that it was ordered to take.
 
-        Reports are some hundred ms old. One that does not show an order yet
-        would have the same engine, or one more, ordered again.
+        Reports are several hundred milliseconds old. With the role from a
+        report that predates the order, the same engine or another one would be
+        ordered again.
         """
-        sent = self._ordered.get(server.start)
+        sent = self._last_orders.get(server.start)
         is_awaited = (
             sent is not None
             and report.role != sent.order.role
-            and now_s - sent.sent_s <= UNSETTLED_S
+            and now_s - sent.sent_s <= SETTLE_TIMEOUT_S
         )
         role = sent.order.role if sent and is_awaited else report.role
         return role_split.EngineLoad(
@@ -248,8 +259,8 @@
         ):
             return
         report = reports.get(sent.order.server.start)
-        # Without an answer the order may still be carried out by the engine's
-        # next start, whose count of orders may be the expected one again.
+        # If the order was not answered, the engine may still execute it after a
+        # restart, when its count of accepted orders can match again.
         has_left = sent.is_accepted and sent.order.server.server_id not in {
             one.server_id for one in servers
         }
@@ -257,7 +268,7 @@
             report is not None
             and report.accepted_count > sent.order.expected_count
         )
-        if has_left or is_taken or now_s - sent.sent_s > UNSETTLED_S:
+        if has_left or is_taken or now_s - sent.sent_s > SETTLE_TIMEOUT_S:
             self._unsettled = None
 
     def _order(self, change: role_split.Change, accepted_count: int) -> None:
@@ -275,9 +286,9 @@
         if isinstance(recorded, Err):
             _log_order(order, recorded.err_value.code)
             return
-        leaves = _Sent(order, self._clock.monotonic_s())
-        self._unsettled = leaves
-        self._ordered[change.server.start] = leaves
+        sent_order = _SentOrder(order, self._clock.monotonic_s())
+        self._unsettled = sent_order
+        self._last_orders[change.server.start] = sent_order
         sent = self._client.send(
             order,
             user_timeout_s=role_holder.USER_TIMEOUT_S,
@@ -286,18 +297,18 @@
         if isinstance(sent, Err) and not isinstance(
             sent.err_value, errors.OrderOutcomeUnknownError
         ):
-            # It has not left, or the engine says that it did not take it.
+            # The order was not sent, or the engine rejected it.
             self._unsettled = None
-            del self._ordered[change.server.start]
+            del self._last_orders[change.server.start]
         if isinstance(sent, Ok):
-            self._unsettled = leaves._replace(is_accepted=True)
+            self._unsettled = sent_order._replace(is_accepted=True)
             self._on_accepted(order.server)
         _log_order(
             order, sent.err_value.code if isinstance(sent, Err) else "accepted"
         )
 
     def _log(self, service: str, decision: role_split.Decision) -> None:
-        """Logs a decision, and one that is the same again only once."""
+        """Logs a decision, unless the last logged one had the same reason."""
         reason = role_split.describe(decision)
         if self._last_reason.get(service) == reason:
             return
@@ -312,12 +323,14 @@
         ).info("roles: {}", reason)
 
 
-def _both_told(one: fleet.ServerStart, other: fleet.ServerStart) -> bool:
+def _both_start_times_known(
+    one: fleet.ServerStart, other: fleet.ServerStart
+) -> bool:
     return None not in (one.started_unix_ms, other.started_unix_ms)
 
 
 def _encode(order: role_orders.RoleOrder) -> bytes:
-    """Returns an order as it is recorded, for the next holder and operators."""
+    """Encodes an order for the record, for the next holder and operators."""
     return json.dumps(
         {
             "holder": order.holder,
--- a/src/mulberrywharf/authority/situation_builder.py
+++ b/src/mulberrywharf/authority/situation_builder.py
@@ -62,9 +62,7 @@
         output = sum(rate[1] for rate in self._rates.values())
         backlog = sum(seen.report.waiting_prompt_tokens for seen in reports)
         offered_prompt = prompt + backlog / _BACKLOG_CLEAR_S
-        output_of_backlog = self._output_of_backlog(
-            prompt, output, offered_prompt
-        )
+        output_of_backlog = self._scaled_output(prompt, output, offered_prompt)
         waiting = _decode_waiting_share(reports)
         return role_planner.Demand(
             prompt_tokens_per_s=offered_prompt,
@@ -98,7 +96,7 @@
             old[1] + weight * (output - old[1]),
         )
 
-    def _output_of_backlog(
+    def _scaled_output(
         self, prompt: float, output: float, offered_prompt: float
     ) -> float:
         if prompt <= 0:
@@ -139,7 +137,7 @@
         utc_minute=situation.utc_minute(now_unix_s),
         prefill_share=_prefill_share(seen, demand),
         queue_delay_s=_queue_delay(seen),
-        engines_lost_count=_lost(engine_ids, reports, vm_list_age_s),
+        engines_lost_count=_lost_engines(engine_ids, reports, vm_list_age_s),
     )
 
 
@@ -150,8 +148,12 @@
     if demand is None:
         return situation.UNKNOWN
     speeds = dedicated_speeds([s.report for s in seen])
-    prefill_speed = _mean([s.prefill_tokens_per_s for s in speeds.values()])
-    decode_speed = _mean([s.decode_tokens_per_s for s in speeds.values()])
+    prefill_speed = _mean_of_positive(
+        [s.prefill_tokens_per_s for s in speeds.values()]
+    )
+    decode_speed = _mean_of_positive(
+        [s.decode_tokens_per_s for s in speeds.values()]
+    )
     if prefill_speed <= 0 or decode_speed <= 0:
         return situation.UNKNOWN
     prefill = demand.prompt_tokens_per_s / prefill_speed
@@ -197,11 +199,11 @@
 ) -> float:
     dedicated = [speed for r, speed in speeds if r == role]
     if dedicated:
-        return _mean(dedicated)
+        return _mean_of_positive(dedicated)
     mixed = [speed for r, speed in speeds if r == "mixed"]
     if mixed:
-        return _mean(mixed) / role_planner.MIXED_EFFICIENCY
-    return _mean([speed for _, speed in speeds])
+        return _mean_of_positive(mixed) / role_planner.MIXED_EFFICIENCY
+    return _mean_of_positive([speed for _, speed in speeds])
 
 
 def _queue_delay(seen: Sequence[SeenReport]) -> situation.Reading:
@@ -215,7 +217,7 @@
     return situation.Reading(waiting / speed, age_s)
 
 
-def _lost(
+def _lost_engines(
     engine_ids: Sequence[str],
     reports: Mapping[str, SeenReport],
     vm_list_age_s: float,
@@ -230,6 +232,6 @@
     return seen.report.state in ("failed", "unknown")
 
 
-def _mean(figures: Sequence[float]) -> float:
+def _mean_of_positive(figures: Sequence[float]) -> float:
     positive = [figure for figure in figures if figure > 0]
     return sum(positive) / len(positive) if positive else 0.0
--- a/src/mulberrywharf/authority/steps.py
+++ b/src/mulberrywharf/authority/steps.py
@@ -1,4 +1,4 @@
-"""What to record and what to send after a finding about an engine."""
+"""Determines what to record and what to send after a finding."""
 
 import functools
 from typing import NamedTuple
@@ -9,13 +9,14 @@
 
 
 class Step(NamedTuple):
-    """What follows from a finding.
+    """Actions that follow from a finding.
 
     Attributes:
-        record: The record to store first, or None.
-        sends_drain: Whether the engine is then told to drain.
-        sends_order: Whether the record's order is then sent.
-        planned: Whether it starts a planned change, which is paced.
+        record: Record to store before anything is sent, or None.
+        sends_drain: Whether to send the drain order then.
+        sends_order: Whether to send the record's order then.
+        planned: Whether this starts a planned change. Only one engine of a
+            zone makes a planned change at a time.
     """
 
     record: OrderRecord | None = None
@@ -25,12 +26,12 @@
 
 
 class StepContext(NamedTuple):
-    """What a step needs besides the finding.
+    """Inputs of a step besides the finding.
 
     Attributes:
-        fencing_number: Of the lease.
-        new_order_id: Unused so far; taken when a new order is recorded.
-        now_unix_s: Wall clock.
+        fencing_number: Fencing number of the lease.
+        new_order_id: Id for a new order, if one is recorded.
+        now_unix_s: Wall clock time.
     """
 
     fencing_number: int
@@ -44,37 +45,38 @@
     raise TypeError(f"not a finding: {finding!r}")
 
 
-@next_step.register(findings.InOrder)
-@next_step.register(findings.Unseen)
+@next_step.register(findings.NoOrderNeeded)
+@next_step.register(findings.NoReport)
 @next_step.register(findings.Waiting)
-def _nothing(finding: object, context: StepContext) -> Step:
+def _no_step(finding: object, context: StepContext) -> Step:
     return Step()
 
 
 @next_step.register
 def _applied(finding: findings.Applied, context: StepContext) -> Step:
-    return Step(_moved(finding.record, "applied", context))
+    return Step(_in_phase(finding.record, "applied", context))
 
 
 @next_step.register
-def _broken(finding: findings.Broken, context: StepContext) -> Step:
+def _not_applied(finding: findings.NotApplied, context: StepContext) -> Step:
     record = finding.record._replace(reason="the engine failed in the change")
-    return Step(_moved(record, "failed", context))
+    return Step(_in_phase(record, "failed", context))
 
 
 @next_step.register
-def _undrained(finding: findings.Undrained, context: StepContext) -> Step:
-    record = _moved(finding.record, "draining", context)
+def _drain_ended(finding: findings.DrainEnded, context: StepContext) -> Step:
+    record = _in_phase(finding.record, "draining", context)
     return Step(record, sends_drain=True)
 
 
 @next_step.register
 def _superseded(finding: findings.Superseded, context: StepContext) -> Step:
-    # Without its role the record no longer says what the engine is to be.
+    # The role is cleared so that the record no longer states the engine's
+    # desired role.
     record = finding.record._replace(
         role="", reason="dropped before it was carried out"
     )
-    return Step(_moved(record, "failed", context))
+    return Step(_in_phase(record, "failed", context))
 
 
 @next_step.register
@@ -85,11 +87,11 @@
         return Step(taken_over, sends_drain=not finding.draining)
     if record.phase == "sent":
         return Step(_under_own_lease(record, context), sends_order=True)
-    return Step(_moved(record, "sent", context), sends_order=True)
+    return Step(_in_phase(record, "sent", context), sends_order=True)
 
 
 @next_step.register
-def _astray(finding: findings.Astray, context: StepContext) -> Step:
+def _new_order(finding: findings.Astray, context: StepContext) -> Step:
     wanted = finding.wanted
     loads = finding.action == "load-model"
     record = OrderRecord(
@@ -114,7 +116,7 @@
     )
 
 
-def _moved(
+def _in_phase(
     record: OrderRecord,
     phase: order_records.OrderPhase,
     context: StepContext,
@@ -129,7 +131,7 @@
 def _under_own_lease(
     record: OrderRecord, context: StepContext
 ) -> OrderRecord | None:
-    """Returns the record taken over, or None when it is own already."""
+    """Returns the record under this lease, or None if it already is."""
     if record.fencing_number == context.fencing_number:
         return None
     return record._replace(
--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -111,7 +111,7 @@
     zone: Zone, actions: rules.Actions
 ) -> tuple[role_planner.PlannerEngine, ...]:
     """Returns the engines that share the work; one that is drained doesn't."""
-    drained_id = _drained_id(actions)
+    drained_id = _drained_engine_id(actions)
     speeds = situation_builder.dedicated_speeds(
         [seen.report for seen in zone.reports.values()]
     )
@@ -122,7 +122,7 @@
     )
 
 
-def _drained_id(actions: rules.Actions) -> str:
+def _drained_engine_id(actions: rules.Actions) -> str:
     drain = actions.get("drain")
     return "" if drain is None else drain["engine_id"]
 
@@ -134,7 +134,9 @@
     return None if split is None else role_planner.RoleCounts(*split)
 
 
-def _is_pointless(engine_id: str, zone: Zone, in_force: RuleInForce) -> bool:
+def _is_change_obsolete(
+    engine_id: str, zone: Zone, in_force: RuleInForce
+) -> bool:
     """Tells whether an engine still drains for a role that is not wanted.
 
     The rules may have changed since. As long as the role change itself has
@@ -230,7 +232,7 @@
     ):
         role = plan.role
         reason = f"{reason}; {plan.reason}"
-    elif _is_pointless(engine_id, zone, in_force):
+    elif _is_change_obsolete(engine_id, zone, in_force):
         role = zone.reports[engine_id].report.role
     wanted = findings.WantedEngine(
         role=role,
@@ -259,4 +261,4 @@
         if record is None or record.phase == "failed":
             return False
         return record.action == "drain"
-    return _drained_id(actions) == engine_id
+    return _drained_engine_id(actions) == engine_id
--- a/tests/authority_faults.py
+++ b/tests/authority_faults.py
@@ -9,10 +9,10 @@
 
 from tests import authority_audit, builders_authority
 
-_CALM_LIMIT_S = 25.0
-_CALM_BEFORE_S = 5.0
+_CONVERGENCE_TIMEOUT_S = 25.0
+_PRE_FAULT_TIMEOUT_S = 5.0
 _FAULTS_COUNT = 3
-_CALM_FOR_ROUNDS_COUNT = 2
+_CONVERGED_ROUNDS_COUNT = 2
 _WINDOW_WAIT_S = 2.0
 GAP_S = 0.05
 """How wide runs make the gap between check and send."""
@@ -78,8 +78,8 @@
             if self._random.random() < 0.5:
                 self._change_rules()
             time.sleep(self._random.uniform(0.0, 0.3))
-        self._heal()
-        return self._judge(tuple(names))
+        self._clear_faults()
+        return self._evaluate(tuple(names))
 
     # --- faults -------------------------------------------------------------
 
@@ -118,13 +118,13 @@
             ("cut", "freeze", "half-open-up", "half-open-down")
         )
         self._zone.set_proxy_faults(name, mode=mode)
-        time.sleep(self._across_lease_s())
+        time.sleep(self._random_outage_s())
         self._zone.set_proxy_faults(name, mode="pass")
 
     def service_down(self) -> None:
         """The key-value service is down for all."""
         self._zone.set_key_value_faults(down=True)
-        time.sleep(self._across_lease_s())
+        time.sleep(self._random_outage_s())
         self._zone.set_key_value_faults()
 
     def lose_answers(self) -> None:
@@ -134,13 +134,15 @@
 
     def crash_engine(self) -> None:
         """An engine fails in the middle of its next change."""
-        self._zone.set_engine_faults(self._an_engine(), crash_mid_change=True)
+        self._zone.set_engine_faults(
+            self._random_engine(), crash_mid_change=True
+        )
 
     def lose_order_answers(self) -> None:
         """Engines take orders and their answers are lost."""
         count = self._random.randint(1, 2)
         self._zone.set_engine_faults(
-            self._an_engine(), drop_order_answers=count
+            self._random_engine(), drop_order_answers=count
         )
 
     def delay_engine(self) -> None:
@@ -148,11 +150,11 @@
         timing = self._zone.timing
         bound_s = timing.margin_s + timing.user_timeout_s
         delay_ms = self._random.uniform(0.1, 0.8) * bound_s * 1000
-        self._zone.set_proxy_faults(self._an_engine(), delay_ms=delay_ms)
+        self._zone.set_proxy_faults(self._random_engine(), delay_ms=delay_ms)
 
     def cut_engine(self) -> None:
         """An engine can't be reached for a while."""
-        engine_id = self._an_engine()
+        engine_id = self._random_engine()
         self._zone.set_proxy_faults(engine_id, mode="cut")
         time.sleep(self._random.uniform(0.1, 0.6))
         self._zone.set_proxy_faults(engine_id, mode="pass")
@@ -163,14 +165,14 @@
         tenures = authority_audit.tenures(history)
         if tenures:
             self._late_allowed.add(tenures[-1].fencing_number)
-        self._zone.take_lease_key_away()
+        self._zone.delete_lease_key()
 
     def send_late_and_lose_lease(self) -> None:
         """A load is on its way when its sender's lease is taken away.
 
         The next holder takes over at once and is told to load another.
         """
-        builders_authority.wait_for(self._is_calm, _CALM_BEFORE_S)
+        builders_authority.wait_for(self._has_converged, _PRE_FAULT_TIMEOUT_S)
         self._change_load()
         if not self._await_new_order(phases=("sent",)):
             return
@@ -202,10 +204,10 @@
     def _freeze(self, index: int) -> None:
         process = self._zone.controllers[index]
         builders_authority.freeze(process)
-        time.sleep(self._across_lease_s())
+        time.sleep(self._random_outage_s())
         builders_authority.thaw(process)
 
-    def _across_lease_s(self) -> float:
+    def _random_outage_s(self) -> float:
         return self._random.uniform(0.4, 2.2) * self._zone.timing.lease_ttl_s
 
     def _holder_or_any(self) -> int:
@@ -216,7 +218,7 @@
             self._restart_dead()
         return index
 
-    def _an_engine(self) -> str:
+    def _random_engine(self) -> str:
         return self._random.choice(sorted(self._zone.engines))
 
     def _change_rules(self) -> None:
@@ -224,13 +226,13 @@
         prefill = self._random.randint(0, count)
         decode = self._random.randint(0, count - prefill)
         self._split = (prefill, decode, count - prefill - decode)
-        self._accept()
+        self._put_configuration()
 
     def _change_load(self) -> None:
         self._model = f"model-{self._seed}-{next(self._model_numbers)}"
-        self._accept()
+        self._put_configuration()
 
-    def _accept(self) -> None:
+    def _put_configuration(self) -> None:
         document = builders_authority.roles_document(*self._split)
         if self._model:
             document["default"]["load"] = {
@@ -240,8 +242,8 @@
             document["models"] = {self._model: {"adapters": [], "versions": []}}
         self._zone.accept(document)
 
-    def _is_calm(self) -> bool:
-        if not self._zone.is_calm(*self._split):
+    def _has_converged(self) -> bool:
+        if not self._zone.has_converged(*self._split):
             return False
         models = [set(r["models"]) for r in self._zone.loads().values()]
         return not self._model or any(self._model in m for m in models)
@@ -253,7 +255,7 @@
                 self._killed_by_fuse_count += code == -signal.SIGALRM
                 self._zone.start_controller(index)
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         self._zone.set_key_value_faults()
         for engine_id in self._zone.engines:
             self._zone.set_proxy_faults(engine_id, mode="pass", delay_ms=0.0)
@@ -262,17 +264,19 @@
             )
         self._restart_dead()
 
-    def _judge(self, names: tuple[str, ...]) -> RunResult:
+    def _evaluate(self, names: tuple[str, ...]) -> RunResult:
         begun_s = time.monotonic()
 
-        def is_calm() -> bool:
+        def has_converged() -> bool:
             self._restart_dead()
-            if not self._is_calm():
+            if not self._has_converged():
                 return False
-            time.sleep(_CALM_FOR_ROUNDS_COUNT * self._zone.timing.evaluate_s)
-            return self._is_calm()
+            time.sleep(_CONVERGED_ROUNDS_COUNT * self._zone.timing.evaluate_s)
+            return self._has_converged()
 
-        calm = builders_authority.wait_for(is_calm, _CALM_LIMIT_S)
+        calm = builders_authority.wait_for(
+            has_converged, _CONVERGENCE_TIMEOUT_S
+        )
         logs = {
             engine_id: [o for o in log if o["unix_s"] >= self._since_unix_s]
             for engine_id, log in self._zone.order_logs().items()
@@ -287,12 +291,12 @@
             names,
             tuple(findings),
             time.monotonic() - begun_s if calm else None,
-            "" if calm else self._left_over(),
+            "" if calm else self._describe_unsettled(),
             self._killed_by_fuse_count,
             tuple(self._stop_codes),
         )
 
-    def _left_over(self) -> str:
+    def _describe_unsettled(self) -> str:
         roles = {
             e: (r["role"], r["state"]) for e, r in self._zone.loads().items()
         }
--- a/tests/builders_authority.py
+++ b/tests/builders_authority.py
@@ -285,7 +285,7 @@
         vm_id = self.holder_vm_id()
         return int(vm_id.rsplit("-", 1)[1]) if vm_id else None
 
-    def take_lease_key_away(self) -> None:
+    def delete_lease_key(self) -> None:
         """Deletes the lease key before its time, as an operator might."""
         order = {"requestDeleteRange": {"key": _base64(LEASE_KEY.encode())}}
         body = {"compare": [], "success": [order]}
@@ -307,7 +307,7 @@
             sum(1 for r in ready if r["role"] == "mixed"),
         )
 
-    def is_calm(self, prefill: int, decode: int, mixed: int = 0) -> bool:
+    def has_converged(self, prefill: int, decode: int, mixed: int = 0) -> bool:
         """Tells whether the zone is as wanted and nothing is in flight."""
         if self.role_counts() != (prefill, decode, mixed):
             return False
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -12,7 +12,7 @@
 from tests import authority_audit, authority_faults, builders_authority
 
 _SEEDS = range(2)
-_RED_SEEDS_COUNT = 12
+_MAX_SEEDS_COUNT = 12
 
 
 def _zone(test: unittest.TestCase, **options) -> builders_authority.Zone:
@@ -23,7 +23,7 @@
     return zone
 
 
-def _first_unclean(
+def _first_unclean_run(
     zone: builders_authority.Zone, fault: str
 ) -> authority_faults.RunResult:
     """Runs seeds until one shows what a mechanism is there for.
@@ -31,11 +31,11 @@
     The instant at which a process is stopped is not exact, so that not
     every run hits it.
     """
-    for seed in range(_RED_SEEDS_COUNT):
+    for seed in range(_MAX_SEEDS_COUNT):
         result = authority_faults.FaultyRun(zone, seed).run([fault])
         if not result.is_clean():
             return result
-    raise AssertionError(f"{_RED_SEEDS_COUNT} runs without the mechanism held")
+    raise AssertionError(f"{_MAX_SEEDS_COUNT} runs without the mechanism held")
 
 
 class AuditTest(unittest.TestCase):
@@ -87,7 +87,9 @@
     def test_it_reaches_the_rules_state_and_stops_gracefully(self):
         zone = _zone(self)
         zone.accept(builders_authority.roles_document(2, 2))
-        self.assertTrue(builders_authority.wait_for(lambda: zone.is_calm(2, 2)))
+        self.assertTrue(
+            builders_authority.wait_for(lambda: zone.has_converged(2, 2))
+        )
         self.assertEqual([c.stop() for c in zone.controllers], [0, 0])
         self.assertIsNone(zone.read(builders_authority.LEASE_KEY))
         self.assertTrue(zone.records().holder.settled)
@@ -102,13 +104,13 @@
         zone = _zone(self)
         zone.accept(builders_authority.roles_document(2, 2))
         wait_for = builders_authority.wait_for
-        self.assertTrue(wait_for(lambda: zone.is_calm(2, 2)))
+        self.assertTrue(wait_for(lambda: zone.has_converged(2, 2)))
         zone.set_key_value_faults(down=True)
         time.sleep(2.5 * zone.timing.lease_ttl_s)
         self.assertEqual([c.poll() for c in zone.controllers], [None, None])
         zone.set_key_value_faults()
         zone.accept(builders_authority.roles_document(3, 1))
-        self.assertTrue(wait_for(lambda: zone.is_calm(3, 1)))
+        self.assertTrue(wait_for(lambda: zone.has_converged(3, 1)))
 
     def test_a_silent_watch_does_not_keep_old_rules_in_force(self):
         """The holder obeys rules that were replaced.
@@ -123,12 +125,12 @@
         zone.accept(builders_authority.roles_document(1, 3))
         zone.start_controller(0)
         wait_for = builders_authority.wait_for
-        self.assertTrue(wait_for(lambda: zone.is_calm(1, 3)))
+        self.assertTrue(wait_for(lambda: zone.has_converged(1, 3)))
         zone.set_proxy_faults("key-value-0", mode="half-open-down")
         zone.accept(builders_authority.roles_document(3, 1))
         time.sleep(0.2)
         zone.set_proxy_faults("key-value-0", mode="pass")
-        self.assertTrue(wait_for(lambda: zone.is_calm(3, 1), 20.0))
+        self.assertTrue(wait_for(lambda: zone.has_converged(3, 1), 20.0))
 
     def test_a_planned_change_cuts_no_stream(self):
         """An engine is to change its role while it writes an answer.
@@ -138,7 +140,9 @@
         zone = _zone(self, engines=1)
         stream = builders_authority.Stream(zone, "engine-0", tokens=300)
         zone.accept(builders_authority.roles_document(0, 1))
-        self.assertTrue(builders_authority.wait_for(lambda: zone.is_calm(0, 1)))
+        self.assertTrue(
+            builders_authority.wait_for(lambda: zone.has_converged(0, 1))
+        )
         self.assertEqual(stream.finish(), 300)
         findings = authority_audit.audit(
             zone.order_logs(), zone.lease_history()
@@ -162,7 +166,7 @@
 
         self.assertTrue(builders_authority.wait_for(lambda: len(loaded()) == 3))
         self.assertTrue(
-            builders_authority.wait_for(lambda: zone.is_calm(0, 0, 4))
+            builders_authority.wait_for(lambda: zone.has_converged(0, 0, 4))
         )
         allowed = {load["engine_id"] for load in zone.weight_loads()}
         self.assertEqual(allowed, set(loaded()))
@@ -192,7 +196,7 @@
         fault = "freeze_before_send"
         clean = authority_faults.FaultyRun(_zone(self), 0).run([fault])
         self.assertTrue(clean.is_clean(), clean)
-        unclean = _first_unclean(_zone(self, mechanism_off="fuse"), fault)
+        unclean = _first_unclean_run(_zone(self, mechanism_off="fuse"), fault)
         self.assertIn("late", [f.kind for f in unclean.findings])
 
     def test_an_order_on_its_way_when_the_lease_is_taken_away(self):
@@ -209,7 +213,7 @@
             clean = authority_faults.FaultyRun(zone, seed).run([fault])
             self.assertTrue(clean.is_clean(), clean)
         zone = _zone(self, engines=1, mechanism_off="quiet")
-        unclean = _first_unclean(zone, fault)
+        unclean = _first_unclean_run(zone, fault)
         kinds = {f.kind for f in unclean.findings}
         self.assertTrue(kinds & {"busy", "inverted", "overlap"}, unclean)
 
--- a/tests/test_lease_fuse.py
+++ b/tests/test_lease_fuse.py
@@ -1,4 +1,4 @@
-"""The lease fuse: no order after the lease, whatever froze the process."""
+"""Tests that a suspended process sends no order after its lease has ended."""
 
 import pathlib
 import signal
@@ -16,9 +16,8 @@
 _MARGIN_S = 0.1
 _TRIES = 5
 
-# Writes the wall clock as fast as it can for as long as it believes in its
-# lease. The belief is checked in the loop, the write follows some lines on:
-# it's between the two that a process may be frozen.
+# Prints the wall clock time in a loop until the lease ends by its own clock.
+# The process may be suspended between the check in the loop and the write.
 _WRITER = """
 import sys, time
 from mulberrywharf import clock
@@ -39,7 +38,7 @@
 
 
 class _FakeClock:
-    """Two clocks that a test sets."""
+    """A monotonic and a wall clock that a test sets."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -71,12 +70,12 @@
                 clock.now_s = 100.0 + later_s
                 self.assertEqual(fuse.holds(), holds)
 
-    def test_a_pause_that_only_the_wall_clock_shows_ends_authority(self):
-        """A whole VM is paused: its monotonic clock and timers stop too.
+    def test_vm_pause_that_only_the_wall_clock_shows_ends_authority(self):
+        """Guards against an order sent minutes after a takeover.
 
-        Symptom: an order minutes after another controller took over.
-        Sequence: renewal, pause of the VM, resume; the monotonic clock says
-        that no time has passed. The wall clock, set by the host, does.
+        The whole VM is paused after a renewal, so its monotonic clock and its
+        timers stop too. Only the wall clock, which the host sets, shows the
+        pause.
         """
         clock = _FakeClock()
         fuse = _fuse(clock)
@@ -86,14 +85,14 @@
         with self.assertRaises(errors.AuthorityLostError):
             fuse.check()
 
-    def test_a_pause_during_the_renewal_counts(self):
+    def test_vm_pause_during_the_renewal_ends_authority(self):
         clock = _FakeClock()
         fuse = _fuse(clock)
         clock.offset_s += 60.0
         fuse.renewed(110.0)
         self.assertFalse(fuse.holds())
 
-    def test_step_down_ends_authority_at_once(self):
+    def test_step_down_ends_authority_immediately(self):
         fuse = _fuse(_FakeClock())
         fuse.renewed(110.0)
         fuse.step_down()
@@ -104,12 +103,12 @@
     def tearDown(self):
         signal.setitimer(signal.ITIMER_REAL, 0)
 
-    def test_a_pause_while_arming_does_not_delay_the_timer(self):
-        """The process is frozen between reading the clock and arming.
+    def test_suspension_while_arming_does_not_delay_the_timer(self):
+        """Guards against a timer that fires after the lease has ended.
 
-        Symptom: a second pause outlives the lease, since the timer was set
-        for a span that began earlier than its arming. The timer is read
-        back and armed anew.
+        The process is suspended between reading the clock and arming the timer,
+        whose duration is then too long. The timer must be read back and armed
+        again.
         """
 
         class PausedOnce(_FakeClock):
@@ -117,7 +116,8 @@
 
             def monotonic_s(self) -> float:
                 self.reads_count += 1
-                # Read 1 is the offset's; the pause follows read 2.
+                # The first read is for the offset; the process is suspended
+                # after the second.
                 if self.reads_count == 3:
                     self.now_s += 30.0
                 return self.now_s
@@ -129,40 +129,39 @@
         left_s, _ = signal.getitimer(signal.ITIMER_REAL)
         self.assertAlmostEqual(left_s, 30.0, delta=1.0)
 
-    def test_a_spent_lease_is_not_armed(self):
+    def test_timer_is_not_armed_without_lease_time_left(self):
         fuse = lease_fuse.LeaseFuse(
             _FakeClock(), margin_s=1.0, user_timeout_s=2.0
         )
         self.assertFalse(fuse.renewed(100.5))
 
 
-class FrozenProcessTest(unittest.TestCase):
-    def test_a_process_frozen_past_its_lease_writes_no_more(self):
-        """A paused process wakes believing that it still holds its lease.
+class SuspendedProcessTest(unittest.TestCase):
+    def test_process_suspended_past_its_lease_is_killed(self):
+        """Guards against an order of a process whose lease has expired.
 
-        Symptom: an engine takes an order of a process whose lease lapsed
-        while it slept. Sequence: check of the lease, SIGSTOP, lapse,
-        SIGCONT, send. Cause: no check can run between waking and the next
-        instruction; the kernel's timer can.
+        The process is stopped by SIGSTOP between the check of its lease and the
+        send, and resumes by SIGCONT after the lease has expired. No check can
+        run before its next instruction, but the kernel's timer can end it.
         """
         for _ in range(_TRIES):
-            end_s, written_s, exit_code = _run_frozen("on")
+            end_s, written_s, exit_code = _run_suspended("on")
             self.assertLessEqual(max(written_s, default=0.0), end_s)
             self.assertEqual(exit_code, -signal.SIGALRM)
 
-    def test_without_the_fuse_it_writes_after_its_lease(self):
+    def test_without_the_timer_a_process_writes_after_its_lease(self):
         late_count = 0
         for _ in range(_TRIES):
-            end_s, written_s, _ = _run_frozen("off")
+            end_s, written_s, _ = _run_suspended("off")
             late_count += max(written_s) > end_s
         self.assertGreater(late_count, 0)
 
 
-def _run_frozen(fuse: str) -> tuple[float, list[float], int]:
-    """Freezes a writer across its lease's end.
+def _run_suspended(fuse: str) -> tuple[float, list[float], int]:
+    """Suspends a writing process until its lease has ended.
 
     Returns:
-        The lease's end, the instants of the writes, the exit code.
+        The end of the lease, the times of the writes and the exit code.
     """
     arguments = [str(_LEASE_S), str(_MARGIN_S), fuse]
     with tempfile.NamedTemporaryFile("w") as file:
--- a/tests/test_order_records.py
+++ b/tests/test_order_records.py
@@ -1,4 +1,4 @@
-"""The zone's order records and their guarded writes."""
+"""Tests the order records of a zone and their conditional writes."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class EncodingTest(unittest.TestCase):
-    def test_records_survive_encoding(self):
+    def test_records_round_trip(self):
         records = order_records.ZoneRecords(
             order_records.Holder("entry-1", 7, settled=True),
             {"engine-1": builders_authority.order_record(model="verdict")},
@@ -22,7 +22,7 @@
         self.assertEqual(order_records.decode(value), Ok(records))
         self.assertEqual(order_records.write_id_of(value), "7-1")
 
-    def test_what_cannot_be_read_is_a_typed_failure(self):
+    def test_invalid_value_is_an_order_records_error(self):
         for value in (b"", b"[]", b'{"records": {}}', b"\xff"):
             with self.subTest(value=value):
                 decoded = order_records.decode(value)
@@ -30,7 +30,7 @@
                     decoded.err_value, errors.OrderRecordsError
                 )
 
-    def test_routers_see_which_engines_get_no_new_work(self):
+    def test_drained_engines_follow_from_action_and_phase(self):
         cases = (
             ("set-role", "recorded", False),
             ("set-role", "draining", True),
@@ -48,7 +48,7 @@
                 records = order_records.ZoneRecords(None, {"e": record})
                 self.assertEqual("e" in records.drained_engine_ids(), drained)
 
-    def test_records_of_engines_long_gone_are_dropped(self):
+    def test_records_of_removed_engines_are_dropped_after_a_day(self):
         old = builders_authority.order_record(recorded_unix_s=1_000.0)
         new = builders_authority.order_record(recorded_unix_s=90_000.0)
         records = order_records.ZoneRecords(
@@ -57,7 +57,7 @@
         kept = records.without_gone({"here"}, 100_000.0).records
         self.assertEqual(set(kept), {"here", "just-gone"})
 
-    def test_the_role_is_sent_only_with_a_role_change(self):
+    def test_role_is_sent_only_with_a_role_change(self):
         record = builders_authority.order_record(action="resume")
         self.assertEqual(record.order(9).role, "")
         self.assertEqual(
@@ -98,17 +98,17 @@
         record = builders_authority.order_record(**changes)
         return order_records.ZoneRecords(holder, {"engine-1": record})
 
-    def test_what_is_written_is_read_by_the_next_holder(self):
+    def test_next_holder_reads_the_written_records(self):
         proof = self._take_lease()
         records = self._records(proof)
         self._store().write(records, proof).unwrap()
         self.assertEqual(self._store().zone_records, records)
 
-    def test_a_lost_answer_is_resolved_by_reading_back(self):
-        """A write takes effect and its answer is lost.
+    def test_lost_response_is_resolved_by_reading_back(self):
+        """Guards against a holder that treats a lost response as a failure.
 
-        Symptom: the holder believes that its order isn't recorded and gives
-        up its lease, or records it twice.
+        The write took effect. The holder would give up its lease, or record the
+        order twice.
         """
         proof = self._take_lease()
         store = self._store()
@@ -118,12 +118,12 @@
         store.write(later, proof).unwrap()
         self.assertEqual(self._store().zone_records, later)
 
-    def test_a_deposed_holder_cannot_write(self):
-        """A holder is frozen, its lease lapses, another takes over.
+    def test_former_holder_cannot_write(self):
+        """Guards against records overwritten by a process without authority.
 
-        Symptom: records of the new holder are overwritten by a process
-        without authority. The new holder has written nothing yet, so that
-        the revision of the records alone doesn't tell.
+        A holder is suspended, its lease expires and another one takes over. The
+        new holder has not written yet, so the revision of the records is
+        unchanged and only the lease key shows the takeover.
         """
         proof = self._take_lease()
         store = self._store()
@@ -133,13 +133,13 @@
         self.assertIsInstance(written.err_value, errors.AuthorityLostError)
         self.assertIsNone(self.client.get(_KEY, purpose="test").unwrap())
 
-    def test_without_the_guard_a_deposed_holder_writes(self):
+    def test_without_the_guard_a_former_holder_writes(self):
         proof = self._take_lease()
         store = self._store(guarded=False)
         self.client.delete(_LEASE_KEY, purpose="test").unwrap()
         self.assertIsInstance(store.write(self._records(proof), proof), Ok)
 
-    def test_another_holders_records_are_not_overwritten(self):
+    def test_records_of_another_holder_are_not_overwritten(self):
         proof = self._take_lease()
         store = self._store(guarded=False)
         other = self._records(record_store.LeaseKey(_LEASE_KEY, 99_999))
@@ -150,7 +150,7 @@
         self.assertIsInstance(written.err_value, errors.AuthorityLostError)
         self.assertTrue(store.must_load)
 
-    def test_an_unreachable_service_leaves_the_outcome_open(self):
+    def test_unreachable_service_leaves_the_outcome_unknown(self):
         proof = self._take_lease()
         store = self._store()
         self.standin.set_faults(down=True)
--- a/tests/test_quiet_time.py
+++ b/tests/test_quiet_time.py
@@ -1,4 +1,4 @@
-"""When a new lease holder may order which engine."""
+"""Tests when a new lease holder may order an engine."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class QuietTimeTest(unittest.TestCase):
-    def test_only_engines_that_ignore_the_number_need_it(self):
+    def test_only_engines_that_ignore_fencing_numbers_are_waited_for(self):
         cases = (
             ("careful", True, 100.0),
             ("careless", True, 112.5),
@@ -20,14 +20,14 @@
                 takeover = quiet_time.Takeover(100.0, unsettled)
                 self.assertEqual(_QUIET.ends_s(takeover, kind), ends_s)
 
-    def test_a_holder_that_leaves_early_does_not_end_its_predecessors_time(
+    def test_holder_that_leaves_early_does_not_end_its_predecessors_wait(
         self,
     ):
-        """A holder is released within its own quiet time.
+        """Guards against an order of the last holder but one arriving late.
 
-        Symptom: the next holder orders at once and an order of the last but
-        one arrives after it. Cause: "settled" was taken for more than the
-        releasing holder could know.
+        A holder releases the lease before its own wait has ended. It must not
+        record that all orders are settled, or the next holder orders
+        immediately.
         """
         takeover = quiet_time.Takeover(100.0, True)
         self.assertFalse(_QUIET.all_over(takeover, 112.0))
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""What follows from an engine's record, its report and the wanted state."""
+"""Tests the findings about an engine and the steps that follow from them."""
 
 import unittest
 
@@ -26,9 +26,14 @@
         loading = _PREFILL._replace(role="", model="waiver", adapter="es")
         both = ("verdict", "waiver")
         cases = (
-            ("no report", _PREFILL, None, findings.Unseen),
-            ("as wanted", _PREFILL, _report(role="prefill"), findings.InOrder),
-            ("no configuration", None, _report(), findings.InOrder),
+            ("no report", _PREFILL, None, findings.NoReport),
+            (
+                "as wanted",
+                _PREFILL,
+                _report(role="prefill"),
+                findings.NoOrderNeeded,
+            ),
+            ("no configuration", None, _report(), findings.NoOrderNeeded),
             ("other role", _PREFILL, _report(), "set-role"),
             ("failed", _MIXED, _report(state="failed"), "set-role"),
             ("no model", loading, _report(), "load-model"),
@@ -62,7 +67,13 @@
             ("unwanted, own", _record(), _MIXED, fresh, findings.Unfinished),
             ("unwanted, old", other, _MIXED, fresh, findings.Superseded),
             ("unwanted drain", draining, _MIXED, fresh, findings.Superseded),
-            ("unknown wish", draining, None, fresh, findings.Unfinished),
+            (
+                "unknown wanted state",
+                draining,
+                None,
+                fresh,
+                findings.Unfinished,
+            ),
             (
                 "unwanted, old, but the report is older",
                 other,
@@ -76,11 +87,12 @@
                 finding = _find(wanted=wanted, record=record, report=report)
                 self.assertIsInstance(finding, expected)
 
-    def test_a_crash_in_mid_change_is_seen(self):
-        """An engine crashes in mid-change and comes back as nobody ordered.
+    def test_crash_during_a_change_is_detected(self):
+        """Guards against an engine that stays failed forever.
 
-        Symptom: the engine stays failed for ever, since its order is in
-        flight and repeating the same id is ignored as a duplicate.
+        It crashes during a change and returns in a state that was not ordered.
+        Its order is still in flight, and a repeated order with the same id is
+        ignored as a duplicate.
         """
         crashed = (
             _report(state="failed", role="decode"),
@@ -89,24 +101,24 @@
         for report in crashed:
             with self.subTest(state=report.state):
                 finding = _find(record=_record(), report=report)
-                self.assertIsInstance(finding, findings.Broken)
+                self.assertIsInstance(finding, findings.NotApplied)
         old = _report(state="failed", reported_unix_s=900.1)
         self.assertIsInstance(
             _find(record=_record(), report=old), findings.Unfinished
         )
 
-    def test_an_order_that_another_overtook_is_not_in_flight_for_ever(self):
-        """An engine names the last order it applied, which isn't ours.
+    def test_accepted_order_ends_if_another_is_reported(self):
+        """Guards against an order that stays ``sent`` forever.
 
-        Symptom: an order stays ``sent`` and the engine is never ordered
-        again. Sequence: our order is accepted and applied, a late one of an
-        earlier holder follows before the next report. Seen in seeded runs
-        with the quiet time off.
+        The order is accepted and applied, but a late order of an earlier holder
+        follows before the next report, which contains only the last one. The
+        engine would never be ordered again. Seen in seeded runs in which a new
+        holder did not wait for earlier orders.
         """
         cases = (
             ("prefill", 900.4, findings.Unfinished),
             ("prefill", 902.0, findings.Applied),
-            ("decode", 902.0, findings.Broken),
+            ("decode", 902.0, findings.NotApplied),
         )
         for role, reported_unix_s, expected in cases:
             with self.subTest(role=role, reported_unix_s=reported_unix_s):
@@ -121,16 +133,16 @@
                 finding = reconcile.find(facts, _HOLDER)
                 self.assertIsInstance(finding, expected)
 
-    def test_an_engine_that_serves_again_is_drained_anew(self):
-        """An engine drains for an order, then takes up work again.
+    def test_engine_that_serves_again_is_drained_again(self):
+        """Guards against an order that stays ``draining`` forever.
 
-        Symptom: the order stays ``draining`` for ever, since the repeated
-        drain has an id that the engine has seen. Seen in seeded runs with
-        the quiet time off, where a late order ended the draining.
+        A late order ends the drain, and a repeated drain order is ignored
+        because the engine has seen its id. Seen in seeded runs in which a new
+        holder did not wait for earlier orders.
         """
         record = _record(phase="draining")
         cases = ((901.2, False), (902.0, True))
-        for reported_unix_s, anew in cases:
+        for reported_unix_s, is_new_id in cases:
             with self.subTest(reported_unix_s=reported_unix_s):
                 report = _report(reported_unix_s=reported_unix_s)
                 facts = findings.EngineFacts(
@@ -141,15 +153,15 @@
                 self.assertTrue(step.sends_drain)
                 next_record = step.record or record
                 changed = next_record.drain_order(7) != record.drain_order(7)
-                self.assertEqual(changed, anew)
+                self.assertEqual(changed, is_new_id)
 
-    def test_an_engine_that_lost_its_ordered_role_is_noticed(self):
+    def test_engine_that_lost_its_ordered_role_is_detected(self):
         record = _record(phase="applied")
         finding = _find(record=record, report=_report(role="decode"))
-        self.assertTrue(finding.unordered)
+        self.assertTrue(finding.unexplained)
         self.assertEqual(finding.wanted.role, "prefill")
 
-    def test_quiet_time_forbids_all_but_taking_notice(self):
+    def test_applied_orders_are_noted_while_no_order_may_be_sent(self):
         quiet = _HOLDER._replace(quiet=True)
         done = _report(role="prefill", order_id="order-1")
         self.assertIsInstance(
@@ -163,12 +175,11 @@
 
 
 class NextStepTest(unittest.TestCase):
-    def test_a_change_drains_before_it_is_sent(self):
-        """A planned change must cut no stream.
+    def test_change_is_sent_after_the_engine_drained(self):
+        """Guards against a stream that is cut by a planned change.
 
-        Symptom: a verdict ends half way when its engine changes role. The
-        change is sent only once a report that was taken after the engine
-        stopped new work says that it has none left.
+        The change is sent only after the engine has reported that it accepts no
+        new work and has none left.
         """
         step = steps.next_step(_find(report=_report()), _CONTEXT)
         self.assertEqual(step.record.phase, "draining")
@@ -190,19 +201,19 @@
                 self.assertEqual(step.sends_drain, drains)
                 self.assertEqual(step.sends_order, sends)
 
-    def test_a_failed_engine_is_not_drained(self):
+    def test_failed_engine_is_not_drained(self):
         step = steps.next_step(_find(report=_report(state="failed")), _CONTEXT)
         self.assertTrue(step.sends_order)
         self.assertEqual(step.record.phase, "sent")
 
-    def test_a_taken_over_order_is_recorded_anew_before_it_is_sent(self):
+    def test_order_of_an_earlier_holder_is_recorded_again_before_sending(self):
         record = _record(fencing_number=5)
         finding = _find(record=record, report=_report())
         step = steps.next_step(finding, _CONTEXT)
         self.assertEqual(step.record.fencing_number, 7)
         self.assertEqual(step.record.order_id, record.order_id)
 
-    def test_a_dropped_order_no_longer_says_the_role(self):
+    def test_dropped_order_loses_its_role(self):
         finding = findings.Superseded(_record(phase="draining"))
         step = steps.next_step(finding, _CONTEXT)
         self.assertEqual((step.record.phase, step.record.role), ("failed", ""))
--- a/tests/test_role_holder.py
+++ b/tests/test_role_holder.py
@@ -1,4 +1,4 @@
-"""Who may order roles: one at a time, and never too late."""
+"""Tests that at most one gateway at a time may order roles."""
 
 import unittest
 
@@ -17,13 +17,13 @@
 )
 
 
-class _FrozenClock(clock.BootClock):
-    """A clock on which a freeze of the machine is played."""
+class _SuspendableClock(clock.BootClock):
+    """A clock on which tests simulate a suspended machine."""
 
-    frozen_s = 0.0
+    suspended_s = 0.0
 
     def monotonic_s(self) -> float:
-        return super().monotonic_s() + self.frozen_s
+        return super().monotonic_s() + self.suspended_s
 
 
 class RoleHolderTest(unittest.TestCase):
@@ -60,11 +60,11 @@
         assert number is not None
         return number
 
-    def test_one_of_several_holds(self) -> None:
-        """Two gateways order the same engine at once.
+    def test_only_one_of_several_gateways_holds_the_duty(self) -> None:
+        """Guards against two gateways that order the same engine.
 
-        Sequence: all start together and find the key free. Cause: whoever
-        found it free took it for its own.
+        All start together and find the key free; finding it free must not be
+        enough to hold it.
         """
         holders = [self.start(f"vm-{n}") for n in range(4)]
         builders_platform.wait_until(
@@ -74,15 +74,15 @@
         held = [one for one in holders if self.number(one)]
         self.assertEqual(len(held), 1)
 
-    def test_the_first_holder_may_order_at_once(self) -> None:
+    def test_first_holder_may_order_immediately(self) -> None:
         self.assertGreater(self.wait_for(self.start()), 0)
 
-    def test_who_follows_has_a_higher_number_and_waits(self) -> None:
-        """An engine gets orders of two holders within a second.
+    def test_next_holder_has_a_higher_number_and_waits(self) -> None:
+        """Guards against orders of two holders that arrive out of order.
 
-        Sequence: the holder orders and stops; the next one takes the key at
-        once and orders too. Cause: bytes of the last order may be on their
-        way for as long as the lease and the timeout of their connection.
+        The holder sends an order and stops, and the next one acquires the key
+        immediately. Bytes of the last order may be in transit for as long as
+        the lease plus the timeout of their connection.
         """
         first = self.start()
         number = self.wait_for(first)
@@ -94,11 +94,11 @@
         waited_s = clock.BootClock().monotonic_s() - began_s
         self.assertGreaterEqual(waited_s, QUIET_S - 0.1)
 
-    def test_without_the_store_the_right_ends_before_the_lease(self) -> None:
-        """A holder that lost the store orders on.
+    def test_authority_ends_before_the_lease_if_the_store_is_down(self) -> None:
+        """Guards against a holder that sends orders after its lease expired.
 
-        Sequence: the holder is cut off from the store; its lease lapses there
-        and another takes over. Cause: only the store's answer ended it.
+        The holder is partitioned from the store, where its lease expires and
+        another gateway takes over. It must not need a response to notice.
         """
         holder = self.start()
         self.wait_for(holder)
@@ -108,27 +108,25 @@
         lasted_s = clock.BootClock().monotonic_s() - began_s
         self.assertLess(lasted_s, TIMING.lease_ttl_s)
 
-    def test_a_frozen_holder_wakes_without_the_right(self) -> None:
-        """A holder that slept through its lease orders on waking.
+    def test_suspended_holder_resumes_without_authority(self) -> None:
+        """Guards against orders of a holder that was suspended past its lease.
 
-        Sequence: its machine is frozen for longer than the lease; the
-        monotonic clock stands still meanwhile. Cause: the lease was measured
-        by that clock.
+        The usual monotonic clock stops while the machine is suspended, so the
+        lease must not be measured by it.
         """
-        frozen = _FrozenClock()
+        frozen = _SuspendableClock()
         holder = self.start(system_clock=frozen)
         self.wait_for(holder)
-        frozen.frozen_s = TIMING.lease_ttl_s
+        frozen.suspended_s = TIMING.lease_ttl_s
         self.assertIsInstance(holder.authority(), Err)
         with self.assertRaises(errors.AuthorityLostError):
             holder.check()
 
     def test_no_order_is_recorded_without_the_key(self) -> None:
-        """A holder whose key is gone records an order and sends it.
+        """Guards against a holder that lost its key but still sends orders.
 
-        Sequence: the key is deleted, as by a lease that lapsed, and another
-        takes it; the first holder has not noticed. Cause: the record was
-        written without a look at the key.
+        The key is deleted, as when the lease expires, and the holder has not
+        noticed. The write of the record must fail if the key has changed.
         """
         holder = self.start()
         self.wait_for(holder)
--- a/tests/test_role_keeper.py
+++ b/tests/test_role_keeper.py
@@ -1,4 +1,4 @@
-"""Orders of roles: recorded first, one at a time, settled before the next."""
+"""Tests that role orders are recorded first and sent one at a time."""
 
 import unittest
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class _Holder:
-    """The right to order, as tests set it."""
+    """A holder that tests control."""
 
     def __init__(self) -> None:
         self.is_held = True
@@ -49,7 +49,7 @@
 
 
 class _Engines:
-    """A list of engines that is never in doubt."""
+    """A list of engines whose age tests set."""
 
     age_s = 1000.0
     wanted = 1.4
@@ -69,7 +69,7 @@
 
 
 class _Engine:
-    """An engine that reports and takes orders."""
+    """An engine that reports and accepts orders."""
 
     def __init__(self, role: str, running_count: int):
         self.role = role
@@ -154,13 +154,13 @@
     def sent(self) -> list[dict[str, Any]]:
         return [order for engine in self.engines for order in engine.orders]
 
-    def test_engines_that_want_rest_are_not_asked(self) -> None:
-        """Orders and reports reach an engine that has asked for rest."""
+    def test_engines_that_may_not_be_asked_receive_nothing(self) -> None:
+        """Guards against calls to an engine that asked for a pause."""
         self.listed.resting = frozenset({"e0", "e1", "e2", "e3"})
         self.rounds(3)
         self.assertEqual([one.requests for one in self.scripted], [[]] * 4)
 
-    def test_an_engine_is_ordered_as_its_report_stood(self) -> None:
+    def test_order_expects_the_count_in_the_report(self) -> None:
         self.rounds(8)
         (order,) = self.sent()
         self.assertEqual(
@@ -176,31 +176,29 @@
         (recorded,) = self.holder.recorded
         self.assertEqual(recorded["server_id"], "e1")
 
-    def test_nothing_leaves_without_a_record(self) -> None:
+    def test_unrecorded_order_is_not_sent(self) -> None:
         self.holder.record = lambda value: Err(  # type: ignore[method-assign]
             errors.PlatformUnavailableError("away")
         )
         self.rounds(12)
         self.assertEqual(self.sent(), [])
 
-    def test_nothing_leaves_once_the_right_is_lost(self) -> None:
-        """An order leaves after another holder has taken over.
+    def test_no_order_is_sent_after_the_authority_is_lost(self) -> None:
+        """Guards against an order that is sent after a takeover.
 
-        Sequence: the order is recorded; while its connection is opened the
-        lease runs out. Cause: the right was checked before, not right before
-        the first byte.
+        The lease ends after the order was recorded, while its connection is
+        being opened. The authority must be checked right before the first byte.
         """
         self.holder.may_send = False
         self.rounds(12)
         self.assertEqual(self.sent(), [])
         self.assertGreater(len(self.holder.recorded), 0)
 
-    def test_an_order_without_an_answer_is_settled_first(self) -> None:
-        """Two engines leave their role although one was to.
+    def test_unanswered_order_delays_the_next_one(self) -> None:
+        """Guards against two engines that change although one was needed.
 
-        Sequence: an order's answer is lost; the engine carries it out seconds
-        later, when another engine was ordered too. Cause: no answer was taken
-        for no order.
+        The response to an order is lost, and the engine executes it seconds
+        later. Another engine must not be ordered meanwhile.
         """
         for engine in self.engines:
             engine.answers_orders = False
@@ -210,7 +208,7 @@
         self.rounds(12)
         self.assertGreater(len(self.sent()), 1)
 
-    def test_an_order_that_shows_in_a_report_is_settled(self) -> None:
+    def test_reported_order_is_settled(self) -> None:
         self.engines[1].answers_orders = False
         self.rounds(8)
         self.assertEqual(len(self.sent()), 1)
@@ -219,13 +217,15 @@
         self.rounds(8)
         self.assertEqual(len(self.sent()), 1)
 
-    def test_an_order_that_a_new_start_may_take_is_not_settled(self) -> None:
-        """An engine that has just started is ordered twice.
+    def test_order_that_a_restarted_engine_may_accept_is_not_settled(
+        self,
+    ) -> None:
+        """Guards against two orders to an engine that has just restarted.
 
-        Sequence: an order's answer is lost, and the engine starts again under
-        its id; the order is carried out late, by the new start, whose count of
-        orders matches again. Cause: the engine's earlier start counted as
-        left, and another order was sent beside the one under way.
+        The response to an order is lost, and the engine restarts under the same
+        id. Its count of accepted orders then matches again, so it may execute
+        the order late. The earlier start must not be treated as gone while the
+        order may still arrive.
         """
         for number, engine in enumerate(self.engines):
             engine.born = 1_000
@@ -239,8 +239,8 @@
         self.rounds(5)
         self.assertEqual(len(self.sent()), 1)
 
-    def test_an_engine_that_started_again_is_not_ordered(self) -> None:
-        """An order meant for one start is sent to the next one."""
+    def test_restarted_engine_is_not_ordered(self) -> None:
+        """Guards against an order for one start that is sent to the next."""
         for number, engine in enumerate(self.engines):
             engine.born = 2_000
             self.servers[number] = _started(self.servers[number], 1_000)
@@ -249,14 +249,14 @@
         starts = fleet.ServerStart("e1", 1_000), fleet.ServerStart("e1", 2_000)
         self.assertIn(starts, self.restarted)
 
-    def test_a_refused_order_is_no_order(self) -> None:
+    def test_rejected_order_does_not_delay_the_next_one(self) -> None:
         for engine in self.engines:
             engine.status = b"409 Conflict"
             engine.takes_orders = False
         self.rounds(12)
         self.assertGreater(len(self.sent()), 1)
 
-    def test_engines_that_do_not_report_stop_all(self) -> None:
+    def test_no_order_while_too_few_engines_report(self) -> None:
         for number in (2, 3):
             self.servers[number] = self.servers[number]._replace(
                 address=fleet.Address("127.0.0.1", 1)
@@ -264,7 +264,7 @@
         self.rounds(10)
         self.assertEqual(self.sent(), [])
 
-    def test_a_list_in_doubt_stops_all(self) -> None:
+    def test_no_order_while_the_list_may_be_stale(self) -> None:
         self.listed.age_s = 1.0
         self.rounds(10)
         self.assertEqual(self.sent(), [])
