--- a/src/mulberrywharf/authority/__init__.py
+++ b/src/mulberrywharf/authority/__init__.py
@@ -1,1 +1,1 @@
-"""Authority over engines: lease, fuse, order records, reconciliation."""
+"""Ensures that one process at a time orders engines, and decides the orders."""
--- a/src/mulberrywharf/authority/situation_builder.py
+++ b/src/mulberrywharf/authority/situation_builder.py
@@ -1,4 +1,4 @@
-"""Measures the zone: demand, queue delay, engines lost, with their ages."""
+"""Measures a zone's demand, queue delay and lost engines, with their ages."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -13,11 +13,11 @@
 
 
 class SeenReport(NamedTuple):
-    """A report and its age.
+    """A load report and its age.
 
     Attributes:
-        report: What the engine said.
-        age_s: How long ago the engine took the figures.
+        report: Report of the engine.
+        age_s: Time since the engine measured the values.
     """
 
     report: fleet.LoadReport
@@ -31,11 +31,11 @@
 
 
 class DemandTracker:
-    """Estimates what callers ask, from what the engines say they did.
+    """Estimates the demand of callers from the reports of the engines.
 
-    Engines report what they have done, which is less than what was asked
-    while a queue grows; the backlog is therefore added, as a rate that would
-    clear it within some seconds.
+    Engines report completed work, which is less than the demand while a queue
+    grows. The backlog is therefore added, as the rate that would clear it
+    within several seconds.
     """
 
     def __init__(self, smoothing_s: float = _SMOOTHING_S):
@@ -44,7 +44,7 @@
         self._rates: dict[str, tuple[float, float]] = {}
 
     def observe(self, reports: Sequence[fleet.LoadReport]) -> None:
-        """Takes in the latest report of each engine that gave one."""
+        """Updates the rates from the latest report of each engine."""
         for report in reports:
             self._observe_one(report)
         known = {report.engine_id for report in reports}
@@ -55,45 +55,45 @@
     def demand(
         self, reports: Sequence[SeenReport]
     ) -> role_planner.Demand | None:
-        """Returns the estimate, or None before two reports of any engine."""
+        """Returns the estimate, or None until an engine has reported twice."""
         if not self._rates:
             return None
         prompt = sum(rate[0] for rate in self._rates.values())
         output = sum(rate[1] for rate in self._rates.values())
         backlog = sum(seen.report.waiting_prompt_tokens for seen in reports)
         offered_prompt = prompt + backlog / _BACKLOG_CLEAR_S
-        output_of_backlog = self._scaled_output(prompt, output, offered_prompt)
-        waiting = _decode_waiting_share(reports)
+        offered_output = self._scaled_output(prompt, output, offered_prompt)
+        waiting_share = _decode_waiting_share(reports)
         return role_planner.Demand(
             prompt_tokens_per_s=offered_prompt,
-            output_tokens_per_s=output_of_backlog * (1 + waiting),
+            output_tokens_per_s=offered_output * (1 + waiting_share),
             age_s=max((seen.age_s for seen in reports), default=float("inf")),
         )
 
     def _observe_one(self, report: fleet.LoadReport) -> None:
-        now = _Totals(
+        current = _Totals(
             report.prompt_tokens_total,
             report.output_tokens_total,
             report.reported_unix_s,
         )
-        before = self._totals.get(report.engine_id)
-        self._totals[report.engine_id] = now
-        if before is None:
+        previous = self._totals.get(report.engine_id)
+        self._totals[report.engine_id] = current
+        if previous is None:
             return
-        span_s = now.reported_unix_s - before.reported_unix_s
+        span_s = current.reported_unix_s - previous.reported_unix_s
         if span_s <= 0:
-            self._totals[report.engine_id] = before
+            self._totals[report.engine_id] = previous
             return
-        if now.prompt_tokens < before.prompt_tokens:
-            # The engine started anew; its totals began again at zero.
+        if current.prompt_tokens < previous.prompt_tokens:
+            # The engine restarted, so its totals started from zero again.
             return
-        prompt = (now.prompt_tokens - before.prompt_tokens) / span_s
-        output = (now.output_tokens - before.output_tokens) / span_s
+        prompt = (current.prompt_tokens - previous.prompt_tokens) / span_s
+        output = (current.output_tokens - previous.output_tokens) / span_s
         weight = span_s / (span_s + self._smoothing_s)
-        old = self._rates.get(report.engine_id, (prompt, output))
+        smoothed = self._rates.get(report.engine_id, (prompt, output))
         self._rates[report.engine_id] = (
-            old[0] + weight * (prompt - old[0]),
-            old[1] + weight * (output - old[1]),
+            smoothed[0] + weight * (prompt - smoothed[0]),
+            smoothed[1] + weight * (output - smoothed[1]),
         )
 
     def _scaled_output(
@@ -105,7 +105,7 @@
 
 
 def _decode_waiting_share(reports: Sequence[SeenReport]) -> float:
-    """Returns waiting over running requests of engines that only decode."""
+    """Returns the ratio of waiting to running requests of decode engines."""
     decoding = [s.report for s in reports if s.report.role == "decode"]
     running = sum(report.running_count for report in decoding)
     waiting = sum(report.waiting_count for report in decoding)
@@ -121,14 +121,14 @@
     demand: role_planner.Demand | None,
     vm_list_age_s: float,
 ) -> situation.Situation:
-    """Puts together what the rules are evaluated on.
+    """Builds the situation on which the rules are evaluated.
 
     Args:
         availability_zone: The zone.
-        now_unix_s: Wall clock.
-        engine_ids: Live engines of the zone by the VM list.
-        reports: The latest report of each engine that gave one.
-        demand: The tracker's estimate.
+        now_unix_s: Wall clock time.
+        engine_ids: Live engines of the zone, according to the VM list.
+        reports: Latest report of each engine that has reported.
+        demand: Estimate of a ``DemandTracker``, or None.
         vm_list_age_s: Age of the VM list.
     """
     seen = list(reports.values())
@@ -144,7 +144,7 @@
 def _prefill_share(
     seen: Sequence[SeenReport], demand: role_planner.Demand | None
 ) -> situation.Reading:
-    """Returns prefill's share of the engine time that the demand needs."""
+    """Returns the share of the required engine time that prefill needs."""
     if demand is None:
         return situation.UNKNOWN
     speeds = dedicated_speeds([s.report for s in seen])
@@ -164,7 +164,7 @@
 
 
 class Speeds(NamedTuple):
-    """How fast an engine would be in the role made for the work."""
+    """Speeds of an engine in the dedicated role for each kind of work."""
 
     prefill_tokens_per_s: float
     decode_tokens_per_s: float
@@ -173,11 +173,11 @@
 def dedicated_speeds(
     reports: Sequence[fleet.LoadReport],
 ) -> dict[str, Speeds]:
-    """Estimates each engine's speeds in a dedicated role, by engine id.
+    """Estimates each engine's speeds in the dedicated roles, by engine id.
 
-    An engine reports its speeds in the role that it has. What it would do
-    in another is taken from the engines that have that one, as they are
-    alike; failing those, from engines that do both.
+    An engine reports its speeds in its current role. Engines are alike, so its
+    speed in another role is the mean of the engines that have that role, or
+    is derived from mixed engines if there are none.
     """
     prefill_mean = _dedicated_mean(
         [(r.role, r.prefill_tokens_per_s) for r in reports], "prefill"
@@ -207,9 +207,9 @@
 
 
 def _queue_delay(seen: Sequence[SeenReport]) -> situation.Reading:
-    """Returns how long the prompts that wait would take to prefill."""
-    able = [s for s in seen if s.report.role != "decode"]
-    speed = sum(s.report.prefill_tokens_per_s for s in able)
+    """Returns how long prefilling the waiting prompts would take."""
+    prefilling = [s for s in seen if s.report.role != "decode"]
+    speed = sum(s.report.prefill_tokens_per_s for s in prefilling)
     if speed <= 0:
         return situation.UNKNOWN
     waiting = sum(s.report.waiting_prompt_tokens for s in seen)
@@ -232,6 +232,6 @@
     return seen.report.state in ("failed", "unknown")
 
 
-def _mean_of_positive(figures: Sequence[float]) -> float:
-    positive = [figure for figure in figures if figure > 0]
+def _mean_of_positive(values: Sequence[float]) -> float:
+    positive = [value for value in values if value > 0]
     return sum(positive) / len(positive) if positive else 0.0
--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -1,4 +1,4 @@
-"""Turns the rule in force into the state that each engine shall have."""
+"""Derives the desired state of each engine from the rule in force."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 
 
 class RuleInForce(NamedTuple):
-    """What the rules say now.
+    """The rule that currently applies.
 
     Attributes:
-        match: The rule that matched.
-        config_version: Version of the configuration that holds it.
-        reason: One line for operators.
+        match: Result of matching the rules.
+        config_version: Version of the configuration that contains the rule.
+        reason: Explanation for operators, in one line.
     """
 
     match: rules.Match
@@ -23,13 +23,13 @@
 
 
 class Zone(NamedTuple):
-    """The zone's engines as last seen.
+    """Latest known state of a zone's engines.
 
     Attributes:
-        reports: The latest report of each engine that gave one.
-        records: The latest order record of each engine that has one.
-        demand: What callers ask, or None.
-        change_ends_unix_s: When recent role changes ended.
+        reports: Latest report of each engine that has reported.
+        records: Latest order record of each engine that has one.
+        demand: Estimated demand of callers, or None.
+        change_ends_unix_s: Wall clock times at which recent role changes ended.
     """
 
     reports: Mapping[str, situation_builder.SeenReport]
@@ -39,11 +39,11 @@
 
 
 class WantedZone(NamedTuple):
-    """What every engine shall be, and what the planner said.
+    """The desired state of every engine, and the planner's decision.
 
     Attributes:
-        engines: By engine id.
-        plan: The planner's decision.
+        engines: Desired state by engine id.
+        plan: Decision of the role planner.
     """
 
     engines: dict[str, findings.WantedEngine]
@@ -53,11 +53,11 @@
 def settled_role(
     report: fleet.LoadReport, record: order_records.OrderRecord | None
 ) -> fleet.Role:
-    """Returns the role that an engine is to have by its last order.
+    """Returns the role that an engine is to have after its last order.
 
-    Its own word counts only if no order says otherwise: after a crash in
-    mid-change, or an order of a process without authority, the engine may
-    keep a role that nobody wants.
+    The reported role is used only if no order determines the role: after a
+    crash during a change, or an order of a process without authority, an
+    engine may report a role that was not intended.
     """
     if record is None:
         return report.role
@@ -73,11 +73,11 @@
     options: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> WantedZone:
-    """Works out what every engine that gave a report shall be."""
+    """Returns the desired state of every engine that has reported."""
     actions = in_force.match.actions
-    held = in_force.match.undecided or bool(actions.get("hold"))
-    plan = _plan(zone, actions, held, options, now_unix_s)
-    loading = _engines_to_load(zone, actions) if not held else frozenset()
+    is_on_hold = in_force.match.undecided or bool(actions.get("hold"))
+    plan = _plan(zone, actions, is_on_hold, options, now_unix_s)
+    loading = _engines_to_load(zone, actions) if not is_on_hold else frozenset()
     engines = {
         engine_id: _wanted_engine(
             engine_id, zone, in_force, plan, engine_id in loading
@@ -90,11 +90,11 @@
 def _plan(
     zone: Zone,
     actions: rules.Actions,
-    held: bool,
+    is_on_hold: bool,
     options: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> role_planner.Plan:
-    if held:
+    if is_on_hold:
         return role_planner.Stay("the rules hold the fleet as it is")
     engines = _planner_engines(zone, actions)
     view = role_planner.PlannerView(
@@ -110,7 +110,7 @@
 def _planner_engines(
     zone: Zone, actions: rules.Actions
 ) -> tuple[role_planner.PlannerEngine, ...]:
-    """Returns the engines that share the work; one that is drained doesn't."""
+    """Returns the engines that serve requests, without a drained one."""
     drained_id = _drained_engine_id(actions)
     speeds = situation_builder.dedicated_speeds(
         [seen.report for seen in zone.reports.values()]
@@ -137,11 +137,11 @@
 def _is_change_obsolete(
     engine_id: str, zone: Zone, in_force: RuleInForce
 ) -> bool:
-    """Tells whether an engine still drains for a role that is not wanted.
+    """Tells whether an engine drains for a role that is no longer wanted.
 
-    The rules may have changed since. As long as the role change itself has
-    not been sent, dropping it costs nothing; finishing it would take the
-    engine away twice.
+    The rules may have changed meanwhile. Dropping the change costs nothing
+    until the role change itself is sent; completing it would make the engine
+    unavailable twice.
     """
     record = zone.records.get(engine_id)
     if record is None or record.phase not in ("recorded", "draining"):
@@ -158,7 +158,7 @@
 
 
 def in_change_count(zone: Zone) -> int:
-    """Returns how many engines are away for a planned change."""
+    """Returns how many engines are unavailable because of a planned change."""
     return sum(
         1
         for engine_id, seen in zone.reports.items()
@@ -196,10 +196,10 @@
 
 
 def _engines_to_load(zone: Zone, actions: rules.Actions) -> frozenset[str]:
-    """Picks the engines that shall hold the model that a rule names.
+    """Selects the engines that are to load the model named by a rule.
 
-    Those that have it already come first, then those that are being
-    changed to have it, then the least busy.
+    Engines that have it loaded are preferred, then engines that were ordered to
+    load it, then the least busy ones.
     """
     load = actions.get("load")
     if load is None:
--- a/src/mulberrywharf/duties/__init__.py
+++ b/src/mulberrywharf/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one gateway performs for the fleet at the operators' platform."""
+"""Calls to the operators' platform that one gateway makes for the fleet."""
--- a/src/mulberrywharf/duties/client.py
+++ b/src/mulberrywharf/duties/client.py
@@ -1,7 +1,7 @@
 """Client for platform calls that only one gateway at a time may make.
 
-The duty's holder authorizes each call right before its first byte is sent; the
-dialect encodes the call.
+Each call is checked against the duty's lease right before its first byte is
+sent. A ``DutyDialect`` encodes the calls.
 """
 
 from collections.abc import Callable, Mapping
--- a/src/mulberrywharf/duties/usage_reporter.py
+++ b/src/mulberrywharf/duties/usage_reporter.py
@@ -31,7 +31,7 @@
 COUNTS_REQUEST_INTERVAL_S = 1.0
 
 RECORDED_REPORTS_COUNT = 4
-"""Most recent reports to keep in the record; covers all that may be due."""
+"""Number of latest reports in the record; covers all that may be due."""
 
 _windows_total = metrics.counter(
     "mulberry_usage_windows_total", "Windows of usage, by outcome."
@@ -115,7 +115,7 @@
 
 
 class UsageReporter:
-    """Collects, records and reports while the duty is held."""
+    """Collects, records and reports usage while the duty is held."""
 
     def __init__(
         self,
@@ -183,7 +183,8 @@
 
     @property
     def _recorded_window(self) -> int:
-        # A store restored from an older copy may lack the newest records.
+        # A store restored from an older copy may lack the newest record, so the
+        # window that collectors announced is used too.
         return max(
             self._exchange.reported_window,
             *(report.window for report in self._recorded_reports),
--- a/tests/authority_audit.py
+++ b/tests/authority_audit.py
@@ -1,28 +1,29 @@
-"""Audits what engines were ordered, from the outside's own logs.
+"""Audits the orders of engines, using only logs from outside the controllers.
 
-The order logs are the engines', the history of the lease key is the
-key-value service's. Nothing that a controller says of itself counts.
+The engines provide the order logs and the key-value service provides the
+history of the lease key. Logs of the controllers are not used.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, NamedTuple
 
 _TOLERANCE_S = 0.01
-"""Between the writing of two logs on one machine."""
+"""Time differences between the logs of two processes on one machine."""
 
 Log = Sequence[Mapping[str, Any]]
 
 
 class Finding(NamedTuple):
-    """One breach of what must always hold.
+    """One violation.
 
     Attributes:
-        kind: ``late``: effect after the authority passed; ``inverted``: an
-            older holder's order after a newer one's; ``overlap``: an order
-            began while another was carried out; ``busy``: an engine had to
-            refuse a second order in mid-change; ``cut``: a stream was cut.
-        engine_id: The engine.
-        detail: What the logs say.
+        kind: ``late``: an order took effect after its sender's lease had ended;
+            ``inverted``: an order of an older holder took effect after one of a
+            newer holder; ``overlap``: an order took effect while another was
+            being executed; ``busy``: an engine rejected an order during a
+            change; ``cut``: a stream was cut.
+        engine_id: Id of the engine.
+        detail: Description for the reader of the test.
     """
 
     kind: str
@@ -31,11 +32,12 @@
 
 
 class Tenure(NamedTuple):
-    """One holder's time as the service saw it.
+    """The time for which one holder held the lease, according to the service.
 
     Attributes:
         fencing_number: Revision that created the lease key.
-        ended_unix_s: When the key was deleted or created anew.
+        ended_unix_s: Wall clock time at which the key was deleted or created
+            again; infinite if it still exists.
     """
 
     fencing_number: int
@@ -43,7 +45,7 @@
 
 
 def tenures(lease_history: Log) -> list[Tenure]:
-    """Reads the holders' times from the history of the lease key."""
+    """Returns the tenures from the history of the lease key."""
     found: list[Tenure] = []
     for event in lease_history:
         if found and found[-1].ended_unix_s == float("inf"):
@@ -59,14 +61,15 @@
     *,
     late_allowed: frozenset[int] = frozenset(),
 ) -> list[Finding]:
-    """Lists every breach.
+    """Returns all violations.
 
     Args:
-        order_logs: Of each engine.
-        lease_history: Every change of the lease key.
-        late_allowed: Fencing numbers whose lease key was deleted before its
-            time. Bytes that are on their way then can't be recalled; they
-            must still not come after an order of the next holder.
+        order_logs: Order log of each engine, by engine id.
+        lease_history: All changes of the lease key.
+        late_allowed: Fencing numbers whose lease key was deleted while the
+            lease was valid. Orders in transit at that time cannot be recalled,
+            so they may be late. They must still not take effect after an order
+            of the next holder.
     """
     ended = {t.fencing_number: t.ended_unix_s for t in tenures(lease_history)}
     findings: list[Finding] = []
--- a/tests/authority_faults.py
+++ b/tests/authority_faults.py
@@ -1,4 +1,4 @@
-"""Seeded runs of two controllers under faults, judged by the audit."""
+"""Seeded runs of two controllers under faults, checked by the audit."""
 
 import itertools
 import random
@@ -15,22 +15,23 @@
 _CONVERGED_ROUNDS_COUNT = 2
 _WINDOW_WAIT_S = 2.0
 GAP_S = 0.05
-"""How wide runs make the gap between check and send."""
+"""Time that runs insert between the last check of an order and its send."""
 
 _WINDOW_POLL_S = 0.001
 _LATE_DELAY_MS = 700.0
 
 
 class RunResult(NamedTuple):
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
-        seed: Of the run.
+        seed: Seed of the run.
         faults: Names of the faults, in order.
-        findings: Breaches.
-        calm_s: Until all was as the rules say; None when it never was.
-        left_over: What was not settled then.
-        killed_by_fuse_count: Controllers that SIGALRM ended.
+        findings: Violations.
+        calm_s: Time until the zone converged to the rules after the faults were
+            removed; None if it did not.
+        left_over: State of the zone if it did not converge.
+        killed_by_fuse_count: Number of controllers killed by SIGALRM.
         stop_codes: Exit codes of controllers that were stopped gracefully.
     """
 
@@ -43,13 +44,13 @@
     stop_codes: tuple[int, ...] = ()
 
     def is_clean(self) -> bool:
-        """Tells whether all held."""
+        """Tells whether the run converged without any violation."""
         stopped = not any(self.stop_codes)
         return stopped and not self.findings and self.calm_s is not None
 
 
 class FaultyRun:
-    """One seeded run in a zone that several runs may share, one by one."""
+    """One seeded run; several runs may use the same zone in sequence."""
 
     def __init__(self, zone: builders_authority.Zone, seed: int):
         self._zone = zone
@@ -64,10 +65,10 @@
         self._since_unix_s = 0.0
 
     def run(self, names: Sequence[str] = ()) -> RunResult:
-        """Applies faults while the rules change, then judges.
+        """Injects faults while the rules change, then checks the result.
 
         Args:
-            names: Of the faults; chosen at random when there are none.
+            names: Names of the faults; random ones if empty.
         """
         self._since_unix_s = time.time()
         self._change_rules()
@@ -84,26 +85,26 @@
     # --- faults -------------------------------------------------------------
 
     def kill_holder(self) -> None:
-        """SIGKILL at any instant."""
+        """Kills the holder at a random time."""
         index = self._holder_or_any()
         self._zone.controllers[index].signal(signal.SIGKILL)
         self._zone.controllers[index].wait()
 
     def stop_holder(self) -> None:
-        """A graceful stop in the middle of whatever goes on."""
+        """Stops the holder gracefully during a change of the rules."""
         index = self._holder_or_any()
         self._change_rules()
         time.sleep(self._random.uniform(0.0, 0.4))
         self._stop_codes.append(self._zone.controllers[index].stop())
 
     def freeze_holder(self) -> None:
-        """SIGSTOP across the lease's end, at any instant."""
+        """Suspends the holder at a random time, often beyond its lease."""
         self._freeze(self._holder_or_any())
 
     def freeze_before_send(self) -> None:
-        """SIGSTOP between an order's last check and its first byte.
+        """Suspends the holder between an order's last check and first byte.
 
-        Hits that gap only in a zone whose controllers have it widened.
+        This works only in a zone whose controllers extend that time.
         """
         index = self._holder_or_any()
         self._change_rules()
@@ -112,7 +113,7 @@
             self._freeze(index)
 
     def cut_from_service(self) -> None:
-        """The holder is cut off from the key-value service."""
+        """Partitions the holder from the key-value service."""
         name = f"key-value-{self._holder_or_any()}"
         mode = self._random.choice(
             ("cut", "freeze", "half-open-up", "half-open-down")
@@ -122,45 +123,45 @@
         self._zone.set_proxy_faults(name, mode="pass")
 
     def service_down(self) -> None:
-        """The key-value service is down for all."""
+        """Makes the key-value service unavailable."""
         self._zone.set_key_value_faults(down=True)
         time.sleep(self._random_outage_s())
         self._zone.set_key_value_faults()
 
     def lose_answers(self) -> None:
-        """Writes take effect and their answers are lost."""
+        """Drops the responses to writes that take effect."""
         count = self._random.randint(1, 4)
         self._zone.set_key_value_faults(lose_answers_count=count)
 
     def crash_engine(self) -> None:
-        """An engine fails in the middle of its next change."""
+        """Makes an engine fail during its next change."""
         self._zone.set_engine_faults(
             self._random_engine(), crash_mid_change=True
         )
 
     def lose_order_answers(self) -> None:
-        """Engines take orders and their answers are lost."""
+        """Drops the responses to orders that an engine accepts."""
         count = self._random.randint(1, 2)
         self._zone.set_engine_faults(
             self._random_engine(), drop_order_answers=count
         )
 
     def delay_engine(self) -> None:
-        """Bytes to an engine are late, within what the margins allow."""
+        """Delays data to an engine, within the margins of the settings."""
         timing = self._zone.timing
         bound_s = timing.margin_s + timing.user_timeout_s
         delay_ms = self._random.uniform(0.1, 0.8) * bound_s * 1000
         self._zone.set_proxy_faults(self._random_engine(), delay_ms=delay_ms)
 
     def cut_engine(self) -> None:
-        """An engine can't be reached for a while."""
+        """Makes an engine unreachable for a short time."""
         engine_id = self._random_engine()
         self._zone.set_proxy_faults(engine_id, mode="cut")
         time.sleep(self._random.uniform(0.1, 0.6))
         self._zone.set_proxy_faults(engine_id, mode="pass")
 
     def take_lease_away(self) -> None:
-        """The lease key is deleted before its time."""
+        """Deletes the lease key while the lease is valid."""
         history = self._zone.lease_history()
         tenures = authority_audit.tenures(history)
         if tenures:
@@ -168,9 +169,10 @@
         self._zone.delete_lease_key()
 
     def send_late_and_lose_lease(self) -> None:
-        """A load is on its way when its sender's lease is taken away.
+        """Takes the lease away while an order of the holder is in transit.
 
-        The next holder takes over at once and is told to load another.
+        The order loads a model. The next holder takes over immediately, and its
+        rules require another model.
         """
         builders_authority.wait_for(self._has_converged, _PRE_FAULT_TIMEOUT_S)
         self._change_load()
@@ -190,7 +192,7 @@
     def _await_new_order(
         self, phases: tuple[str, ...] = ("draining", "sent")
     ) -> bool:
-        """Waits until a controller records something that it then sends."""
+        """Waits until a controller records an order that it sends next."""
         known = set(self._zone.records().records.values())
 
         def is_new() -> bool:
--- a/tests/authority_host.py
+++ b/tests/authority_host.py
@@ -1,8 +1,9 @@
-"""The outside of one zone in a single process, for runs of controllers.
+"""Runs the external systems of one zone in a single process.
 
-The key-value service, the VM list and the engines are the stand-ins; each
-engine and each controller's way to the key-value service goes through a
-fault-injecting proxy. ``POST /proxies`` sets the faults of one of them.
+The key-value service, the VM list, the weight store and the engines are
+stand-ins. Connections to each engine, and of each controller to the key-value
+service, go through a fault-injecting proxy. ``POST /proxies`` sets the faults
+of a proxy.
 """
 
 # ruff: noqa: E402
@@ -26,7 +27,7 @@
 
 
 class Host:
-    """All stand-ins of one zone."""
+    """The stand-ins of one zone and their proxies."""
 
     def __init__(self, arguments: argparse.Namespace):
         self._proxies: dict[str, fault_proxy.FaultProxy] = {}
@@ -76,7 +77,7 @@
     def application(
         self, environ: dict[str, Any], start_response: Any
     ) -> Iterable[bytes]:
-        """Serves ``POST /proxies {"name", fault fields}``."""
+        """Handles ``POST /proxies`` with the proxy's name and fault fields."""
         fields = _http.read_json(environ)
         self._proxies[fields.pop("name")].set_faults(**fields)
         return _http.send_reply(_http.Reply(200, {}), start_response)
--- a/tests/builders_authority.py
+++ b/tests/builders_authority.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the controllers: a zone of real processes."""
+"""Builders for controller tests, including a zone of real processes."""
 
 import base64
 import http.client
@@ -28,7 +28,7 @@
 def load_report(
     engine_id: str = "engine-1", **changes: Any
 ) -> fleet.LoadReport:
-    """Returns a report of an idle mixed engine, with changes laid over."""
+    """Returns a report of an idle mixed engine, with fields replaced."""
     report = fleet.LoadReport(
         engine_id=engine_id,
         role="mixed",
@@ -42,7 +42,7 @@
 
 
 def order_record(**changes: Any) -> order_records.OrderRecord:
-    """Returns a role change in flight, with changes laid over."""
+    """Returns the record of a sent role change, with fields replaced."""
     record = order_records.OrderRecord(
         order_id="order-1",
         rule="day",
@@ -59,7 +59,7 @@
 def call(
     port: int, method: str, path: str, body: object = None
 ) -> dict[str, Any]:
-    """Calls a stand-in's HTTP and returns its JSON."""
+    """Calls a stand-in over HTTP and returns the JSON response."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     try:
         data = None if body is None else json.dumps(body)
@@ -76,7 +76,7 @@
     *,
     poll_s: float = _POLL_S,
 ) -> bool:
-    """Polls until a condition holds; False when it never did."""
+    """Polls until a condition holds; returns False on timeout."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         if condition():
@@ -86,7 +86,7 @@
 
 
 def roles_document(prefill: int, decode: int, mixed: int = 0) -> dict[str, Any]:
-    """Returns a configuration that fixes the split of roles."""
+    """Returns a configuration with fixed numbers of engines per role."""
     roles = {
         "prefill_count": prefill,
         "decode_count": decode,
@@ -96,14 +96,14 @@
 
 
 class Timing(NamedTuple):
-    """How fast a test zone runs.
+    """Timing of a test zone.
 
     Attributes:
-        lease_ttl_s: Of the controllers; whole seconds.
-        margin_s: Between clocks.
-        user_timeout_s: Of order bytes.
-        evaluate_s: Between rounds.
-        role_change_s: How long a change takes an engine away.
+        lease_ttl_s: Length of the controllers' lease, in whole seconds.
+        margin_s: Maximum error between clocks.
+        user_timeout_s: How long unacknowledged order bytes are retransmitted.
+        evaluate_s: Interval between rounds of a controller.
+        role_change_s: How long an engine is unavailable for a change.
     """
 
     lease_ttl_s: float = 1.0
@@ -114,7 +114,7 @@
 
 
 class Zone:
-    """One zone: its outside in one process, and its controllers."""
+    """A zone: one process with the external systems, and the controllers."""
 
     def __init__(
         self,
@@ -151,7 +151,7 @@
         self._publish_vms()
 
     def close(self) -> None:
-        """Ends every process."""
+        """Ends all processes."""
         for process in [*self.controllers, self._host]:
             process.close()
 
@@ -172,11 +172,11 @@
         call(port, "POST", "/standin/vms", {"vms": vms})
 
     def set_proxy_faults(self, name: str, **faults: Any) -> None:
-        """Sets faults of the way to an engine or to the service.
+        """Sets the faults of a proxy.
 
         Args:
-            name: An engine's id, or ``key-value-N`` for the way of the
-                controller ``entry-N``.
+            name: Id of an engine, or ``key-value-N`` for the connections of
+                controller ``entry-N`` to the key-value service.
             **faults: Fields of the proxy's faults.
         """
         body = {"name": name, **faults}
@@ -207,7 +207,7 @@
         )
 
     def start_controller(self, index: int) -> processes.Process:
-        """Starts controller ``entry-INDEX``, again if it ran before."""
+        """Starts controller ``entry-INDEX``, replacing an earlier process."""
         config = self.settings(f"entry-{index}")
         arguments = ["--settings", builders_settings.write_settings(config)]
         module = "mulberrywharf.programs.controller"
@@ -223,7 +223,7 @@
         return process
 
     def accept(self, document: dict[str, Any]) -> int:
-        """Puts a configuration in force; returns its version."""
+        """Stores a configuration and returns its version."""
         self._version += 1
         built = configuration.build(
             version=self._version,
@@ -243,7 +243,7 @@
         return self._version
 
     def read(self, key: str) -> bytes | None:
-        """Reads one key of the service."""
+        """Returns the value of a key in the key-value service, or None."""
         answer = self._key_value_call(
             "/v3/kv/range", {"key": _base64(key.encode())}
         )
@@ -255,8 +255,8 @@
             try:
                 return call(self._key_value_port, "POST", path, body)
             except http.client.RemoteDisconnected:
-                # A fault that loses answers doesn't spare this caller, whose
-                # calls may be repeated.
+                # The fault that drops responses also affects these calls, which
+                # are safe to repeat.
                 continue
         raise AssertionError(f"{path}: no answer")
 
@@ -265,7 +265,7 @@
         self._key_value_call("/standin/faults", faults)
 
     def set_engine_faults(self, engine_id: str, **faults: Any) -> None:
-        """Sets faults of one engine."""
+        """Sets the faults of an engine."""
         call(self.engines[engine_id], "POST", "/standin/faults", faults)
 
     def records(self) -> order_records.ZoneRecords:
@@ -276,30 +276,30 @@
         return order_records.decode(value).unwrap()
 
     def holder_vm_id(self) -> str:
-        """Returns who holds the controller lease, or empty."""
+        """Returns the id of the lease holder, or an empty string."""
         value = self.read(LEASE_KEY)
         return "" if value is None else str(json.loads(value)["vm_id"])
 
     def holder_index(self) -> int | None:
-        """Returns which controller holds the lease."""
+        """Returns the index of the controller that holds the lease, or None."""
         vm_id = self.holder_vm_id()
         return int(vm_id.rsplit("-", 1)[1]) if vm_id else None
 
     def delete_lease_key(self) -> None:
-        """Deletes the lease key before its time, as an operator might."""
+        """Deletes the lease key while the lease is valid, as operators may."""
         order = {"requestDeleteRange": {"key": _base64(LEASE_KEY.encode())}}
         body = {"compare": [], "success": [order]}
         self._key_value_call("/v3/kv/txn", body)
 
     def loads(self) -> dict[str, dict[str, Any]]:
-        """Returns every engine's own report."""
+        """Returns the load report of every engine."""
         return {
             engine_id: call(port, "GET", "/load")
             for engine_id, port in self.engines.items()
         }
 
     def role_counts(self) -> tuple[int, int, int]:
-        """Returns how many ready engines prefill, decode and do both."""
+        """Returns the numbers of ready prefill, decode and mixed engines."""
         ready = [r for r in self.loads().values() if r["state"] == "ready"]
         return (
             sum(1 for r in ready if r["role"] == "prefill"),
@@ -308,7 +308,7 @@
         )
 
     def has_converged(self, prefill: int, decode: int, mixed: int = 0) -> bool:
-        """Tells whether the zone is as wanted and nothing is in flight."""
+        """Tells whether the roles are as given and no order is in flight."""
         if self.role_counts() != (prefill, decode, mixed):
             return False
         records = self.records().records.values()
@@ -320,20 +320,20 @@
         return list(call(port, "GET", "/standin/log")["loads"])
 
     def order_logs(self) -> dict[str, list[dict[str, Any]]]:
-        """Returns what each engine says that it was ordered."""
+        """Returns the order log of each engine."""
         return {
             engine_id: call(port, "GET", "/standin/log")["orders"]
             for engine_id, port in self.engines.items()
         }
 
     def lease_history(self) -> list[dict[str, Any]]:
-        """Returns every change of the lease key, oldest first."""
+        """Returns all changes of the lease key, oldest first."""
         log = call(self._key_value_port, "GET", "/standin/log")
         return [e for e in log["history"] if e["key"] == LEASE_KEY]
 
 
 class Stream:
-    """One streamed answer, begun at once and read to its end later."""
+    """A streaming request that starts now and is read to its end later."""
 
     def __init__(self, zone: Zone, engine_id: str, *, tokens: int):
         self._connection = http.client.HTTPConnection(
@@ -350,7 +350,7 @@
         self._first = self._response.readline()
 
     def finish(self) -> int:
-        """Reads the rest; returns the tokens, -1 if it broke off."""
+        """Reads the rest; returns the number of tokens, or -1 if it was cut."""
         try:
             lines = [self._first, *self._response.read().splitlines()]
         except http.client.IncompleteRead:
@@ -364,12 +364,12 @@
 
 
 def freeze(process: processes.Process) -> None:
-    """Stops a process at whatever instruction it is."""
+    """Suspends a process at its current instruction."""
     process.signal(signal.SIGSTOP)
 
 
 def thaw(process: processes.Process) -> None:
-    """Lets a stopped process go on."""
+    """Resumes a suspended process."""
     process.signal(signal.SIGCONT)
 
 
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -1,9 +1,10 @@
-"""Controllers as real processes, judged by what the engines saw.
+"""Tests controller processes under faults, by the engines' order logs.
 
-Each run changes the rules while faults strike, heals, waits for calm and
-audits the engines' own order logs against the history of the lease key. The
-gap between an order's last check and its first byte is widened, so that a
-test can stop a process in it. ``bench/authority_runs.py`` does many more.
+Each run changes the rules while faults are injected, removes the faults, waits
+until the zone has converged and audits the order logs of the engines against
+the history of the lease key. The time between an order's last check and its
+first byte is extended so that a test can suspend a process there.
+``bench/authority_runs.py`` makes many more runs.
 """
 
 import time
@@ -26,20 +27,22 @@
 def _first_unclean_run(
     zone: builders_authority.Zone, fault: str
 ) -> authority_faults.RunResult:
-    """Runs seeds until one shows what a mechanism is there for.
+    """Runs seeds until one shows the failure that a mechanism prevents.
 
-    The instant at which a process is stopped is not exact, so that not
-    every run hits it.
+    The time at which a process is suspended is not exact, so not every run
+    shows the failure.
     """
     for seed in range(_MAX_SEEDS_COUNT):
         result = authority_faults.FaultyRun(zone, seed).run([fault])
         if not result.is_clean():
             return result
-    raise AssertionError(f"{_MAX_SEEDS_COUNT} runs without the mechanism held")
+    raise AssertionError(
+        f"{_MAX_SEEDS_COUNT} runs without the mechanism showed no failure"
+    )
 
 
 class AuditTest(unittest.TestCase):
-    """The audit itself must notice what it is there for."""
+    """Tests that the audit detects each kind of violation."""
 
     def _order(self, number: int, unix_s: float, **changes):
         return {
@@ -56,7 +59,7 @@
             **changes,
         }
 
-    def test_each_breach_is_found(self):
+    def test_each_kind_of_violation_is_found(self):
         lease_history = [
             {"type": "PUT", "revision": 2, "unix_s": 10.0},
             {"type": "DELETE", "revision": 5, "unix_s": 20.0},
@@ -84,7 +87,7 @@
 
 
 class ControllerTest(unittest.TestCase):
-    def test_it_reaches_the_rules_state_and_stops_gracefully(self):
+    def test_controllers_reach_the_wanted_state_and_stop_gracefully(self):
         zone = _zone(self)
         zone.accept(builders_authority.roles_document(2, 2))
         self.assertTrue(
@@ -94,12 +97,12 @@
         self.assertIsNone(zone.read(builders_authority.LEASE_KEY))
         self.assertTrue(zone.records().holder.settled)
 
-    def test_an_outage_of_the_service_is_waited_for(self):
-        """The key-value service is away for longer than the lease.
+    def test_controllers_survive_an_outage_of_the_service(self):
+        """Guards against controllers that are all killed by SIGALRM.
 
-        Symptom: every controller of the fleet ends by SIGALRM at once and
-        has to be started again. Cause: a renewal that hangs held up the step
-        down, and the timer is only meant for processes that are frozen.
+        The key-value service is unavailable for longer than the lease, and a
+        hanging renewal delays the step down. They would have to be restarted,
+        although the timer is only for suspended processes.
         """
         zone = _zone(self)
         zone.accept(builders_authority.roles_document(2, 2))
@@ -112,13 +115,13 @@
         zone.accept(builders_authority.roles_document(3, 1))
         self.assertTrue(wait_for(lambda: zone.has_converged(3, 1)))
 
-    def test_a_silent_watch_does_not_keep_old_rules_in_force(self):
-        """The holder obeys rules that were replaced.
+    def test_silent_watch_does_not_keep_old_rules_in_force(self):
+        """Guards against a holder that follows rules that were replaced.
 
-        Sequence: a cut drops what the service sends, without telling either
-        side; the rules change; the cut heals. The watch stays open and
-        silent for most of a minute. Seen in a seeded run, where the engines
-        kept the old split for the 25 s that the run waited.
+        A partition drops the service's data without an error on either side
+        while the rules change. After it ends, the watch stays open and silent
+        for most of a minute. Seen in a seeded run, in which the engines kept
+        the old split for the 25 s that the run waited.
         """
         zone = builders_authority.Zone(controllers=1)
         self.addCleanup(zone.close)
@@ -132,11 +135,8 @@
         zone.set_proxy_faults("key-value-0", mode="pass")
         self.assertTrue(wait_for(lambda: zone.has_converged(3, 1), 20.0))
 
-    def test_a_planned_change_cuts_no_stream(self):
-        """An engine is to change its role while it writes an answer.
-
-        Symptom: a verdict ends half way, by a change that somebody planned.
-        """
+    def test_planned_change_cuts_no_stream(self):
+        """Guards against a response that is cut by a planned role change."""
         zone = _zone(self, engines=1)
         stream = builders_authority.Stream(zone, "engine-0", tokens=300)
         zone.accept(builders_authority.roles_document(0, 1))
@@ -149,7 +149,7 @@
         )
         self.assertEqual(findings, [])
 
-    def test_loads_wait_for_the_weight_store(self):
+    def test_loads_need_permission_of_the_weight_store(self):
         zone = _zone(self, loads_per_s=2.0)
         document = builders_authority.roles_document(0, 0, 4)
         load = {"model": "waiver-2", "engines_count": 3}
@@ -174,11 +174,11 @@
 
 
 class FaultyRunsTest(unittest.TestCase):
-    def test_all_holds_under_random_faults(self):
-        """Kills, stops across the lease's end, cuts, lost answers.
+    def test_no_violation_under_random_faults(self):
+        """Guards against late, conflicting or partly executed orders.
 
-        Symptom: an order has effect after its sender's authority passed, or
-        two orders conflict, or one is left half done.
+        The faults are kills, suspensions beyond the end of the lease,
+        partitions and lost responses.
         """
         zone = _zone(self)
         for seed in _SEEDS:
@@ -186,12 +186,13 @@
                 result = authority_faults.FaultyRun(zone, seed).run()
                 self.assertTrue(result.is_clean(), result)
 
-    def test_a_holder_frozen_before_its_send(self):
-        """A process is stopped between the last check and the first byte.
+    def test_holder_suspended_before_its_send(self):
+        """Guards against an order that is sent after a takeover.
 
-        It wakes when another holds the lease, and its next instruction is
-        the send. Nothing but the kernel's timer can come before it: with
-        the fuse off the order has effect late, with it the process ends.
+        The process is suspended between the last check and the first byte, and
+        resumes when another process holds the lease. Its next instruction is
+        the send, so only the kernel's timer can act before it. Without the
+        timer the order takes effect late; with it the process is killed.
         """
         fault = "freeze_before_send"
         clean = authority_faults.FaultyRun(_zone(self), 0).run([fault])
@@ -199,13 +200,13 @@
         unclean = _first_unclean_run(_zone(self, mechanism_off="fuse"), fault)
         self.assertIn("late", [f.kind for f in unclean.findings])
 
-    def test_an_order_on_its_way_when_the_lease_is_taken_away(self):
-        """A late order reaches an engine that ignores fencing numbers.
+    def test_order_in_transit_when_the_lease_is_taken_away(self):
+        """Guards against a late order of a previous holder.
 
-        Sequence: the holder sends; the network holds the bytes back; an
-        operator deletes the lease key; another controller takes over at
-        once and orders the engine otherwise; the old order arrives. The
-        quiet time lets it arrive before the new holder's first order.
+        The network delays an order to an engine that ignores fencing numbers.
+        An operator deletes the lease key, and another controller takes over
+        immediately and sends a different order. It must wait until the old
+        order has arrived.
         """
         fault = "send_late_and_lose_lease"
         zone = _zone(self, engines=1)
--- a/tests/test_situation_builder.py
+++ b/tests/test_situation_builder.py
@@ -1,4 +1,4 @@
-"""What the zone's engines say, as inputs of the rules and the planner."""
+"""Tests the inputs of the rules and the planner, built from engine reports."""
 
 import unittest
 
@@ -33,13 +33,13 @@
         self.assertAlmostEqual(demand.output_tokens_per_s, 500.0, delta=1)
         self.assertEqual(demand.age_s, 2.0)
 
-    def test_a_queue_shows_demand_that_was_not_served(self):
+    def test_backlog_adds_to_the_demand(self):
         tracker, last = self._tracked(waiting=20_000)
         demand = tracker.demand([_seen(last)])
         self.assertGreater(demand.prompt_tokens_per_s, 2_500.0)
         self.assertGreater(demand.output_tokens_per_s, 600.0)
 
-    def test_an_engine_that_started_anew_is_no_negative_demand(self):
+    def test_restarted_engine_causes_no_negative_demand(self):
         tracker, last = self._tracked()
         anew = last._replace(
             prompt_tokens_total=0,
@@ -49,7 +49,7 @@
         tracker.observe([anew])
         self.assertGreater(tracker.demand([_seen(anew)]).prompt_tokens_per_s, 0)
 
-    def test_the_same_report_twice_changes_nothing(self):
+    def test_repeated_report_changes_nothing(self):
         tracker, last = self._tracked()
         before = tracker.demand([_seen(last)])
         tracker.observe([last])
@@ -77,7 +77,7 @@
         self.assertIsNone(situation.prefill_share.value)
         self.assertEqual(situation.utc_minute, 1)
 
-    def test_speeds_do_not_depend_on_the_present_roles(self):
+    def test_speeds_do_not_depend_on_current_roles(self):
         reports = [
             _report("p", role="prefill", prefill_tokens_per_s=32_000.0),
             _report("d", role="decode", prefill_tokens_per_s=4_000.0),
--- a/tests/test_wanted_states.py
+++ b/tests/test_wanted_states.py
@@ -1,4 +1,4 @@
-"""From the rule in force to the state that each engine shall have."""
+"""Tests the desired states of engines derived from the rule in force."""
 
 import unittest
 
@@ -27,7 +27,7 @@
 
 
 class WantedZoneTest(unittest.TestCase):
-    def test_one_engine_at_a_time_goes_to_the_split(self):
+    def test_split_is_reached_one_engine_at_a_time(self):
         reports = [_report(f"e{i}", role="decode") for i in range(3)]
         wanted = _wanted({"roles": {"prefill_count": 2}}, reports)
         roles = sorted(w.role for w in wanted.engines.values())
@@ -46,16 +46,16 @@
                 self.assertEqual(wanted.engines["e0"].role, "mixed")
                 self.assertEqual(wanted.engines["e1"].role, "decode")
 
-    def test_a_crashed_engine_is_wanted_as_it_was_ordered(self):
+    def test_crashed_engine_keeps_its_ordered_role(self):
         report = _report("e0", role="decode", state="failed")
         records = {"e0": _record(phase="failed", role="prefill")}
         wanted = _wanted({"hold": True}, [report], records)
         self.assertEqual(wanted.engines["e0"].role, "prefill")
 
-    def test_an_engine_that_drains_for_nothing_is_left(self):
-        """The rules change back while an engine still drains.
+    def test_obsolete_role_change_is_dropped_while_draining(self):
+        """Guards against an engine that is unavailable twice for nothing.
 
-        Symptom: the engine is away twice, for a role that nobody wants.
+        The rules change back while the engine still drains for the change.
         """
         reports = [
             _report("e0", role="decode", state="draining"),
@@ -69,7 +69,7 @@
         wanted = _wanted(actions, reports, sent)
         self.assertEqual(wanted.engines["e0"].role, "prefill")
 
-    def test_loads_go_to_engines_that_have_the_model_first(self):
+    def test_engines_that_have_the_model_are_preferred_for_loading(self):
         reports = [
             _report("e0", running_count=0),
             _report("e1", running_count=9, models=("verdict", "waiver")),
@@ -80,7 +80,7 @@
         loading = {e for e, w in wanted.engines.items() if w.model}
         self.assertEqual(loading, {"e0", "e1"})
 
-    def test_a_drained_engine_is_not_counted_for_the_split(self):
+    def test_drained_engine_is_not_counted_for_the_split(self):
         reports = [_report("e0"), _report("e1", role="prefill")]
         actions = {
             "drain": {"engine_id": "e0"},
@@ -92,7 +92,7 @@
 
 
 class EnginesToReadTest(unittest.TestCase):
-    def test_calm_engines_are_read_in_turn_and_others_always(self):
+    def test_ready_engines_are_read_in_turn_and_others_always(self):
         ids = [f"e{i:03}" for i in range(100)]
         reports = {
             e: _report(e, reported_unix_s=1_000.0 + i)
