--- a/src/mulberrywharf/authority/findings.py
+++ b/src/mulberrywharf/authority/findings.py
@@ -99,7 +99,9 @@
 
 
 class Unfinished(NamedTuple):
-    """The order in flight is still wanted and is to be continued.
+    """The order in flight is to be continued.
+
+    It is still wanted, or it may still arrive and is repeated to settle it.
 
     Attributes:
         record: Record of the order.
--- a/src/mulberrywharf/authority/lease_fuse.py
+++ b/src/mulberrywharf/authority/lease_fuse.py
@@ -19,8 +19,9 @@
 class LeaseFuse:
     """Tracks until when this process may send orders, and enforces it.
 
-    Three times follow from the lease. All are measured from before the renewal
-    was sent, because the key-value service measures from when it arrived:
+    Three points in time follow from the lease. All are measured from before the
+    renewal was sent, because the key-value service measures from when it
+    arrived:
 
     - ``user_timeout_s`` before the timer: the last time at which an order may
       be sent. Its unacknowledged bytes are retransmitted for at most
@@ -29,8 +30,8 @@
       process.
     - The end of the lease: another process may take over.
 
-    A running process reaches the first time and steps down, which disarms the
-    timer. Only a suspended process is killed.
+    A running process steps down at the first of them, which disarms the timer.
+    Only a suspended process is killed.
     """
 
     def __init__(
@@ -45,8 +46,8 @@
         self._margin_s = margin_s
         self._user_timeout_s = user_timeout_s
         self._enabled = enabled
-        self._end_monotonic_s = float("-inf")
-        self._end_unix_s = float("-inf")
+        self._due_monotonic_s = float("-inf")
+        self._due_unix_s = float("-inf")
         self._offset_s = clock.unix_s() - clock.monotonic_s()
 
     def renewed(self, lease_end_monotonic_s: float) -> bool:
@@ -59,11 +60,11 @@
         Returns:
             False if too little of the lease is left to arm the timer.
         """
-        self._end_monotonic_s = lease_end_monotonic_s - self._margin_s
+        self._due_monotonic_s = lease_end_monotonic_s - self._margin_s
         offset_s = self._clock.unix_s() - self._clock.monotonic_s()
         # If the VM was paused during the renewal, the offset between the clocks
         # has grown. The smaller offset is the one from before the pause.
-        self._end_unix_s = self._end_monotonic_s + min(offset_s, self._offset_s)
+        self._due_unix_s = self._due_monotonic_s + min(offset_s, self._offset_s)
         self._offset_s = offset_s
         if not self._enabled:
             return True
@@ -71,20 +72,20 @@
 
     def step_down(self) -> None:
         """Ends the authority and disarms the timer, so the process lives on."""
-        self._end_monotonic_s = float("-inf")
-        self._end_unix_s = float("-inf")
+        self._due_monotonic_s = float("-inf")
+        self._due_unix_s = float("-inf")
         if self._enabled:
             signal.setitimer(signal.ITIMER_REAL, 0)
 
     def remaining_s(self) -> float:
-        """Returns the seconds until the timer is due, by the earlier clock.
+        """Returns the seconds until the timer is due, by the stricter clock.
 
         A pause of the whole VM can stop the monotonic clock and the timer with
         it; the wall clock, which the host corrects, shows the lost time. A jump
         of the wall clock can only shorten the authority, never extend it.
         """
-        by_monotonic_s = self._end_monotonic_s - self._clock.monotonic_s()
-        by_wall_s = self._end_unix_s - self._clock.unix_s()
+        by_monotonic_s = self._due_monotonic_s - self._clock.monotonic_s()
+        by_wall_s = self._due_unix_s - self._clock.unix_s()
         return min(by_monotonic_s, by_wall_s)
 
     def holds(self) -> bool:
@@ -95,7 +96,7 @@
         left.
         """
         if not self._enabled:
-            return self._end_monotonic_s > float("-inf")
+            return self._due_monotonic_s > float("-inf")
         return self.remaining_s() > self._user_timeout_s
 
     def check(self) -> None:
@@ -121,13 +122,13 @@
         not yield.
         """
         for _ in range(_ARM_ATTEMPTS):
-            left_s = self._end_monotonic_s - self._clock.monotonic_s()
+            left_s = self._due_monotonic_s - self._clock.monotonic_s()
             if left_s <= 0:
                 return False
             signal.setitimer(signal.ITIMER_REAL, left_s)
             fires_in_s, _ = signal.getitimer(signal.ITIMER_REAL)
             fires_at_s = fires_in_s + self._clock.monotonic_s()
-            if fires_at_s <= self._end_monotonic_s + _ARM_SLACK_S:
+            if fires_at_s <= self._due_monotonic_s + _ARM_SLACK_S:
                 return True
         return False
 
--- a/src/mulberrywharf/authority/record_store.py
+++ b/src/mulberrywharf/authority/record_store.py
@@ -32,7 +32,8 @@
 
     Every write is conditional on two revisions: those of the records and of the
     lease key. A holder that lost the lease while it was suspended therefore
-    cannot write, because its lease key was deleted or created by another one.
+    cannot write, because its lease key was deleted, or another holder has
+    created it again.
     """
 
     def __init__(
@@ -160,7 +161,7 @@
     def _error_if_changed(
         self, value: bytes, lease_key: LeaseKey
     ) -> errors.PlatformError:
-        """Distinguishes an earlier write of this holder from another's."""
+        """Tells whether this holder or another one wrote the stored value."""
         decoded = order_records.decode(value)
         if isinstance(decoded, Ok):
             holder = decoded.ok_value.holder
--- a/src/mulberrywharf/authority/role_holder.py
+++ b/src/mulberrywharf/authority/role_holder.py
@@ -8,9 +8,9 @@
 transit:
 
 - The holder owns a key attached to a lease. Its fencing number combines the
-  store's era with the revision that created the key, because a store that is
-  restored from an older copy assigns revisions again. The number therefore
-  increases from holder to holder.
+  store's era with the revision that created the key. A store that is restored
+  from an older copy assigns revisions again, but its era increases. The number
+  therefore increases from holder to holder.
 - The holder records an order before it sends it, in a write that fails if it no
   longer owns the key. It checks the lease again right before the first byte.
 - A new holder that may follow another one first waits for longer than the
--- a/src/mulberrywharf/authority/role_keeper.py
+++ b/src/mulberrywharf/authority/role_keeper.py
@@ -27,8 +27,8 @@
 """How long the outcome of an order is awaited. An engine may execute an
 unanswered order seconds later, so no other order is sent until this time has
 passed or the engine's report shows the outcome. After that, a late order is
-harmless: an engine that has accepted another order meanwhile rejects it because
-its expected count of accepted orders no longer matches."""
+harmless: an engine that has accepted another order meanwhile rejects the late
+one, whose expected count of accepted orders no longer matches."""
 
 MIN_REPORTING_SHARE = 0.75
 """Share of a service's engines that must report before a change is made. A few
@@ -261,14 +261,14 @@
         report = reports.get(sent.order.server.start)
         # If the order was not answered, the engine may still execute it after a
         # restart, when its count of accepted orders can match again.
-        has_left = sent.is_accepted and sent.order.server.server_id not in {
+        is_removed = sent.is_accepted and sent.order.server.server_id not in {
             one.server_id for one in servers
         }
-        is_taken = (
+        is_accepted = (
             report is not None
             and report.accepted_count > sent.order.expected_count
         )
-        if has_left or is_taken or now_s - sent.sent_s > SETTLE_TIMEOUT_S:
+        if is_removed or is_accepted or now_s - sent.sent_s > SETTLE_TIMEOUT_S:
             self._unsettled = None
 
     def _order(self, change: role_split.Change, accepted_count: int) -> None:
--- a/src/mulberrywharf/authority/steps.py
+++ b/src/mulberrywharf/authority/steps.py
@@ -131,7 +131,7 @@
 def _under_own_lease(
     record: OrderRecord, context: StepContext
 ) -> OrderRecord | None:
-    """Returns the record under this lease, or None if it already is."""
+    """Returns the record for this lease, or None if it is already its own."""
     if record.fencing_number == context.fencing_number:
         return None
     return record._replace(
--- a/tests/test_role_holder.py
+++ b/tests/test_role_holder.py
@@ -78,7 +78,7 @@
         self.assertGreater(self.wait_for(self.start()), 0)
 
     def test_next_holder_has_a_higher_number_and_waits(self) -> None:
-        """Guards against orders of two holders that arrive out of order.
+        """Guards against interleaved orders of two holders.
 
         The holder sends an order and stops, and the next one acquires the key
         immediately. Bytes of the last order may be in transit for as long as
@@ -114,10 +114,10 @@
         The usual monotonic clock stops while the machine is suspended, so the
         lease must not be measured by it.
         """
-        frozen = _SuspendableClock()
-        holder = self.start(system_clock=frozen)
+        system_clock = _SuspendableClock()
+        holder = self.start(system_clock=system_clock)
         self.wait_for(holder)
-        frozen.suspended_s = TIMING.lease_ttl_s
+        system_clock.suspended_s = TIMING.lease_ttl_s
         self.assertIsInstance(holder.authority(), Err)
         with self.assertRaises(errors.AuthorityLostError):
             holder.check()
--- a/tests/test_role_keeper.py
+++ b/tests/test_role_keeper.py
@@ -53,13 +53,13 @@
 
     age_s = 1000.0
     wanted = 1.4
-    resting: frozenset[str] = frozenset()
+    blocked_ids: frozenset[str] = frozenset()
 
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
         return {}
 
     def may_ask(self, server: fleet.Server) -> bool:
-        return server.server_id not in self.resting
+        return server.server_id not in self.blocked_ids
 
     def trouble_age_s(self) -> float:
         return self.age_s
@@ -83,13 +83,13 @@
 
     def script(self, sock: Any, asked: bytes) -> None:
         if asked.startswith(b"GET /report"):
-            self._say(sock, b"200 OK", self._report())
+            self._respond(sock, b"200 OK", self._report())
             return
         self.orders.append(orjson.loads(asked.partition(b"\r\n\r\n")[2]))
         if self.takes_orders:
             self.accepted_count += 1
         if self.answers_orders:
-            self._say(sock, self.status, b"{}")
+            self._respond(sock, self.status, b"{}")
         else:
             sock.close()
 
@@ -110,7 +110,7 @@
             }
         )
 
-    def _say(self, sock: Any, status: bytes, body: bytes) -> None:
+    def _respond(self, sock: Any, status: bytes, body: bytes) -> None:
         sock.sendall(
             b"HTTP/1.1 "
             + status
@@ -156,7 +156,7 @@
 
     def test_engines_that_may_not_be_asked_receive_nothing(self) -> None:
         """Guards against calls to an engine that asked for a pause."""
-        self.listed.resting = frozenset({"e0", "e1", "e2", "e3"})
+        self.listed.blocked_ids = frozenset({"e0", "e1", "e2", "e3"})
         self.rounds(3)
         self.assertEqual([one.requests for one in self.scripted], [[]] * 4)
 
