--- a/src/mulberrywharf/authority/lease_fuse.py
+++ b/src/mulberrywharf/authority/lease_fuse.py
@@ -71,7 +71,7 @@
         return self._arm()
 
     def step_down(self) -> None:
-        """Ends the authority and disarms the timer, so the process lives on."""
+        """Ends the authority and disarms the timer, so no kill follows."""
         self._due_monotonic_s = float("-inf")
         self._due_unix_s = float("-inf")
         if self._enabled:
--- a/tests/authority_faults.py
+++ b/tests/authority_faults.py
@@ -99,7 +99,7 @@
 
     def freeze_holder(self) -> None:
         """Suspends the holder at a random time, often beyond its lease."""
-        self._freeze(self._holder_or_any())
+        self._suspend(self._holder_or_any())
 
     def freeze_before_send(self) -> None:
         """Suspends the holder between an order's last check and first byte.
@@ -110,7 +110,7 @@
         self._change_rules()
         if self._await_new_order():
             time.sleep(self._random.uniform(0.0, GAP_S))
-            self._freeze(index)
+            self._suspend(index)
 
     def cut_from_service(self) -> None:
         """Partitions the holder from the key-value service."""
@@ -203,11 +203,11 @@
             is_new, _WINDOW_WAIT_S, poll_s=_WINDOW_POLL_S
         )
 
-    def _freeze(self, index: int) -> None:
+    def _suspend(self, index: int) -> None:
         process = self._zone.controllers[index]
-        builders_authority.freeze(process)
+        builders_authority.suspend(process)
         time.sleep(self._random_outage_s())
-        builders_authority.thaw(process)
+        builders_authority.resume(process)
 
     def _random_outage_s(self) -> float:
         return self._random.uniform(0.4, 2.2) * self._zone.timing.lease_ttl_s
@@ -276,7 +276,7 @@
             time.sleep(_CONVERGED_ROUNDS_COUNT * self._zone.timing.evaluate_s)
             return self._has_converged()
 
-        calm = builders_authority.wait_for(
+        converged = builders_authority.wait_for(
             has_converged, _CONVERGENCE_TIMEOUT_S
         )
         logs = {
@@ -292,8 +292,8 @@
             self._seed,
             names,
             tuple(findings),
-            time.monotonic() - begun_s if calm else None,
-            "" if calm else self._describe_unsettled(),
+            time.monotonic() - begun_s if converged else None,
+            "" if converged else self._describe_unsettled(),
             self._killed_by_fuse_count,
             tuple(self._stop_codes),
         )
--- a/tests/builders_authority.py
+++ b/tests/builders_authority.py
@@ -363,12 +363,12 @@
         return len(events) - 1
 
 
-def freeze(process: processes.Process) -> None:
+def suspend(process: processes.Process) -> None:
     """Suspends a process at its current instruction."""
     process.signal(signal.SIGSTOP)
 
 
-def thaw(process: processes.Process) -> None:
+def resume(process: processes.Process) -> None:
     """Resumes a suspended process."""
     process.signal(signal.SIGCONT)
 
--- a/tests/test_situation_builder.py
+++ b/tests/test_situation_builder.py
@@ -41,13 +41,15 @@
 
     def test_restarted_engine_causes_no_negative_demand(self):
         tracker, last = self._tracked()
-        anew = last._replace(
+        restarted = last._replace(
             prompt_tokens_total=0,
             output_tokens_total=0,
             reported_unix_s=last.reported_unix_s + 1.0,
         )
-        tracker.observe([anew])
-        self.assertGreater(tracker.demand([_seen(anew)]).prompt_tokens_per_s, 0)
+        tracker.observe([restarted])
+        self.assertGreater(
+            tracker.demand([_seen(restarted)]).prompt_tokens_per_s, 0
+        )
 
     def test_repeated_report_changes_nothing(self):
         tracker, last = self._tracked()
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -88,15 +88,15 @@
         whole = usage_codec.Counts(
             7, 353_445_120, True, by_customer, sum(by_customer.values())
         )
-        told: dict[str, int] = {}
+        merged: dict[str, int] = {}
         parts = list(usage_codec.split_counts(whole))
         for part in parts:
             datagram = usage_codec.encode_counts(part)
             self.assertLess(len(datagram), datagrams.DATAGRAM_LIMIT_BYTES - 5)
             decoded = usage_codec.decode(datagram).unwrap()
             self.assertEqual(decoded, part)
-            told.update(part.by_customer)
-        self.assertEqual(told, by_customer)
+            merged.update(part.by_customer)
+        self.assertEqual(merged, by_customer)
         self.assertTrue(all(part.is_final for part in parts))
         total_count = sum(by_customer.values())
         self.assertEqual({part.total_count for part in parts}, {total_count})
