--- a/tests/authority_faults.py
+++ b/tests/authority_faults.py
@@ -1,4 +1,4 @@
-"""Seeded runs of two controllers under faults, judged by the audit."""
+"""Seeded runs of two controllers under faults, checked by the audit."""
 
 import itertools
 import random
@@ -9,28 +9,29 @@
 
 from tests import authority_audit, builders_authority
 
-_CALM_LIMIT_S = 25.0
-_CALM_BEFORE_S = 5.0
+_CONVERGENCE_TIMEOUT_S = 25.0
+_PRE_FAULT_TIMEOUT_S = 5.0
 _FAULTS_COUNT = 3
-_CALM_FOR_ROUNDS_COUNT = 2
+_CONVERGED_ROUNDS_COUNT = 2
 _WINDOW_WAIT_S = 2.0
 GAP_S = 0.05
-"""How wide runs make the gap between check and send."""
+"""Time that runs insert between the last check of an order and its send."""
 
 _WINDOW_POLL_S = 0.001
 _LATE_DELAY_MS = 700.0
 
 
 class RunResult(NamedTuple):
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
-        seed: Of the run.
+        seed: Seed of the run.
         faults: Names of the faults, in order.
-        findings: Breaches.
-        calm_s: Until all was as the rules say; None when it never was.
-        left_over: What was not settled then.
-        killed_by_fuse_count: Controllers that SIGALRM ended.
+        findings: Violations.
+        calm_s: Time until the zone converged to the rules after the faults were
+            removed; None if it did not.
+        left_over: State of the zone if it did not converge.
+        killed_by_fuse_count: Number of controllers killed by SIGALRM.
         stop_codes: Exit codes of controllers that were stopped gracefully.
     """
 
@@ -43,13 +44,13 @@
     stop_codes: tuple[int, ...] = ()
 
     def is_clean(self) -> bool:
-        """Tells whether all held."""
+        """Tells whether the run converged without any violation."""
         stopped = not any(self.stop_codes)
         return stopped and not self.findings and self.calm_s is not None
 
 
 class FaultyRun:
-    """One seeded run in a zone that several runs may share, one by one."""
+    """One seeded run; several runs may use the same zone in sequence."""
 
     def __init__(self, zone: builders_authority.Zone, seed: int):
         self._zone = zone
@@ -64,10 +65,10 @@
         self._since_unix_s = 0.0
 
     def run(self, names: Sequence[str] = ()) -> RunResult:
-        """Applies faults while the rules change, then judges.
+        """Injects faults while the rules change, then checks the result.
 
         Args:
-            names: Of the faults; chosen at random when there are none.
+            names: Names of the faults; random ones if empty.
         """
         self._since_unix_s = time.time()
         self._change_rules()
@@ -78,99 +79,102 @@
             if self._random.random() < 0.5:
                 self._change_rules()
             time.sleep(self._random.uniform(0.0, 0.3))
-        self._heal()
-        return self._judge(tuple(names))
+        self._clear_faults()
+        return self._evaluate(tuple(names))
 
     # --- faults -------------------------------------------------------------
 
     def kill_holder(self) -> None:
-        """SIGKILL at any instant."""
+        """Kills the holder at a random time."""
         index = self._holder_or_any()
         self._zone.controllers[index].signal(signal.SIGKILL)
         self._zone.controllers[index].wait()
 
     def stop_holder(self) -> None:
-        """A graceful stop in the middle of whatever goes on."""
+        """Stops the holder gracefully during a change of the rules."""
         index = self._holder_or_any()
         self._change_rules()
         time.sleep(self._random.uniform(0.0, 0.4))
         self._stop_codes.append(self._zone.controllers[index].stop())
 
     def freeze_holder(self) -> None:
-        """SIGSTOP across the lease's end, at any instant."""
-        self._freeze(self._holder_or_any())
+        """Suspends the holder at a random time, often beyond its lease."""
+        self._suspend(self._holder_or_any())
 
     def freeze_before_send(self) -> None:
-        """SIGSTOP between an order's last check and its first byte.
+        """Suspends the holder between an order's last check and first byte.
 
-        Hits that gap only in a zone whose controllers have it widened.
+        This works only in a zone whose controllers extend that time.
         """
         index = self._holder_or_any()
         self._change_rules()
         if self._await_new_order():
             time.sleep(self._random.uniform(0.0, GAP_S))
-            self._freeze(index)
+            self._suspend(index)
 
     def cut_from_service(self) -> None:
-        """The holder is cut off from the key-value service."""
+        """Partitions the holder from the key-value service."""
         name = f"key-value-{self._holder_or_any()}"
         mode = self._random.choice(
             ("cut", "freeze", "half-open-up", "half-open-down")
         )
         self._zone.set_proxy_faults(name, mode=mode)
-        time.sleep(self._across_lease_s())
+        time.sleep(self._random_outage_s())
         self._zone.set_proxy_faults(name, mode="pass")
 
     def service_down(self) -> None:
-        """The key-value service is down for all."""
+        """Makes the key-value service unavailable."""
         self._zone.set_key_value_faults(down=True)
-        time.sleep(self._across_lease_s())
+        time.sleep(self._random_outage_s())
         self._zone.set_key_value_faults()
 
     def lose_answers(self) -> None:
-        """Writes take effect and their answers are lost."""
+        """Drops the responses to writes that take effect."""
         count = self._random.randint(1, 4)
         self._zone.set_key_value_faults(lose_answers_count=count)
 
     def crash_engine(self) -> None:
-        """An engine fails in the middle of its next change."""
-        self._zone.set_engine_faults(self._an_engine(), crash_mid_change=True)
+        """Makes an engine fail during its next change."""
+        self._zone.set_engine_faults(
+            self._random_engine(), crash_mid_change=True
+        )
 
     def lose_order_answers(self) -> None:
-        """Engines take orders and their answers are lost."""
+        """Drops the responses to orders that an engine accepts."""
         count = self._random.randint(1, 2)
         self._zone.set_engine_faults(
-            self._an_engine(), drop_order_answers=count
+            self._random_engine(), drop_order_answers=count
         )
 
     def delay_engine(self) -> None:
-        """Bytes to an engine are late, within what the margins allow."""
+        """Delays data to an engine, within the margins of the settings."""
         timing = self._zone.timing
         bound_s = timing.margin_s + timing.user_timeout_s
         delay_ms = self._random.uniform(0.1, 0.8) * bound_s * 1000
-        self._zone.set_proxy_faults(self._an_engine(), delay_ms=delay_ms)
+        self._zone.set_proxy_faults(self._random_engine(), delay_ms=delay_ms)
 
     def cut_engine(self) -> None:
-        """An engine can't be reached for a while."""
-        engine_id = self._an_engine()
+        """Makes an engine unreachable for a short time."""
+        engine_id = self._random_engine()
         self._zone.set_proxy_faults(engine_id, mode="cut")
         time.sleep(self._random.uniform(0.1, 0.6))
         self._zone.set_proxy_faults(engine_id, mode="pass")
 
     def take_lease_away(self) -> None:
-        """The lease key is deleted before its time."""
+        """Deletes the lease key while the lease is valid."""
         history = self._zone.lease_history()
         tenures = authority_audit.tenures(history)
         if tenures:
             self._late_allowed.add(tenures[-1].fencing_number)
-        self._zone.take_lease_key_away()
+        self._zone.delete_lease_key()
 
     def send_late_and_lose_lease(self) -> None:
-        """A load is on its way when its sender's lease is taken away.
+        """Takes the lease away while an order of the holder is in transit.
 
-        The next holder takes over at once and is told to load another.
+        The order loads a model. The next holder takes over immediately, and its
+        rules require another model.
         """
-        builders_authority.wait_for(self._is_calm, _CALM_BEFORE_S)
+        builders_authority.wait_for(self._has_converged, _PRE_FAULT_TIMEOUT_S)
         self._change_load()
         if not self._await_new_order(phases=("sent",)):
             return
@@ -188,7 +192,7 @@
     def _await_new_order(
         self, phases: tuple[str, ...] = ("draining", "sent")
     ) -> bool:
-        """Waits until a controller records something that it then sends."""
+        """Waits until a controller records an order that it sends next."""
         known = set(self._zone.records().records.values())
 
         def is_new() -> bool:
@@ -199,13 +203,13 @@
             is_new, _WINDOW_WAIT_S, poll_s=_WINDOW_POLL_S
         )
 
-    def _freeze(self, index: int) -> None:
+    def _suspend(self, index: int) -> None:
         process = self._zone.controllers[index]
-        builders_authority.freeze(process)
-        time.sleep(self._across_lease_s())
-        builders_authority.thaw(process)
+        builders_authority.suspend(process)
+        time.sleep(self._random_outage_s())
+        builders_authority.resume(process)
 
-    def _across_lease_s(self) -> float:
+    def _random_outage_s(self) -> float:
         return self._random.uniform(0.4, 2.2) * self._zone.timing.lease_ttl_s
 
     def _holder_or_any(self) -> int:
@@ -216,7 +220,7 @@
             self._restart_dead()
         return index
 
-    def _an_engine(self) -> str:
+    def _random_engine(self) -> str:
         return self._random.choice(sorted(self._zone.engines))
 
     def _change_rules(self) -> None:
@@ -224,13 +228,13 @@
         prefill = self._random.randint(0, count)
         decode = self._random.randint(0, count - prefill)
         self._split = (prefill, decode, count - prefill - decode)
-        self._accept()
+        self._put_configuration()
 
     def _change_load(self) -> None:
         self._model = f"model-{self._seed}-{next(self._model_numbers)}"
-        self._accept()
+        self._put_configuration()
 
-    def _accept(self) -> None:
+    def _put_configuration(self) -> None:
         document = builders_authority.roles_document(*self._split)
         if self._model:
             document["default"]["load"] = {
@@ -240,8 +244,8 @@
             document["models"] = {self._model: {"adapters": [], "versions": []}}
         self._zone.accept(document)
 
-    def _is_calm(self) -> bool:
-        if not self._zone.is_calm(*self._split):
+    def _has_converged(self) -> bool:
+        if not self._zone.has_converged(*self._split):
             return False
         models = [set(r["models"]) for r in self._zone.loads().values()]
         return not self._model or any(self._model in m for m in models)
@@ -253,7 +257,7 @@
                 self._killed_by_fuse_count += code == -signal.SIGALRM
                 self._zone.start_controller(index)
 
-    def _heal(self) -> None:
+    def _clear_faults(self) -> None:
         self._zone.set_key_value_faults()
         for engine_id in self._zone.engines:
             self._zone.set_proxy_faults(engine_id, mode="pass", delay_ms=0.0)
@@ -262,17 +266,19 @@
             )
         self._restart_dead()
 
-    def _judge(self, names: tuple[str, ...]) -> RunResult:
+    def _evaluate(self, names: tuple[str, ...]) -> RunResult:
         begun_s = time.monotonic()
 
-        def is_calm() -> bool:
+        def has_converged() -> bool:
             self._restart_dead()
-            if not self._is_calm():
+            if not self._has_converged():
                 return False
-            time.sleep(_CALM_FOR_ROUNDS_COUNT * self._zone.timing.evaluate_s)
-            return self._is_calm()
+            time.sleep(_CONVERGED_ROUNDS_COUNT * self._zone.timing.evaluate_s)
+            return self._has_converged()
 
-        calm = builders_authority.wait_for(is_calm, _CALM_LIMIT_S)
+        converged = builders_authority.wait_for(
+            has_converged, _CONVERGENCE_TIMEOUT_S
+        )
         logs = {
             engine_id: [o for o in log if o["unix_s"] >= self._since_unix_s]
             for engine_id, log in self._zone.order_logs().items()
@@ -286,13 +292,13 @@
             self._seed,
             names,
             tuple(findings),
-            time.monotonic() - begun_s if calm else None,
-            "" if calm else self._left_over(),
+            time.monotonic() - begun_s if converged else None,
+            "" if converged else self._describe_unsettled(),
             self._killed_by_fuse_count,
             tuple(self._stop_codes),
         )
 
-    def _left_over(self) -> str:
+    def _describe_unsettled(self) -> str:
         roles = {
             e: (r["role"], r["state"]) for e, r in self._zone.loads().items()
         }
