--- a/src/mulberrywharf/callers/__init__.py
+++ b/src/mulberrywharf/callers/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers."""
+"""HTTP interface for callers."""
--- a/src/mulberrywharf/callers/_completion_body.py
+++ b/src/mulberrywharf/callers/_completion_body.py
@@ -1,7 +1,7 @@
-"""Checks of an OpenAI body, field by field.
+"""Validates the fields of an OpenAI request body.
 
-Each function returns a checked value or raises the ``RequestError`` that the
-caller gets; ``request.read_completion`` puts them together.
+Each function returns a validated value or raises the ``RequestError`` to return
+to the caller; ``request.read_completion`` calls them.
 """
 
 import json
@@ -14,9 +14,10 @@
 
 
 def json_object(body: bytes) -> dict[str, Any]:
-    """Returns the body as a JSON object.
+    """Parses the body as a JSON object.
 
-    ``NaN`` and ``Infinity`` are refused: Python reads them, JSON has neither.
+    Rejects ``NaN`` and ``Infinity``, which Python's parser accepts although
+    they are not JSON.
     """
     try:
         document = json.loads(body, parse_constant=_refuse_constant)
@@ -32,25 +33,30 @@
 
 
 def check_one_choice(body: dict[str, Any]) -> None:
-    """Refuses a request for several choices in one answer."""
-    # Two choices in one stream have no single count of delivered tokens, so
-    # such an answer could not be resumed on another engine.
+    """Rejects a request for several choices in one answer."""
+    # A stream with several choices has no single count of delivered tokens, so
+    # it could not be resumed on another engine.
     for name in ("n", "best_of"):
         if body.get(name) not in (None, 1):
-            raise errors.BadRequestError(f"{name} above 1 is not served")
+            raise errors.BadRequestError(f"{name} above 1 is not supported")
 
 
 def model_and_adapter(
     body: dict[str, Any], models: Mapping[str, Mapping[str, Any]]
 ) -> tuple[str, str]:
-    """Returns the model and the adapter, empty if none, that a body names.
+    """Returns the model and the adapter that a body names.
 
     Args:
         body: The OpenAI body.
-        models: The configuration's models, with their adapters.
+        models: Models of the configuration, with their adapters.
+
+    Returns:
+        The names of the model and the adapter; the latter is empty if the body
+        names none.
 
     Raises:
-        UnknownTargetError: There is no such model, or no such adapter of it.
+        BadRequestError: The model is missing or not a string.
+        UnknownTargetError: The model, or its adapter, is not configured.
     """
     name = body.get("model")
     if not isinstance(name, str):
@@ -66,16 +72,16 @@
     )
 
 
-def plain_prompt(body: dict[str, Any]) -> str:
-    """Returns the prompt of a completion."""
+def completion_prompt(body: dict[str, Any]) -> str:
+    """Returns the prompt of a completion request."""
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
         raise errors.BadRequestError("prompt is missing or not a string")
-    return _encodable(prompt)
+    return _require_encodable(prompt)
 
 
 def chat_prompt(body: dict[str, Any]) -> str:
-    """Returns a chat's messages as ``role: content`` lines."""
+    """Returns the messages of a chat request as ``role: content`` lines."""
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
         raise errors.BadRequestError("messages is missing or empty")
@@ -86,12 +92,14 @@
     fields = message if isinstance(message, dict) else {}
     role, content = fields.get("role"), fields.get("content")
     if not isinstance(role, str) or not isinstance(content, str):
-        raise errors.BadRequestError("a message lacks its role or its text")
-    return _encodable(f"{role}: {content}\n")
+        raise errors.BadRequestError(
+            "the role or the content of a message is missing or not a string"
+        )
+    return _require_encodable(f"{role}: {content}\n")
 
 
-def _encodable(text: str) -> str:
-    # JSON can name lone surrogates, which no UTF-8 body can carry on.
+def _require_encodable(text: str) -> str:
+    # JSON escapes can encode lone surrogates, which UTF-8 can't represent.
     try:
         text.encode()
     except UnicodeEncodeError as error:
@@ -100,7 +108,7 @@
 
 
 def max_tokens(body: dict[str, Any]) -> int | None:
-    """Returns the bound of the answer, or None if the body names none."""
+    """Returns the maximum number of answer tokens, or None if not set."""
     value = body.get("max_tokens")
     if value is None:
         return None
@@ -113,8 +121,8 @@
     return value
 
 
-def flag(body: dict[str, Any], name: str) -> bool:
-    """Returns a boolean field; absent or null is False."""
+def boolean_field(body: dict[str, Any], name: str) -> bool:
+    """Returns a boolean field; a missing or null one is False."""
     value = body.get(name, False)
     if value is None:
         return False
--- a/src/mulberrywharf/callers/caller_watch.py
+++ b/src/mulberrywharf/callers/caller_watch.py
@@ -1,8 +1,8 @@
-"""Notices a caller that went away while its answer is still being made.
+"""Detects that a caller disconnected while its answer is being produced.
 
-A router that only writes learns of it at the next write: a caller that gives
-up in the queue, or during a long prefill, would go on occupying an engine.
-One would notice engines generating tokens for nobody.
+Without this, a disconnect shows only at the next write: the request of a
+caller that gives up in the queue or during a long prefill would go on
+occupying an engine, which generates tokens that nobody reads.
 """
 
 import socket
@@ -13,74 +13,74 @@
 
 from mulberrywharf import errors
 
-_READ = 1
+_READ_EVENT = 1
 
 
 class CallerWatch:
-    """Throws ``CallerGoneError`` into its greenlet when the caller leaves.
+    """Raises ``CallerGoneError`` in its greenlet if the caller disconnects.
 
-    It does so only between ``expect`` and ``ignore``, that is while the
-    answer is waited for; in a write the caller's end shows by itself. One
-    watch serves a whole answer, because making one for each block of a
-    stream costs more than passing the block on. A caller that half-closes
-    its connection counts as gone.
+    The greenlet is the one that creates the watch. The error is raised only
+    between ``enable`` and ``disable``, while the greenlet waits for the answer;
+    a write detects a disconnect by itself. One watch serves a whole answer, as
+    creating one for each block of a stream costs more than relaying the block.
+    A caller that half-closes its connection counts as disconnected.
     """
 
     def __init__(self, sock: Any):
         self._socket = sock
         self._greenlet = gevent.getcurrent()
         self._watcher: Any = None
-        self._is_expected = False
-        self._is_gone = False
+        self._is_enabled = False
+        self._is_disconnected = False
 
     def start(self) -> None:
-        """Begins to watch, after the request's body was read."""
+        """Starts the watch; call it once the request body has been read."""
         loop = gevent.hub.get_hub().loop
-        self._watcher = loop.io(self._socket.fileno(), _READ)
-        self._watcher.start(self._readable)
+        self._watcher = loop.io(self._socket.fileno(), _READ_EVENT)
+        self._watcher.start(self._on_readable)
 
     def close(self) -> None:
-        """Ends the watch; no exception comes after this."""
-        self._is_expected = False
+        """Ends the watch; raises nothing in the greenlet after this."""
+        self._is_enabled = False
         watcher, self._watcher = self._watcher, None
         if watcher is not None:
             watcher.stop()
             watcher.close()
 
-    def expect(self) -> None:
-        """Lets the caller's end interrupt what follows.
+    def enable(self) -> None:
+        """Lets a disconnect interrupt the greenlet until ``disable``.
 
         Raises:
-            CallerGoneError: It has left already.
+            CallerGoneError: The caller has already disconnected.
         """
-        if self._is_gone:
-            raise _gone()
-        self._is_expected = True
+        if self._is_disconnected:
+            raise _caller_gone_error()
+        self._is_enabled = True
 
-    def ignore(self) -> None:
-        """Ends what ``expect`` began."""
-        self._is_expected = False
+    def disable(self) -> None:
+        """Stops a disconnect from interrupting the greenlet."""
+        self._is_enabled = False
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         if self._watcher is None:
             return
         self._watcher.stop()
-        if not _has_ended(self._socket):
-            # The next request of the connection has come early; what
-            # follows it cannot be seen without reading it.
+        if not _is_closed_by_peer(self._socket):
+            # The caller pipelined its next request. A disconnect behind those
+            # bytes can't be detected without reading them.
             return
-        self._is_gone = True
-        if self._is_expected:
-            gevent.kill(self._greenlet, _gone())
+        self._is_disconnected = True
+        if self._is_enabled:
+            gevent.kill(self._greenlet, _caller_gone_error())
 
 
-def _gone() -> errors.CallerGoneError:
+def _caller_gone_error() -> errors.CallerGoneError:
     return errors.CallerGoneError("the caller closed its connection")
 
 
-def _has_ended(sock: Any) -> bool:
+def _is_closed_by_peer(sock: Any) -> bool:
     try:
-        # The socket beneath gevent's: its recv never waits.
+        # The plain socket inside gevent's socket: its recv does not block.
         peeked = sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
--- a/src/mulberrywharf/callers/completions.py
+++ b/src/mulberrywharf/callers/completions.py
@@ -1,7 +1,7 @@
-"""Completions and chat towards callers, as a stream or as one answer.
+"""Answers completion and chat completion requests of callers.
 
-Generations always run as streams towards the engines, so that a plain answer
-too can be resumed on another engine after a crash.
+Engines always generate as a stream, so that a non-streaming answer can also be
+resumed on another engine after a crash.
 """
 
 import json
@@ -24,63 +24,65 @@
 
 
 class Generations(Protocol):
-    """Runs generations, wherever."""
+    """Runs generations on engines."""
 
-    def generate(self, wanted: request.CompletionRequest) -> Batches:
-        """Yields the answer; the last batch says that it is whole.
+    def generate(self, completion: request.CompletionRequest) -> Batches:
+        """Yields the answer; only the last batch has ``is_last`` set.
 
-        Closing the iterator cancels the generation at its engine.
+        Closing the iterator cancels the generation on its engine.
 
         Raises:
-            RequestError: The answer is refused or cannot be made whole.
+            RequestError: The request is rejected or its answer can't be
+                completed.
         """
         ...
 
 
 def respond(
-    wanted: request.CompletionRequest, generations: Generations, sock: Any
+    completion: request.CompletionRequest, generations: Generations, sock: Any
 ) -> response.Response:
-    """Answers one completion.
+    """Answers one completion request, as a stream or as one JSON body.
 
     Args:
-        wanted: What the caller asked for.
-        generations: Makes the answer.
-        sock: The caller's connection, watched for its end.
+        completion: The completion request.
+        generations: Generates the answer.
+        sock: The caller's connection, watched for a disconnect.
 
     Raises:
-        MulberryError: Nothing was written to the caller yet.
+        MulberryError: The request failed before anything was written to the
+            caller.
     """
-    batches = _watched(generations.generate(wanted), sock)
-    if wanted.stream:
-        return _streamed(batches, wanted.caller.request_id)
-    return _plain(batches, wanted)
+    batches = _checked_batches(generations.generate(completion), sock)
+    if completion.stream:
+        return _streaming_response(batches, completion.caller.request_id)
+    return _non_streaming_response(batches, completion)
 
 
-def _watched(batches: Batches, sock: Any) -> Batches:
-    """Yields the batches up to their checked end.
+def _checked_batches(batches: Batches, sock: Any) -> Batches:
+    """Yields the batches and checks that the answer is complete.
 
-    What closes this iterator, or ends it by an exception, closes ``batches``.
+    ``batches`` is closed when this iterator is closed, ends or raises.
 
     Raises:
-        CallerGoneError: The caller left while the answer was waited for.
-        BackEndLostError: The answer ended without its end mark.
+        CallerGoneError: The caller disconnected while the answer was awaited.
+        BackEndLostError: The answer ended without a last batch.
     """
     is_whole = False
     watch = caller_watch.CallerWatch(sock)
     watch.start()
     try:
-        watch.expect()
+        watch.enable()
         for batch in batches:
-            watch.ignore()
+            watch.disable()
             is_whole = batch.is_last
             yield batch
-            watch.expect()
+            watch.enable()
     finally:
         watch.close()
         _close(batches)
     if not is_whole:
         raise errors.BackEndLostError(
-            "the answer ended before it was whole", outcome="unknown"
+            "the answer ended before it was complete", outcome="unknown"
         )
 
 
@@ -90,9 +92,9 @@
         close()
 
 
-def _streamed(batches: Batches, request_id: str) -> response.Response:
-    # The first batch comes before the status line is written, so that a
-    # refusal still is one.
+def _streaming_response(batches: Batches, request_id: str) -> response.Response:
+    # Waits for the first batch before the status line is written, so that an
+    # earlier failure still gets an error status.
     first = next(batches)
     headers = [
         ("content-type", "text/event-stream"),
@@ -100,15 +102,15 @@
         ("x-request-id", request_id),
     ]
     return response.Response(
-        "200 OK", headers, _relayed(first, batches, request_id)
+        "200 OK", headers, _event_blocks(first, batches, request_id)
     )
 
 
-def _relayed(
+def _event_blocks(
     first: streams.TokenBatch, batches: Batches, request_id: str
 ) -> Iterator[bytes]:
-    # Whoever stops reading early is a caller that left: its connection broke
-    # in a write, and the server closes this iterator.
+    # The default result: if the connection fails in a write, the server closes
+    # this iterator before its end.
     result = errors.CallerGoneError.code
     try:
         yield first.raw
@@ -118,29 +120,29 @@
     except errors.CallerGoneError:
         return
     except errors.MulberryError as error:
-        told = problems.as_request_error(error)
-        # Tokens were delivered, so something ran, whatever failed then.
-        told.outcome = "unknown"
-        result = told.code
+        request_error = problems.as_request_error(error)
+        # Tokens were delivered, so the request ran at least in part.
+        request_error.outcome = "unknown"
+        result = request_error.code
         logger.bind(request_id=request_id).warning(
-            "a begun stream ends broken: {}", told.message
+            "a stream failed after it had started: {}", request_error.message
         )
-        yield problems.stream_event(told, request_id)
+        yield problems.stream_event(request_error, request_id)
     finally:
         _streams_total.inc({"result": result})
         _close(batches)
 
 
-def _plain(
-    batches: Batches, wanted: request.CompletionRequest
+def _non_streaming_response(
+    batches: Batches, completion: request.CompletionRequest
 ) -> response.Response:
-    request_id = wanted.caller.request_id
+    request_id = completion.caller.request_id
     try:
         assembled = plain.assemble(
             batches,
             request_id=request_id,
-            model=wanted.body["model"],
-            chat=wanted.chat,
+            model=completion.body["model"],
+            chat=completion.chat,
         )
     finally:
         _close(batches)
--- a/src/mulberrywharf/callers/handshakes.py
+++ b/src/mulberrywharf/callers/handshakes.py
@@ -1,11 +1,11 @@
-"""Keeps new connections away from a listener that is about to close.
-
-Between the last ``accept`` and the close of a listener the kernel may
-complete one more connection, whose caller sends its request and sees it
-reset. One would notice a few such callers in every rollout under load. A
-socket filter that drops only SYN segments ends that: handshakes that have
-begun complete and can be accepted, new ones do not begin, and their callers'
-next SYN, a second later, is refused in the plain way.
+"""Prevents new TCP handshakes on a listening socket that is about to close.
+
+Between the last ``accept`` and the close of a listening socket the kernel may
+complete another connection. The close resets it, together with a request that
+was already sent; every rollout under load would cut a few callers. A socket
+filter that drops only SYN segments closes this gap: handshakes in progress
+complete and can be accepted, and no new ones begin. A dropped caller
+retransmits its SYN after a second, and the kernel then refuses the connection.
 """
 
 import ctypes
@@ -22,30 +22,33 @@
 _RETURN = 0x06
 _FLAGS_OFFSET_BYTES = 13
 _SYN = 0x02
-_KEEP_WHOLE = 0xFFFF_FFFF
+_ACCEPT_WHOLE = 0xFFFF_FFFF
 _DROP = 0
 
-# The kernel shows the filter each segment from its TCP header on.
-_PROGRAM = (
+# A classic BPF program. The kernel passes it each segment from the TCP header
+# on, so the offset counts from there.
+_FILTER_PROGRAM = (
     _INSTRUCTION.pack(_LOAD_BYTE, 0, 0, _FLAGS_OFFSET_BYTES),
     _INSTRUCTION.pack(_JUMP_IF_ANY_BIT, 0, 1, _SYN),
     _INSTRUCTION.pack(_RETURN, 0, 0, _DROP),
-    _INSTRUCTION.pack(_RETURN, 0, 0, _KEEP_WHOLE),
+    _INSTRUCTION.pack(_RETURN, 0, 0, _ACCEPT_WHOLE),
 )
 
 
-def refuse_new(listener: Any) -> bool:
-    """Drops every new SYN to a listening socket.
+def drop_new_syns(listener: Any) -> bool:
+    """Makes the kernel drop every new SYN to a listening socket.
 
     Returns:
-        Whether the kernel took the filter. Without it the listener closes
-        all the same, with the small gap that the module tells of.
+        Whether the kernel accepted the filter. Without it the listener can
+        still be closed, with the race described in the module docstring.
     """
-    program = ctypes.create_string_buffer(b"".join(_PROGRAM))
-    head = struct.pack("HP", len(_PROGRAM), ctypes.addressof(program))
+    program = ctypes.create_string_buffer(b"".join(_FILTER_PROGRAM))
+    head = struct.pack("HP", len(_FILTER_PROGRAM), ctypes.addressof(program))
     try:
         listener.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, head)
     except OSError as error:
-        logger.warning("no filter on the closing listener: {}", error)
+        logger.warning(
+            "cannot attach a SYN filter to the closing listener: {}", error
+        )
         return False
     return True
--- a/src/mulberrywharf/callers/listener.py
+++ b/src/mulberrywharf/callers/listener.py
@@ -1,10 +1,11 @@
-"""The listening socket for callers, strict about what it takes for HTTP.
-
-gevent's server accepts several readings of one message: both length headers
-at once, ``Content-Length: +5``, bare line feeds, folded headers. Whatever
-stands before or behind this process may read the same bytes as two requests
-(request smuggling). One would notice foreign answers on shared connections.
-So every head with more than one reading is refused and its connection closed.
+"""Listens for callers and strictly validates the head of each HTTP request.
+
+gevent's server accepts ambiguous requests: both length headers at once,
+``Content-Length: +5``, bare line feeds, folded headers. A proxy in front of
+this process, or a server behind it, may parse the same bytes as two requests
+(request smuggling), and then answers for one caller reach another on a shared
+connection. Every ambiguous head is therefore rejected and its connection
+closed.
 """
 
 import io
@@ -23,34 +24,37 @@
 from mulberrywharf.callers import handshakes, problems
 
 HEADERS_KEY = "mulberrywharf.headers"
-"""Environ key: list of (lower-case name, value) as the caller sent them."""
+"""Environ key: header fields in the order received, as a list of (lower-case
+name, value)."""
 TARGET_KEY = "mulberrywharf.target"
-"""Environ key: the request target, percent escapes left as they came."""
+"""Environ key: the request target, with its percent escapes not decoded."""
 SOCKET_KEY = "mulberrywharf.socket"
-"""Environ key: the caller's connection."""
+"""Environ key: the socket of the caller's connection."""
 
 DEFAULT_HEADER_LIMIT_BYTES = 32_768
 DEFAULT_BODY_LIMIT_BYTES = 1_000_000
 _IDLE_TIMEOUT_S = 75.0
 _CONNECTIONS_LIMIT_COUNT = 8192
 _DISCARD_BLOCK_BYTES = 16_384
-_TARGET_TOO_LONG = "414"
-_EXPECTED_ENDS = (OSError, errors.MulberryError)
-"""A caller that left, and an answer that could not be made whole."""
-
-_HANDSHAKE_S = 0.1
-"""Longer than a handshake with a caller that has begun one takes."""
-_NEXT_REQUEST_S = 1.0
-"""How long a stop leaves a connection open for its next request, counted from
-its accept or its last answer. Its caller was not told that the connection
-ends: the head of that answer went out before the stop. Closed at once, the
-request that is on its way is cut; a caller that is short of processor time
-needs some 100 ms and more to send it. No request is waited for longer than that
-after the listener has closed either: one that is taken late in a stop may
-outlast the grace, and is cut then."""
-_END_IDLE_INTERVAL_S = 0.05
-"""How often a stop looks for connections that became idle; a twentieth of
-what they are left open for."""
+_TARGET_TOO_LONG_STATUS = "414"
+_EXPECTED_ERRORS = (OSError, errors.MulberryError)
+"""Errors that are logged without a traceback: the caller disconnected, or the
+answer could not be completed."""
+
+_HANDSHAKE_WAIT_S = 0.1
+"""How long a stop waits for TCP handshakes in progress; longer than the rest of
+a handshake takes."""
+_NEXT_REQUEST_WAIT_S = 1.0
+"""How long a stop leaves an idle connection open for its next request, counted
+from its accept or its last answer. That answer's head was sent before the stop
+and so did not announce the close; closing at once would cut a request that is
+already being sent. A caller short of CPU time may need 100 ms or more to send
+it. Once the listener has been closed for this long, a stop closes connections
+as soon as they are idle: a request accepted late in a stop may outlast the
+grace period and would be cut at its end."""
+_IDLE_CHECK_INTERVAL_S = 0.05
+"""How often a stop checks for idle connections; a twentieth of the time that
+they are left open."""
 
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _FIELD = re.compile(
@@ -62,16 +66,20 @@
 
 
 class _BoundedInput(pywsgi.Input):
-    """A request body of which at most a bounded rest is thrown away.
+    """A request body that discards at most a bounded number of unread bytes.
+
+    gevent reads the unread rest of a body to its end to reuse the connection;
+    a caller that announces a terabyte could occupy a greenlet indefinitely.
 
-    gevent reads an unread body to its end to reuse the connection; a caller
-    that announces a terabyte would hold a greenlet for as long as it likes.
+    Attributes:
+        is_whole: Whether the body was read to its end.
+        rest_limit_bytes: Maximum number of unread bytes to discard.
     """
 
     __slots__ = ("is_whole", "rest_limit_bytes")
 
     def _discard(self) -> None:
-        """Reads a bounded rest; sets ``is_whole`` once the end was seen."""
+        """Discards up to the limit; sets ``is_whole`` at the body's end."""
         left_bytes = self.rest_limit_bytes
         while left_bytes > 0:
             part = self.read(min(_DISCARD_BLOCK_BYTES, left_bytes))
@@ -82,40 +90,40 @@
 
 
 class _CallerHandler(_wsgi._Handler):
-    """Serves one caller's connection."""
+    """Serves the connection of one caller."""
 
     def handle_one_request(self) -> Any:
-        """Serves one request; see gevent for what it returns."""
+        """Serves one request and returns what gevent's method does."""
         result = super().handle_one_request()
-        if isinstance(result, tuple) and result[0] == _TARGET_TOO_LONG:
+        if isinstance(result, tuple) and result[0] == _TARGET_TOO_LONG_STATUS:
             error = errors.RequestTooLargeError("the target is too long")
             return result[0], problems.raw_response(error, "")
         return result
 
     def read_requestline(self) -> str:
-        """Returns the request line, or nothing if the caller went away."""
+        """Returns the request line, empty if the caller disconnected."""
         line = self.rfile.readline(pywsgi.MAX_REQUEST_LINE)
         return str(line.decode("latin-1"))
 
     def read_request(self, raw_requestline: str) -> bool:
-        """Reads one head.
+        """Reads and validates the head of one request.
 
         Raises:
-            ValueError: The head is malformed or has two readings.
+            ValueError: The head is malformed or ambiguous.
         """
         _check_request_line(raw_requestline)
         super().read_request(raw_requestline)
         return True
 
     def MessageClass(self, rfile: Any, *_: Any) -> Any:  # noqa: N802
-        """Reads and checks the header fields of one head."""
+        """Reads and validates the header fields of one request."""
         limit_bytes = self.server.header_limit_bytes
         self.fields, raw = _read_fields(rfile, limit_bytes)
         _check_framing(self.fields, self.requestline)
         return pywsgi.headers_factory(io.BytesIO(raw))
 
     def get_environ(self) -> _wsgi.Environ:
-        """Returns the WSGI environ with what the application needs besides."""
+        """Returns the WSGI environ with this module's additional keys."""
         environ: _wsgi.Environ = super().get_environ()
         plain: pywsgi.Input = environ["wsgi.input"]
         body = _BoundedInput(
@@ -134,32 +142,32 @@
         return environ
 
     def _connection_upgrade_requested(self) -> bool:
-        # No upgrade is served; taking one for asked would hand the raw
-        # connection to the application as a body without an end.
+        # Upgrades are not supported. If this returned True, gevent would pass
+        # the raw connection to the application as an endless body.
         return False
 
     def handle_one_response(self) -> None:
-        """Answers one request, and ends the connection when stopping."""
+        """Answers one request; closes the connection late in a stop."""
         self.server.busy_sockets.add(self.socket)
         try:
             super().handle_one_response()
         finally:
             self.server.busy_sockets.discard(self.socket)
-            self.server.note_use(self.socket)
-        # What is left of a body would be read as the next request's head.
-        if not self.wsgi_input.is_whole or self.server.awaits_no_request:
+            self.server.record_activity(self.socket)
+        # Unread bytes of a body would be parsed as the next request's head.
+        if not self.wsgi_input.is_whole or self.server.closes_when_idle:
             self.close_connection = True
 
     def finalize_headers(self) -> None:
-        """Tells the caller when its connection will not be reused."""
+        """Adds ``Connection: close`` while the listener is stopping."""
         super().finalize_headers()
         if self.server.stopping and not self.close_connection:
             self.response_headers.append((b"Connection", b"close"))
             self.close_connection = True
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Ends the connection; only faults of ours are worth a trace."""
-        if issubclass(t, _EXPECTED_ENDS):
+        """Closes the connection; logs a traceback only for internal faults."""
+        if issubclass(t, _EXPECTED_ERRORS):
             logger.debug("an answer ended early: {}", v)
             self.close_connection = True
             return
@@ -168,13 +176,13 @@
     def _handle_client_error(self, ex: Exception) -> Any:
         if isinstance(ex, OSError):
             return super()._handle_client_error(ex)
-        error = _refusal(ex)
+        error = _as_request_error(ex)
         logger.debug("refused a request head: {}", error.message)
         return str(error.status), problems.raw_response(error, "")
 
 
 class CallerListener(_wsgi.WsgiServer):
-    """The callers' server; on a stop it cuts nobody who was accepted."""
+    """Server for callers; a stop does not cut requests in progress."""
 
     def __init__(
         self,
@@ -188,23 +196,24 @@
     ):
         super().__init__(ip, port, _no_application)
         self.handler_class = _CallerHandler
-        # Connections beyond this wait in the kernel's queue: each costs a
-        # greenlet, and idle ones would else fill the memory.
+        # Further connections wait in the kernel's accept queue. Each accepted
+        # one costs a greenlet, so idle connections could exhaust the memory.
         self.set_spawn(gevent.pool.Pool(connections_limit_count))
         self.header_limit_bytes = header_limit_bytes
         self.body_limit_bytes = body_limit_bytes
         self._idle_timeout_s = idle_timeout_s
         self.stopping = False
         self.busy_sockets: set[Any] = set()
-        self._awaits_until_s = float("inf")
-        self._last_use_s: dict[Any, float] = {}
-        """Open connections, and when each was accepted or last answered on."""
+        self._close_when_idle_from_s = float("inf")
+        self._last_activity_s: dict[Any, float] = {}
+        """Open connections, each with the monotonic time of its accept or of
+        its last answer."""
         self._all_closed = gevent.event.Event()
         self._all_closed.set()
 
     @classmethod
     def from_config(cls, config: settings.CallersSettings) -> "CallerListener":
-        """Binds the listener of the settings; nothing is accepted yet."""
+        """Binds the port in the settings; accepts nothing before ``start``."""
         return cls(
             config["listen"]["ip"],
             config["listen"]["port"],
@@ -217,12 +226,12 @@
         )
 
     def serve(self, application: _wsgi.Application) -> None:
-        """Sets what answers the requests; call it before ``start``."""
+        """Sets the WSGI application; call it before ``start``."""
         self.application = application
 
     def handle(self, sock: Any, address: Any) -> None:
-        """Serves one accepted connection until it ends."""
-        self.note_use(sock)
+        """Serves one accepted connection until it is closed."""
+        self.record_activity(sock)
         self._all_closed.clear()
         sock.settimeout(self._idle_timeout_s)
         try:
@@ -230,69 +239,71 @@
         except OSError as error:
             logger.debug("a caller's connection broke: {}", error)
         finally:
-            del self._last_use_s[sock]
-            if not self._last_use_s:
+            del self._last_activity_s[sock]
+            if not self._last_activity_s:
                 self._all_closed.set()
 
-    def note_use(self, sock: Any) -> None:
-        """Notes that a connection was accepted, or answered on, just now."""
-        self._last_use_s[sock] = time.monotonic()
+    def record_activity(self, sock: Any) -> None:
+        """Records that a connection was just accepted or answered."""
+        self._last_activity_s[sock] = time.monotonic()
 
     @property
-    def awaits_no_request(self) -> bool:
-        """Whether a stop has gone so far that idle connections end at once."""
-        return time.monotonic() >= self._awaits_until_s
+    def closes_when_idle(self) -> bool:
+        """Whether a stop now closes each connection as soon as it is idle."""
+        return time.monotonic() >= self._close_when_idle_from_s
 
     def announce_stop(self) -> None:
-        """Makes every further answer the last one of its connection."""
+        """Makes every further answer close its connection."""
         self.stopping = True
 
     def finish(self) -> None:
-        """Stops accepting and returns once every connection has ended.
+        """Stops accepting and returns once every connection is closed.
 
-        Connections that the kernel had completed but that were not accepted
-        yet are served too: closing the listener would reset them, and their
-        callers would see a request cut by a planned stop.
+        Connections in the kernel's accept queue are accepted and served:
+        closing the listening socket would reset them, and a planned stop would
+        cut their callers' requests.
         """
         self.announce_stop()
-        handshakes.refuse_new(self.socket)
-        gevent.sleep(_HANDSHAKE_S)
+        handshakes.drop_new_syns(self.socket)
+        gevent.sleep(_HANDSHAKE_WAIT_S)
         self.stop_accepting()
         while accepted := self.do_read():
             self.do_handle(*accepted)
         self.socket.close()
         gevent.sleep(0)
-        self._awaits_until_s = time.monotonic() + _NEXT_REQUEST_S
-        while self._last_use_s:
-            self._end_idle()
-            self._all_closed.wait(_END_IDLE_INTERVAL_S)
-
-    def _end_idle(self) -> None:
-        unused_since_s = time.monotonic() - _NEXT_REQUEST_S
-        for sock, last_use_s in self._last_use_s.items():
-            is_over = last_use_s <= unused_since_s or self.awaits_no_request
-            if is_over and sock not in self.busy_sockets:
-                _end_reading(sock)
+        self._close_when_idle_from_s = time.monotonic() + _NEXT_REQUEST_WAIT_S
+        while self._last_activity_s:
+            self._end_idle_connections()
+            self._all_closed.wait(_IDLE_CHECK_INTERVAL_S)
+
+    def _end_idle_connections(self) -> None:
+        idle_since_s = time.monotonic() - _NEXT_REQUEST_WAIT_S
+        for sock, last_activity_s in self._last_activity_s.items():
+            is_expired = (
+                last_activity_s <= idle_since_s or self.closes_when_idle
+            )
+            if is_expired and sock not in self.busy_sockets:
+                _shut_down_reading(sock)
 
 
 def _no_application(
     environ: _wsgi.Environ, start_response: _wsgi.StartResponse
 ) -> list[bytes]:
-    raise NotImplementedError("the listener was started without application")
+    raise NotImplementedError("the listener was started without an application")
 
 
-def _end_reading(sock: Any) -> None:
-    # What the kernel already holds can still be read, so a request that
-    # raced with the stop is answered; only then does the reader see an end.
-    # gevent's own shutdown would throw into the waiting reader instead and
-    # lose such a request: the caller would see its connection closed.
+def _shut_down_reading(sock: Any) -> None:
+    # Bytes that the kernel has received can still be read, so a request that
+    # arrived just before this call is answered; then the reader sees the end
+    # of the stream. gevent's own shutdown would raise in the waiting reader
+    # and lose such a request: its connection would close without an answer.
     try:
         sock._sock.shutdown(socket.SHUT_RD)
     except OSError:
-        logger.debug("an idle connection ended by itself")
+        logger.debug("an idle connection was already closed by its caller")
 
 
-def _refusal(error: Exception) -> errors.RequestError:
+def _as_request_error(error: Exception) -> errors.RequestError:
     if isinstance(error, errors.RequestError):
         return error
     return errors.BadRequestError(
@@ -309,9 +320,9 @@
         raise ValueError("the request line is not METHOD TARGET VERSION")
     method, target, version = words
     if not _TOKEN.fullmatch(method.encode("latin-1")):
-        raise ValueError("the method is not a token")
+        raise ValueError("the method is not an HTTP token")
     if method in _REFUSED_METHODS:
-        raise ValueError(f"{method} is not served")
+        raise ValueError(f"method {method} is not supported")
     if not _TARGET.fullmatch(target):
         raise ValueError("the target is not an absolute path")
     if version not in ("HTTP/1.1", "HTTP/1.0"):
@@ -345,12 +356,14 @@
     codings = [value for name, value in fields if name == "transfer-encoding"]
     hosts = [value for name, value in fields if name == "host"]
     if lengths and codings:
-        raise ValueError("both Content-Length and Transfer-Encoding")
+        raise ValueError("both Content-Length and Transfer-Encoding are set")
     if len(lengths) > 1 or len(codings) > 1 or len(hosts) > 1:
-        raise ValueError("a framing header is repeated")
+        raise ValueError(
+            "Content-Length, Transfer-Encoding or Host is repeated"
+        )
     if lengths and not _DIGITS.fullmatch(lengths[0]):
-        raise ValueError("Content-Length is not a number")
+        raise ValueError("Content-Length is not a number of 1 to 15 digits")
     if codings and codings[0].lower() != "chunked":
-        raise ValueError("a Transfer-Encoding other than chunked")
+        raise ValueError("Transfer-Encoding is not chunked")
     if codings and request_line.rstrip().endswith("HTTP/1.0"):
-        raise ValueError("Transfer-Encoding in an HTTP/1.0 request")
+        raise ValueError("an HTTP/1.0 request has a Transfer-Encoding")
--- a/src/mulberrywharf/callers/models.py
+++ b/src/mulberrywharf/callers/models.py
@@ -1,4 +1,4 @@
-"""``GET /v1/models``: the models that callers may name."""
+"""``GET /v1/models``: lists the models that callers can use."""
 
 import json
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 def respond(
     models: Mapping[str, Mapping[str, Any]], request_id: str
 ) -> response.Response:
-    """Returns the list in OpenAI's shape, adapters as ``model:adapter``."""
+    """Returns the list in OpenAI's format, adapters as ``model:adapter``."""
     names = []
     for model, entry in sorted(models.items()):
         names.append(model)
--- a/src/mulberrywharf/callers/passthrough.py
+++ b/src/mulberrywharf/callers/passthrough.py
@@ -1,7 +1,7 @@
 """``ANY /services/SERVICE/PATH``: calls to plain services.
 
-The call is rebuilt from its checked parts, never copied as bytes, and what
-belongs to one connection only is left out in both directions.
+A call is rebuilt from its validated parts, never copied as bytes. Hop-by-hop
+header fields are removed in both directions.
 """
 
 import re
@@ -14,9 +14,10 @@
 _PREFIX = "/services/"
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 CALLER_REQUEST_ID_HEADER = "x-mulberry-caller-request-id"
-"""Names the caller's own id to a service; ``x-request-id`` is the run's."""
+"""Passes the caller's request ID to the service; ``x-request-id`` carries the
+ID of the run."""
 
-_REWRITTEN = frozenset(
+_REPLACED_HEADERS = frozenset(
     {
         "authorization",
         "content-length",
@@ -30,20 +31,20 @@
 )
 _TARGET = re.compile(r"/services/([a-z0-9][a-z0-9._-]{0,63})(/[^?]*)?(\?.*)?")
 _DOT_SEGMENT = re.compile(r"(^|/)(\.|%2e){1,2}(/|$)", re.IGNORECASE)
-_ESCAPED_SEPARATOR = re.compile(r"%(2f|5c|00|0d|0a)", re.IGNORECASE)
+_ESCAPED_SEPARATOR_OR_CONTROL = re.compile(r"%(2f|5c|00|0d|0a)", re.IGNORECASE)
 
 
 class ServiceCall(NamedTuple):
     """One call to a plain service.
 
     Attributes:
-        caller: The request it came in.
+        caller: The caller's HTTP request.
         service: Name of the service.
         path: Origin-form target at the backend server, with its query.
-        headers: Header fields for the backend server, without the id of the
+        headers: Header fields for the backend server, without the ID of the
             run, which is not known yet.
-        idempotent: Whether it may run more than once.
-        timeout_s: The service's bound for one call.
+        idempotent: Whether the call may run more than once.
+        timeout_s: Timeout that the service's configuration sets for a call.
     """
 
     caller: request.CallerRequest
@@ -55,11 +56,11 @@
 
 
 class ServiceAnswer(NamedTuple):
-    """What the backend server answered, whole.
+    """The complete answer of a backend server.
 
     Attributes:
-        status: HTTP status.
-        headers: Header fields as they came, names in lower case.
+        status: HTTP status code.
+        headers: Header fields as received, names in lower case.
         body: The whole body.
     """
 
@@ -69,19 +70,20 @@
 
 
 class ServiceCalls(Protocol):
-    """Runs calls to plain services, wherever."""
+    """Runs calls to plain services."""
 
-    def call(self, wanted: ServiceCall) -> ServiceAnswer:
-        """Returns the whole answer.
+    def call(self, service_call: ServiceCall) -> ServiceAnswer:
+        """Returns the complete answer.
 
         Raises:
-            RequestError: With the outcome that holds for the call.
+            RequestError: The call failed; ``outcome`` tells whether it may
+                have run.
         """
         ...
 
 
 def is_service_path(path: str) -> bool:
-    """Returns whether a path belongs to a plain service."""
+    """Returns whether a path is below ``/services/``."""
     return path.startswith(_PREFIX)
 
 
@@ -93,7 +95,7 @@
     """Answers one call to a plain service.
 
     Raises:
-        RequestError: The call is refused or its answer is lost.
+        RequestError: The call is rejected or its answer is lost.
     """
     answer = calls.call(read_call(caller, services))
     headers = [
@@ -103,20 +105,20 @@
         and not name.startswith("x-mulberry-")
     ]
     headers.append(("x-request-id", caller.request_id))
-    body = _body(answer, caller.method, headers)
+    body = _response_body(answer, caller.method, headers)
     return response.Response(
-        f"{answer.status} {_reason(answer)}", headers, body
+        f"{answer.status} {_reason_phrase(answer)}", headers, body
     )
 
 
 def read_call(
     caller: request.CallerRequest, services: Mapping[str, Mapping[str, Any]]
 ) -> ServiceCall:
-    """Checks a call against the configured services.
+    """Validates a call against the configured services.
 
     Raises:
-        UnknownTargetError: No such service.
-        BadRequestError: The path could be read in two ways.
+        UnknownTargetError: The service is not configured.
+        BadRequestError: The path is ambiguous.
     """
     match = _TARGET.fullmatch(caller.target)
     name = match.group(1) if match else ""
@@ -126,15 +128,18 @@
             "no such service", advice="Ask the operators for its name."
         )
     path = match.group(2) or "/"
-    if _DOT_SEGMENT.search(path) or _ESCAPED_SEPARATOR.search(path):
-        # "/echo/../payment" would be taken for an idempotent path here and
-        # run as a payment there, perhaps twice.
-        raise errors.BadRequestError("the path has dot segments or separators")
+    if _DOT_SEGMENT.search(path) or _ESCAPED_SEPARATOR_OR_CONTROL.search(path):
+        # "/echo/../payment" would count as an idempotent path here, but the
+        # backend server would run it as a payment, perhaps twice.
+        raise errors.BadRequestError(
+            "the path has dot segments, or an escaped separator or control "
+            "character"
+        )
     return ServiceCall(
         caller=caller,
         service=name,
         path=path + (match.group(3) or ""),
-        headers=_forwarded(caller),
+        headers=_forwarded_headers(caller),
         idempotent=_is_idempotent(caller, service, path),
         timeout_s=float(service["timeout_s"]),
     )
@@ -152,29 +157,31 @@
     return caller.method in _SAFE_METHODS
 
 
-def _forwarded(caller: request.CallerRequest) -> dict[str, str]:
+def _forwarded_headers(caller: request.CallerRequest) -> dict[str, str]:
     headers: dict[str, str] = {}
     for name, value in _headers.end_to_end(caller.fields):
-        if name not in _REWRITTEN:
-            joined = name in headers
-            headers[name] = f"{headers[name]}, {value}" if joined else value
+        if name not in _REPLACED_HEADERS:
+            is_repeated = name in headers
+            headers[name] = (
+                f"{headers[name]}, {value}" if is_repeated else value
+            )
     headers[CALLER_REQUEST_ID_HEADER] = caller.request_id
     if caller.idempotency_key is not None:
         headers["idempotency-key"] = caller.idempotency_key
     return headers
 
 
-def _body(
+def _response_body(
     answer: ServiceAnswer, method: str, headers: list[tuple[str, str]]
 ) -> list[bytes]:
     if answer.status in (204, 304):
         return []
     if method == "HEAD":
-        given = dict(answer.headers).get("content-length", "0")
-        headers.append(("content-length", given))
+        length = dict(answer.headers).get("content-length", "0")
+        headers.append(("content-length", length))
         return []
     return response.blocks(answer.body)
 
 
-def _reason(answer: ServiceAnswer) -> str:
+def _reason_phrase(answer: ServiceAnswer) -> str:
     return "OK" if answer.status < 300 else "Answered"
--- a/src/mulberrywharf/callers/problems.py
+++ b/src/mulberrywharf/callers/problems.py
@@ -1,8 +1,9 @@
-"""Turns a failure into the answer that its caller can act on.
+"""Converts failures to problem documents for callers.
 
-Every refusal is an ``application/problem+json`` document whose ``outcome``
-says what the caller may assume: ``not-run`` is a promise, ``unknown`` is
-everything else. A failure that no code foresaw is ``unknown``.
+Every error response is an ``application/problem+json`` document. Its
+``outcome`` tells the caller whether the request may have run: ``not-run``
+guarantees that it did not; ``unknown`` covers every other case, including
+unexpected exceptions.
 """
 
 import functools
@@ -31,15 +32,15 @@
 
 
 class Problem(TypedDict):
-    """The body of a refusal.
+    """The body of an error response.
 
     Attributes:
-        type: Stable URN of the failure.
-        title: The failure's name in words.
-        status: HTTP status.
+        type: Stable URN of the kind of failure.
+        title: Readable name of the kind of failure.
+        status: HTTP status code.
         detail: What went wrong with this request.
-        outcome: What the caller may assume.
-        request_id: The request that failed.
+        outcome: Whether the request may have run.
+        request_id: ID of the request that failed.
         advice: What the caller should do next.
     """
 
@@ -54,10 +55,10 @@
 
 @functools.singledispatch
 def as_request_error(error: Exception) -> errors.RequestError:
-    """Returns what a caller is told about ``error``.
+    """Converts a failure to the error that is reported to the caller.
 
     Args:
-        error: Any failure. One without a rule of its own is told as an
+        error: Any failure. A type without a registered conversion becomes an
             internal failure with an unknown outcome.
     """
     return errors.RequestError(
@@ -104,7 +105,7 @@
 
 
 def problem(error: errors.RequestError, request_id: str) -> Problem:
-    """Returns the document that tells ``error`` to its caller."""
+    """Returns the problem document of an error."""
     return {
         "type": _TYPE_PREFIX + error.code,
         "title": error.code.replace("-", " "),
@@ -117,14 +118,14 @@
 
 
 def status_line(status: int) -> str:
-    """Returns the status with its reason phrase."""
+    """Returns the status code with its reason phrase."""
     return f"{status} {_REASONS.get(status, 'Error')}"
 
 
 def headers(
     error: errors.RequestError, request_id: str
 ) -> list[tuple[str, str]]:
-    """Returns the response headers of a refusal, without the length."""
+    """Returns an error's response headers, without ``Content-Length``."""
     fields = [
         ("content-type", CONTENT_TYPE),
         ("x-request-id", request_id),
@@ -137,22 +138,22 @@
 
 
 def body(error: errors.RequestError, request_id: str) -> bytes:
-    """Returns the response body of a refusal."""
+    """Returns the response body of an error."""
     return json.dumps(problem(error, request_id)).encode()
 
 
 def stream_event(error: errors.RequestError, request_id: str) -> bytes:
-    """Returns the event that ends a stream which had already begun.
+    """Returns the server-sent event that reports an error in a stream.
 
-    No ``[DONE]`` follows it, so a caller that checks the end of its stream
-    cannot take the short answer for a whole one.
+    No ``[DONE]`` event follows it, so a caller that checks for ``[DONE]`` does
+    not take the truncated answer for a complete one.
     """
     document = json.dumps({"error": problem(error, request_id)})
     return b"data: " + document.encode() + b"\n\n"
 
 
 def raw_response(error: errors.RequestError, request_id: str) -> bytes:
-    """Returns a whole HTTP/1.1 response for a head that cannot be parsed."""
+    """Returns the HTTP/1.1 response to a request that can't be parsed."""
     content = body(error, request_id)
     lines = [f"HTTP/1.1 {status_line(error.status)}"]
     lines += [f"{name}: {value}" for name, value in headers(error, request_id)]
--- a/src/mulberrywharf/callers/request.py
+++ b/src/mulberrywharf/callers/request.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, typed and checked before anything else sees it."""
+"""Validates callers' requests and parses them into typed values."""
 
 import hashlib
 import re
@@ -26,24 +26,27 @@
 _DEADLINE_LIMIT_MS = 86_400_000
 _LOWEST_PRIORITY = 9
 DEFAULT_DEADLINE_S = 60.0
-_ENGINE_EXTENSION = "mulberry"
+_INTERNAL_EXTENSION = "mulberry"
 
 
 class CallerRequest(NamedTuple):
-    """One request whose head and body are within bounds.
+    """A request of a caller, with a validated head and a complete body.
 
     Attributes:
         method: HTTP method.
-        path: Decoded path, for routing.
-        target: Path and query as they came, for pass-through.
-        fields: Header fields without those that callers may not set.
+        path: Percent-decoded path, for routing.
+        target: Path and query as received, for pass-through.
+        fields: Header fields without the internal ones, which callers may not
+            set.
         body: The whole body.
-        request_id: The caller's, or a fresh one.
-        customer: Name of the customer whose key it carried.
-        deadline_s: Monotonic instant by which the answer must be whole.
-        priority: 0 (first) to 9, or None if the caller named none.
-        idempotency_key: Names the caller's one intent, or None.
-        idempotent: What the caller said of a service call, or None.
+        request_id: The request ID of the caller, or a generated one.
+        customer: Name of the customer whose key the request carries.
+        deadline_s: Monotonic time by which the answer must be complete.
+        priority: 0 (highest) to 9 (lowest), or None if the caller set none.
+        idempotency_key: Key that the caller repeats when it retries the same
+            request, or None.
+        idempotent: Whether the caller declared a service call idempotent, or
+            None if it did not say.
     """
 
     method: str
@@ -59,26 +62,27 @@
     idempotent: bool | None = None
 
     def fingerprint(self) -> int:
-        """Returns 64 bits that are equal when the same is asked again."""
+        """Returns a 64-bit hash that is equal for a repeated request."""
         return fingerprints.fingerprint(
             (self.method, self.target, self.customer), self.body
         )
 
 
 class CompletionRequest(NamedTuple):
-    """One generation that a caller asks for.
+    """A validated completion or chat completion request.
 
     Attributes:
-        caller: The request it came in.
-        model: A model of the configuration.
-        adapter: An adapter of that model, or empty.
-        prompt: Prompt text; a chat's messages as ``role: content`` lines, as
-            the engines join them.
-        prompt_tokens: Estimate of the prompt's length.
-        max_tokens: Bound of the answer, or None to leave it to the model.
-        stream: Whether the caller reads events.
-        chat: Whether it came as chat.
-        body: The checked OpenAI body, without our own extension.
+        caller: The caller's HTTP request.
+        model: Name of a model in the configuration.
+        adapter: Name of an adapter of that model, or empty.
+        prompt: Prompt text; chat messages are joined into ``role: content``
+            lines, as the engines do it.
+        prompt_tokens: Estimated number of tokens in the prompt.
+        max_tokens: Maximum number of tokens in the answer, or None to leave it
+            to the model.
+        stream: Whether the answer is sent as server-sent events.
+        chat: Whether it is a chat completion.
+        body: The validated OpenAI body, without the internal extension object.
     """
 
     caller: CallerRequest
@@ -93,7 +97,7 @@
 
 
 class Customers:
-    """Finds the customer that a bearer key belongs to."""
+    """Looks up customers by their bearer keys."""
 
     def __init__(self, customers: Mapping[str, Mapping[str, Any]]):
         self._names_by_sha256 = {
@@ -102,17 +106,17 @@
         }
 
     def find(self, key: str) -> str | None:
-        """Returns the customer's name, or None.
+        """Returns the name of the customer with a key, or None.
 
-        The key is hashed before it is looked up, so how long the look-up
-        takes tells nothing about a key that is nearly right.
+        The look-up uses the key's hash, so its duration reveals nothing about
+        how much of a guessed key is right.
         """
         digest = hashlib.sha256(key.encode("latin-1", "replace")).hexdigest()
         return self._names_by_sha256.get(digest)
 
 
 def request_id_of(environ: _wsgi.Environ) -> str:
-    """Returns the caller's request id if it is usable, else a fresh one."""
+    """Returns the caller's request ID if it is valid, else a new one."""
     given = environ.get("HTTP_X_REQUEST_ID", "")
     if _REQUEST_ID.fullmatch(given):
         return str(given)
@@ -128,22 +132,22 @@
     body_limit_bytes: int = listener.DEFAULT_BODY_LIMIT_BYTES,
     default_deadline_s: float = DEFAULT_DEADLINE_S,
 ) -> Result[CallerRequest, errors.RequestError]:
-    """Checks a request's head and reads its body.
+    """Validates a request's head and reads its body.
 
     Args:
-        environ: From the callers' listener.
+        environ: WSGI environ from the callers' listener.
         request_id: See ``request_id_of``.
-        customers: From the configuration in force.
-        now_s: Monotonic time; the deadline counts from here.
-        body_limit_bytes: Larger bodies are refused.
-        default_deadline_s: For requests that name no deadline.
+        customers: Customers of the current configuration.
+        now_s: Current monotonic time, from which the deadline counts.
+        body_limit_bytes: Maximum body size; larger bodies are rejected.
+        default_deadline_s: Time allowed for a request without a deadline.
 
     Returns:
-        The request, or the refusal that its caller gets.
+        The request, or the error to return to the caller.
     """
     try:
         customer = _customer(environ, customers)
-        deadline_s = now_s + _time_left_s(environ, default_deadline_s)
+        deadline_s = now_s + _timeout_s(environ, default_deadline_s)
         priority = _priority(environ)
         key = _idempotency_key(environ)
         idempotent = _idempotent(environ)
@@ -155,7 +159,7 @@
             method=environ["REQUEST_METHOD"],
             path=environ["PATH_INFO"],
             target=environ[listener.TARGET_KEY],
-            fields=_settable(environ[listener.HEADERS_KEY]),
+            fields=_without_internal_fields(environ[listener.HEADERS_KEY]),
             body=body,
             request_id=request_id,
             customer=customer,
@@ -168,15 +172,15 @@
 
 
 def read_body(environ: _wsgi.Environ, limit_bytes: int) -> bytes:
-    """Reads a request's body whole.
+    """Reads the whole body of a request.
 
     Args:
-        environ: From the callers' listener.
-        limit_bytes: A larger body is refused.
+        environ: WSGI environ from the callers' listener.
+        limit_bytes: Maximum body size.
 
     Raises:
-        RequestTooLargeError: It is larger.
-        BadRequestError: It ended early, or its chunks are malformed.
+        RequestTooLargeError: The body is larger than the limit.
+        BadRequestError: The body is truncated or its chunks are malformed.
     """
     announced_bytes = int(environ.get("CONTENT_LENGTH") or 0)
     check_size(announced_bytes, limit_bytes)
@@ -191,14 +195,14 @@
 
 
 def check_size(body_bytes: int, limit_bytes: int) -> None:
-    """Refuses a body that is larger than allowed.
+    """Checks the size of a body.
 
     Args:
-        body_bytes: Its length, as announced or as read.
-        limit_bytes: What is allowed.
+        body_bytes: Size of the body, as announced or as read.
+        limit_bytes: Maximum body size.
 
     Raises:
-        RequestTooLargeError: It is larger.
+        RequestTooLargeError: The body is larger than the limit.
     """
     if body_bytes > limit_bytes:
         raise errors.RequestTooLargeError(
@@ -209,14 +213,14 @@
 def read_completion(
     caller: CallerRequest, models: Mapping[str, Mapping[str, Any]]
 ) -> Result[CompletionRequest, errors.RequestError]:
-    """Checks an OpenAI body.
+    """Validates the OpenAI body of a request.
 
     Args:
-        caller: The request that carries it.
-        models: The configuration's models, with their adapters.
+        caller: The caller's HTTP request.
+        models: Models of the configuration, with their adapters.
 
     Returns:
-        The generation asked for, or the refusal that its caller gets.
+        The completion request, or the error to return to the caller.
     """
     try:
         body = _completion_body.json_object(caller.body)
@@ -225,17 +229,17 @@
         read_prompt = (
             _completion_body.chat_prompt
             if chat
-            else _completion_body.plain_prompt
+            else _completion_body.completion_prompt
         )
         prompt = read_prompt(body)
         max_tokens = _completion_body.max_tokens(body)
         _completion_body.check_one_choice(body)
-        stream = _completion_body.flag(body, "stream")
+        stream = _completion_body.boolean_field(body, "stream")
     except errors.RequestError as error:
         return Err(error)
-    # The extension steers resuming and KV handover between our own
-    # processes; a caller that set it could read another's KV cache.
-    body.pop(_ENGINE_EXTENSION, None)
+    # The extension controls resuming and KV handover between processes of this
+    # system. A caller that could set it could read another customer's KV cache.
+    body.pop(_INTERNAL_EXTENSION, None)
     return Ok(
         CompletionRequest(
             caller=caller,
@@ -251,7 +255,7 @@
     )
 
 
-def _settable(
+def _without_internal_fields(
     fields: list[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
@@ -272,7 +276,7 @@
     return name
 
 
-def _time_left_s(environ: _wsgi.Environ, default_s: float) -> float:
+def _timeout_s(environ: _wsgi.Environ, default_s: float) -> float:
     text = environ.get("HTTP_X_MULBERRY_DEADLINE_MS")
     if text is None:
         return default_s
--- a/src/mulberrywharf/callers/response.py
+++ b/src/mulberrywharf/callers/response.py
@@ -1,4 +1,4 @@
-"""One answer towards a caller."""
+"""HTTP responses to callers."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class Response(NamedTuple):
-    """What is written to the caller.
+    """An HTTP response to a caller.
 
     Attributes:
-        status_line: Such as ``200 OK``.
-        headers: Header fields; a body of one part gets its length from the
-            server.
-        body: Its parts. An iterator is pulled only as fast as the caller
-            reads, so a slow caller costs no memory here.
+        status_line: Status and reason phrase, such as ``200 OK``.
+        headers: Header fields. For a body of one part the WSGI server adds the
+            ``Content-Length``.
+        body: Parts of the body. An iterator is advanced only as fast as the
+            caller reads, so the answer to a slow caller is not buffered.
     """
 
     status_line: str
@@ -26,10 +26,10 @@
 
 
 def blocks(body: bytes) -> list[bytes]:
-    """Cuts a body into blocks that are written one by one.
+    """Splits a body into blocks that are written one by one.
 
-    The bound on a caller that stops reading holds for each write; one write
-    of a large body would end callers that read slowly but do read.
+    The idle timeout of a connection applies to each write. Writing a large
+    body at once would time out for a caller that reads slowly but steadily.
     """
     return [
         body[start : start + _BLOCK_BYTES]
@@ -38,7 +38,7 @@
 
 
 def json_response(body: bytes, request_id: str) -> Response:
-    """Returns a successful answer with a JSON body."""
+    """Returns a successful response with a JSON body."""
     headers = [
         ("content-type", "application/json"),
         ("x-request-id", request_id),
@@ -46,8 +46,8 @@
     return Response("200 OK", headers, blocks(body))
 
 
-def refusal(error: errors.RequestError, request_id: str) -> Response:
-    """Returns the answer that tells ``error`` to its caller."""
+def error_response(error: errors.RequestError, request_id: str) -> Response:
+    """Returns the response that reports an error to the caller."""
     return Response(
         problems.status_line(error.status),
         problems.headers(error, request_id),
--- a/src/mulberrywharf/callers/routed_server.py
+++ b/src/mulberrywharf/callers/routed_server.py
@@ -1,7 +1,7 @@
-"""Answers callers by the operators' routes.
+"""Answers callers' requests by the routes that the operators configure.
 
-Whatever the server says is passed on unchanged; a refusal of this node tells
-whether the request may have run by its status.
+A server's answer is passed on unchanged. The status of an error response of
+this node tells the caller whether the request may have run.
 """
 
 import contextlib
@@ -25,17 +25,17 @@
 from mulberrywharf.routes import follower, kinds, split, table
 
 NOT_READY_RETRY_S = 0.5
-"""For a caller that came before the routes: they are read within a second of
-the start if the store answers."""
+"""``Retry-After`` for a request that arrives before the routes are loaded. They
+are loaded within a second of the start if the key-value service answers."""
 
 ROUTES_WAIT_LIMIT_S = 1.5
-"""How long a caller that came before the routes waits for them. They come
-within a second of a start as a rule; without them by then the store is away,
+"""How long a request waits for the routes to be loaded. They are usually loaded
+within a second of the start; otherwise the key-value service is unreachable,
 which may last."""
 
 ROUTES_WAIT_SHARE = 1 / 3
-"""Part of its time that a caller waits for the routes at the most: what is left
-is enough for its answer, or for another gateway."""
+"""Maximum share of a request's remaining time to spend waiting for the routes.
+The rest is enough to answer it, or for the caller to try another gateway."""
 
 _answers_total = metrics.counter(
     "mulberry_routed_answers_total", "Answers to callers by route and result."
@@ -47,10 +47,10 @@
 
 
 class CallerDialect(Protocol):
-    """How callers write what only concerns this system."""
+    """Parses callers' requests, including this system's own header fields."""
 
     def request_id(self, fields: Iterable[tuple[str, str]]) -> str:
-        """Returns the caller's id of a request, empty if it has none."""
+        """Returns the request ID that the caller set, or an empty string."""
         ...
 
     def read(
@@ -62,20 +62,20 @@
         body: bytes,
         now_s: float,
     ) -> Result[request.RoutedRequest, errors.BadRequestError]:
-        """Reads one request."""
+        """Parses one request."""
         ...
 
 
 class _Routed(NamedTuple):
-    """A request with its route and service."""
+    """A request with its matching route and the service that answers it."""
 
-    wanted: request.RoutedRequest
+    routed_request: request.RoutedRequest
     route: table.Route
     service: table.Service
 
 
 class _Answer(NamedTuple):
-    """What is written to the caller."""
+    """An HTTP response to a caller."""
 
     status_line: str
     headers: list[tuple[str, str]]
@@ -83,7 +83,7 @@
 
 
 class RoutedServer:
-    """Answers callers on the listener."""
+    """Answers the requests that a listener accepts."""
 
     def __init__(
         self,
@@ -123,9 +123,13 @@
     def application(
         self, environ: _wsgi.Environ, start_response: _wsgi.StartResponse
     ) -> Iterable[bytes]:
-        """Answers one request, whatever it holds."""
+        """Answers one request; failures become error responses.
+
+        Raises:
+            CallerGoneError: The caller disconnected.
+        """
         request_id = self._dialect.request_id(environ[listener.HEADERS_KEY])
-        began_s = self._clock.monotonic_s()
+        start_s = self._clock.monotonic_s()
         route_name = "none"
         try:
             routed = self._route(environ)
@@ -133,48 +137,59 @@
             answer = self._answer(routed, environ[listener.SOCKET_KEY])
             result = answer.status_line[:3]
         except errors.CallerGoneError:
-            _log_end(request_id, route_name, "caller-gone", "")
+            _log_request_end(request_id, route_name, "caller-gone", "")
             raise
         except errors.MulberryError as error:
-            told = problems.as_request_error(error)
-            result = told.code
-            answer = _refusal(told, request_id)
-            _log_end(request_id, route_name, told.code, told.message)
+            request_error = problems.as_request_error(error)
+            result = request_error.code
+            answer = _error_response(request_error, request_id)
+            _log_request_end(
+                request_id,
+                route_name,
+                request_error.code,
+                request_error.message,
+            )
         except Exception as error:
-            # A fault of ours must not look like a promise: the caller is
-            # told that the outcome is unknown, and the log has the trace.
+            # After an internal fault the request may have run in part, so the
+            # caller gets the outcome "unknown"; the log has the traceback.
             logger.bind(request_id=request_id).exception("a request failed")
-            told = problems.as_request_error(error)
-            result = told.code
-            answer = _refusal(told, request_id)
+            request_error = problems.as_request_error(error)
+            result = request_error.code
+            answer = _error_response(request_error, request_id)
         _answers_total.inc({"route": route_name, "result": result})
-        took_s = self._clock.monotonic_s() - began_s
-        _answer_s.observe({"route": route_name}, took_s)
+        duration_s = self._clock.monotonic_s() - start_s
+        _answer_s.observe({"route": route_name}, duration_s)
         start_response(answer.status_line, answer.headers)
         return answer.body
 
     def _route(self, environ: _wsgi.Environ) -> _Routed:
         routes = self._routes.current()
         if routes is None:
-            wanted = self._read(environ, self._listener.body_limit_bytes)
-            routes = self._first_routes(wanted, environ[listener.SOCKET_KEY])
+            routed_request = self._read(
+                environ, self._listener.body_limit_bytes
+            )
+            routes = self._wait_for_routes(
+                routed_request, environ[listener.SOCKET_KEY]
+            )
             route = _match(routes, environ)
             caller_request.check_size(
-                len(wanted.body), self._body_limit_bytes(routes)
+                len(routed_request.body), self._body_limit_bytes(routes)
             )
         else:
             route = _match(routes, environ)
-            wanted = self._read(environ, self._body_limit_bytes(routes))
+            routed_request = self._read(environ, self._body_limit_bytes(routes))
         if routes.customers is not None:
-            wanted, routes, route = self._admit(routes, wanted, environ)
-        name = split.service_of(route, wanted.request_id)
+            routed_request, routes, route = self._admit(
+                routes, routed_request, environ
+            )
+        name = split.service_of(route, routed_request.request_id)
         service = routes.services.get(name) or table.Service(name, 1)
-        return _Routed(wanted, route, service)
+        return _Routed(routed_request, route, service)
 
     def _admit(
         self,
         routes: table.RouteTable,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         environ: _wsgi.Environ,
     ) -> tuple[request.RoutedRequest, table.RouteTable, table.Route]:
         """Identifies the customer that makes a request.
@@ -188,39 +203,40 @@
             UnconfirmedKeyError: The key may have been revoked.
             CallerGoneError: The caller disconnected.
         """
-        with _watched_caller(environ[listener.SOCKET_KEY]):
+        with _abort_on_disconnect(environ[listener.SOCKET_KEY]):
             admitted = self._customers.admit(
                 lambda: self._routes.current() or routes,
                 lambda current: _match(current, environ).is_public,
-                wanted.key_digests,
-                wanted.deadline_s - self._clock.monotonic_s(),
+                routed_request.key_digests,
+                routed_request.deadline_s - self._clock.monotonic_s(),
             )
         route = _match(admitted.routes, environ)
         customer = admitted.customer
         if customer is None:
-            return wanted, admitted.routes, route
+            return routed_request, admitted.routes, route
         if customer.priority is not None:
             route = route._replace(priority=customer.priority)
-        wanted = wanted._replace(customer=customer.name)
-        return wanted, admitted.routes, route
+        routed_request = routed_request._replace(customer=customer.name)
+        return routed_request, admitted.routes, route
 
-    def _first_routes(
-        self, wanted: request.RoutedRequest, sock: Any
+    def _wait_for_routes(
+        self, routed_request: request.RoutedRequest, sock: Any
     ) -> table.RouteTable:
-        """Waits for the first routes of this node.
+        """Waits until the routes are loaded after the start of this node.
 
-        When all gateways start at once, the balancer sends callers also to
-        those that are not ready. Turned away at once, most of them failed,
-        although the routes came a moment later; they show as ``not-ready``
-        answers in the first second of a start.
+        When all gateways start at once, the load balancer also sends requests
+        to gateways that are not ready. Rejecting these at once made most of
+        them fail with ``not-ready`` in the first second of a start, although
+        the routes were loaded shortly after.
 
         Raises:
-            NotReadyError: They did not come while the caller could wait.
-            CallerGoneError: The caller did not wait.
+            NotReadyError: The routes were not loaded in the time that the
+                request can wait.
+            CallerGoneError: The caller disconnected.
         """
-        left_s = wanted.deadline_s - self._clock.monotonic_s()
+        left_s = routed_request.deadline_s - self._clock.monotonic_s()
         wait_s = min(ROUTES_WAIT_LIMIT_S, ROUTES_WAIT_SHARE * left_s)
-        with _watched_caller(sock):
+        with _abort_on_disconnect(sock):
             routes = self._routes.wait_first(max(0.0, wait_s))
         if routes is None:
             raise errors.NotReadyError(
@@ -250,32 +266,32 @@
         return read.ok_value
 
     def _answer(self, routed: _Routed, sock: Any) -> _Answer:
-        # While the answer is awaited and relayed the caller's leaving frees
-        # the server; closing the watch ends that.
+        # Until the watch is closed, a disconnect of the caller cancels the
+        # request, which frees the server.
         watch = caller_watch.CallerWatch(sock)
         watch.start()
         try:
-            watch.expect()
+            watch.enable()
             answer = _answer_by_kind(routed.route.kind, self, routed, watch)
-            watch.ignore()
+            watch.disable()
         except BaseException:
             watch.close()
             raise
         return answer
 
-    def answer_whole(
+    def answer_plain(
         self, routed: _Routed, watch: caller_watch.CallerWatch
     ) -> _Answer:
-        """Answers from a server's whole answer."""
+        """Answers a plain request once the whole answer has been received."""
         answer = self._plain_calls.call(
-            routed.wanted, routed.route, routed.service.name
+            routed.routed_request, routed.route, routed.service.name
         )
         watch.close()
         if not answer.head.not_executed:
             self._notify_started(routed)
         headers = _headers_without_length(answer.head)
         headers.append(("content-length", str(len(answer.body))))
-        if routed.wanted.method == "HEAD":
+        if routed.routed_request.method == "HEAD":
             return _Answer(_status_line(answer.head), headers, [])
         return _Answer(
             _status_line(answer.head), headers, response.blocks(answer.body)
@@ -284,28 +300,29 @@
     def answer_stream(
         self, routed: _Routed, watch: caller_watch.CallerWatch
     ) -> _Answer:
-        """Answers with events as they come."""
+        """Answers a streaming request; relays events as they arrive."""
         answer = self._generations.open(
-            routed.wanted, routed.route, routed.service
+            routed.routed_request, routed.route, routed.service
         )
-        # Until an event has come nothing is written, so a failure can still
-        # be told; behind it there is only the end of the connection.
+        # Nothing is written before the first event arrives, so that an earlier
+        # failure still gets an error response. A later one can only be
+        # signaled by closing the connection.
         first = next(answer.blocks, b"")
         if first:
             self._notify_started(routed)
         return _Answer(
             _status_line(answer.head),
             _headers_without_length(answer.head),
-            _watched(first, answer.blocks, watch, routed),
+            _relayed_blocks(first, answer.blocks, watch, routed),
         )
 
     def _notify_started(self, routed: _Routed) -> None:
-        if routed.wanted.customer:
-            self._on_request_started(routed.wanted.customer)
+        if routed.routed_request.customer:
+            self._on_request_started(routed.routed_request.customer)
 
 
 @contextlib.contextmanager
-def _watched_caller(sock: Any) -> Iterator[None]:
+def _abort_on_disconnect(sock: Any) -> Iterator[None]:
     """Aborts the enclosed wait when the caller disconnects.
 
     Raises:
@@ -314,7 +331,7 @@
     watch = caller_watch.CallerWatch(sock)
     watch.start()
     try:
-        watch.expect()
+        watch.enable()
         yield
     finally:
         watch.close()
@@ -325,7 +342,7 @@
     host = environ.get("HTTP_HOST", "")
     route = routes.match(host, target.partition("?")[0])
     if route is None:
-        raise errors.UnknownTargetError("no route of this host and path")
+        raise errors.UnknownTargetError("no route matches this host and path")
     return route
 
 
@@ -336,7 +353,7 @@
     routed: _Routed,
     watch: caller_watch.CallerWatch,
 ) -> _Answer:
-    return server.answer_whole(routed, watch)
+    return server.answer_plain(routed, watch)
 
 
 @_answer_by_kind.register
@@ -349,27 +366,28 @@
     return server.answer_stream(routed, watch)
 
 
-def _watched(
+def _relayed_blocks(
     first: bytes,
     blocks: Iterator[bytes],
     watch: caller_watch.CallerWatch,
     routed: _Routed,
 ) -> Iterator[bytes]:
-    """Yields the blocks, the first one before them, while the caller is there.
+    """Yields the first block and then the others until the caller disconnects.
 
-    What ends this iterator early closes ``blocks``, which frees the engine.
-    An answer that can't be made whole ends by an exception, so that its
-    connection is closed without the mark of a whole answer.
+    When this iterator ends, is closed or raises, ``blocks`` is closed, which
+    frees the engine. For an answer that can't be completed an exception is
+    raised, so that the connection closes without the last chunk that would
+    mark a complete answer.
     """
     result = errors.CallerGoneError.code
     message = ""
     try:
         yield first
-        watch.expect()
+        watch.enable()
         for block in blocks:
-            watch.ignore()
+            watch.disable()
             yield block
-            watch.expect()
+            watch.enable()
         result = "whole"
     except errors.MulberryError as error:
         result, message = error.code, error.message
@@ -379,16 +397,16 @@
         close = getattr(blocks, "close", None)
         if close is not None:
             close()
-        _log_end(
-            routed.wanted.request_id,
+        _log_request_end(
+            routed.routed_request.request_id,
             routed.route.name,
             result,
             message,
-            routed.wanted.customer,
+            routed.routed_request.customer,
         )
 
 
-def _log_end(
+def _log_request_end(
     request_id: str, route: str, result: str, message: str, customer: str = ""
 ) -> None:
     bound = logger.bind(request_id=request_id, route=route, result=result)
@@ -409,15 +427,15 @@
     return f"{head.status} {head.reason or 'Answered'}"
 
 
-def _refusal(error: errors.RequestError, request_id: str) -> _Answer:
+def _error_response(error: errors.RequestError, request_id: str) -> _Answer:
     headers = [
         (name, value)
         for name, value in problems.headers(error, request_id)
         if name != "retry-after"
     ]
     if error.retry_after_s is not None:
-        # A fraction of a second: callers that wait a whole one for a queue
-        # of some tenths are served late although there was room.
+        # Written with milliseconds: rounded up to a second, it would delay
+        # callers where the queue is only some tenths of a second long.
         headers.append(("retry-after", f"{error.retry_after_s:.3f}"))
     return _Answer(
         problems.status_line(error.status),
--- a/src/mulberrywharf/callers/server.py
+++ b/src/mulberrywharf/callers/server.py
@@ -1,4 +1,4 @@
-"""The listener for callers: finds who answers a path, and how failures tell."""
+"""Dispatches callers' requests by path and reports failures to callers."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
@@ -27,10 +27,10 @@
 
 
 class Catalogue(NamedTuple):
-    """What a configuration says about callers and what they may name.
+    """The customers, models and services of a configuration.
 
     Attributes:
-        customers: Finds customers by key.
+        customers: Looks up customers by key.
         models: Models by name.
         services: Plain services by name.
     """
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_config(cls, document: Mapping[str, Any]) -> "Catalogue":
-        """Reads it from a checked configuration document."""
+        """Reads them from a validated configuration document."""
         return cls(
             request.Customers(document.get("customers", {})),
             document.get("models", {}),
@@ -50,7 +50,7 @@
 
 
 class CallerServer:
-    """Answers callers."""
+    """Answers callers' requests: completions, models and plain services."""
 
     def __init__(
         self,
@@ -72,48 +72,52 @@
 
     @property
     def port(self) -> int:
-        """The TCP port for callers."""
+        """TCP port that callers connect to."""
         return self._listener.port
 
     @property
     def in_flight_count(self) -> int:
-        """Requests that are being answered."""
+        """Number of requests that are being answered."""
         return self._listener.in_flight_count
 
     def start(self) -> None:
-        """Begins to accept callers."""
+        """Starts accepting connections."""
         self._listener.start()
 
     def announce_stop(self) -> None:
-        """Makes every further answer the last of its connection."""
+        """Makes every further answer close its connection."""
         self._listener.announce_stop()
 
     def close(self) -> None:
-        """Stops accepting; returns once every request has its answer."""
+        """Stops accepting; returns once all requests have been answered."""
         self._listener.finish()
 
     def application(
         self, environ: _wsgi.Environ, start_response: _wsgi.StartResponse
     ) -> Iterable[bytes]:
-        """Answers one request, whatever it holds."""
+        """Answers one request; every failure becomes an error response."""
         request_id = request.request_id_of(environ)
-        answer = self._answer_or_refusal(environ, request_id)
+        answer = self._answer_or_error(environ, request_id)
         start_response(answer.status_line, answer.headers)
         return answer.body
 
-    def _answer_or_refusal(
+    def _answer_or_error(
         self, environ: _wsgi.Environ, request_id: str
     ) -> response.Response:
-        kind = _kind(environ["PATH_INFO"])
+        kind = _path_kind(environ["PATH_INFO"])
         try:
             answer = self._answer(environ, request_id)
         except errors.MulberryError as error:
-            return _refusal(problems.as_request_error(error), kind, request_id)
+            return _error_response(
+                problems.as_request_error(error), kind, request_id
+            )
         except Exception as error:
-            # A fault of ours must not look like a promise: the caller is
-            # told that the outcome is unknown, and the log has the trace.
+            # After an internal fault the request may have run in part, so the
+            # caller gets the outcome "unknown"; the log has the traceback.
             logger.bind(request_id=request_id).exception("a request failed")
-            return _refusal(problems.as_request_error(error), kind, request_id)
+            return _error_response(
+                problems.as_request_error(error), kind, request_id
+            )
         _requests_total.inc({"kind": kind, "result": "answered"})
         return answer
 
@@ -147,11 +151,11 @@
     ) -> response.Response:
         if caller.path in _COMPLETION_PATHS:
             _require_method(caller, "POST")
-            wanted = request.read_completion(caller, catalogue.models)
-            if isinstance(wanted, Err):
-                raise wanted.err_value
+            completion = request.read_completion(caller, catalogue.models)
+            if isinstance(completion, Err):
+                raise completion.err_value
             return completions.respond(
-                wanted.ok_value,
+                completion.ok_value,
                 self._generations,
                 environ[listener.SOCKET_KEY],
             )
@@ -167,18 +171,20 @@
         )
 
 
-def _refusal(
+def _error_response(
     error: errors.RequestError, kind: str, request_id: str
 ) -> response.Response:
     _requests_total.inc({"kind": kind, "result": error.code})
     if error.outcome == "unknown":
         logger.bind(request_id=request_id).warning(
-            "{} with unknown outcome: {}", error.code, error.message
+            "request failed with {} and an unknown outcome: {}",
+            error.code,
+            error.message,
         )
-    return response.refusal(error, request_id)
+    return response.error_response(error, request_id)
 
 
-def _kind(path: str) -> str:
+def _path_kind(path: str) -> str:
     if path in _COMPLETION_PATHS:
         return "completion"
     if path == _MODELS_PATH:
@@ -189,5 +195,6 @@
 def _require_method(caller: request.CallerRequest, method: str) -> None:
     if caller.method != method:
         raise errors.UnknownTargetError(
-            f"{caller.method} is not served here", advice=f"Use {method}."
+            f"method {caller.method} is not allowed for this path",
+            advice=f"Use {method}.",
         )
--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -1,4 +1,4 @@
-"""A callers' server inside the test, over fakes of what lies behind it."""
+"""Runs a callers' server inside the test, with fake back ends."""
 
 import hashlib
 import json
@@ -52,18 +52,18 @@
 
 
 class FakeGenerations:
-    """Yields what the test says, and notes what was closed."""
+    """Yields the test's batches, records requests and counts closed answers."""
 
     def __init__(self, batches: Callable[[], Iterator[streams.TokenBatch]]):
         self._batches = batches
-        self.wanted: list[request.CompletionRequest] = []
+        self.completions: list[request.CompletionRequest] = []
         self.closed_count = 0
 
     def generate(
-        self, wanted: request.CompletionRequest
+        self, completion: request.CompletionRequest
     ) -> Iterator[streams.TokenBatch]:
         """Yields the batches."""
-        self.wanted.append(wanted)
+        self.completions.append(completion)
         try:
             yield from self._batches()
         finally:
@@ -71,17 +71,17 @@
 
 
 class FakeServiceCalls:
-    """Answers every call alike, and keeps the calls."""
+    """Returns the same answer to every call and records the calls."""
 
     def __init__(self, answer: passthrough.ServiceAnswer):
         self._answer = answer
         self.calls: list[passthrough.ServiceCall] = []
 
     def call(
-        self, wanted: passthrough.ServiceCall
+        self, service_call: passthrough.ServiceCall
     ) -> passthrough.ServiceAnswer:
         """Returns the answer."""
-        self.calls.append(wanted)
+        self.calls.append(service_call)
         return self._answer
 
 
@@ -93,7 +93,7 @@
     is_last: bool = False,
     chat: bool = False,
 ) -> streams.TokenBatch:
-    """Returns one token as an engine's stream gives it."""
+    """Returns a batch of one token, as read from an engine's stream."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": finish_reason}
     if chat:
         choice["delta"] = {"content": text}
@@ -109,7 +109,7 @@
 def last_batch(
     text: str, index: int, *, chat: bool = False
 ) -> streams.TokenBatch:
-    """Returns the token that ends an answer, with its end mark."""
+    """Returns the batch that ends an answer, with ``is_last`` set."""
     return batch(text, index, finish_reason="stop", is_last=True, chat=chat)
 
 
@@ -120,7 +120,7 @@
     catalogue: server.Catalogue | None = None,
     **limits: Any,
 ) -> server.CallerServer:
-    """Returns a server that is not started yet."""
+    """Returns a server that has not been started."""
     known = catalogue or server.Catalogue.from_config(document())
     answer = passthrough.ServiceAnswer(200, (), b"{}")
     return server.CallerServer(
@@ -139,9 +139,10 @@
 
 
 def exchange(port: int, data: bytes) -> bytes:
-    """Sends bytes, ends the sending side, and returns all that comes back.
+    """Sends bytes, shuts down the sending side and returns the whole response.
 
-    A reset counts as an end: the server may close with input unread.
+    A connection reset counts as the end of the response, as the server may
+    close the connection before it has read all the bytes.
     """
     sock = connect(port)
     received = b""
@@ -158,7 +159,7 @@
 
 
 def head_lines(method: str, target: str, body: bytes = b"") -> list[bytes]:
-    """Returns the head of a well-formed request by a known customer."""
+    """Returns the head lines of a valid request of a known customer."""
     return [
         f"{method} {target} HTTP/1.1".encode(),
         b"host: router",
@@ -170,13 +171,13 @@
 def request_bytes(
     method: str, target: str, body: bytes = b"", *headers: bytes
 ) -> bytes:
-    """Returns a well-formed request by a known customer."""
+    """Returns a valid request of a known customer."""
     lines = [*head_lines(method, target, body), *headers, b"", b""]
     return b"\r\n".join(lines) + body
 
 
 def status_of(response: bytes) -> int:
-    """Returns the status of a raw response."""
+    """Returns the status code of a raw response."""
     return int(response.split(b" ", 2)[1])
 
 
@@ -204,5 +205,5 @@
 
 
 def problem_of(response: bytes) -> dict[str, Any]:
-    """Returns the problem details of a refusal."""
+    """Returns the problem document of an error response."""
     return dict(json.loads(body_of(response)))
--- a/tests/test_caller_request.py
+++ b/tests/test_caller_request.py
@@ -1,4 +1,4 @@
-"""Requests of callers: what is refused, and how."""
+"""Validation of callers' requests."""
 
 import json
 import re
@@ -14,11 +14,11 @@
 _COMPLETIONS = "/v1/completions"
 
 
-def _raw(*lines: bytes, body: bytes = b"") -> bytes:
+def _raw_request(*lines: bytes, body: bytes = b"") -> bytes:
     return b"\r\n".join([*lines, b"", b""]) + body
 
 
-def _answers_count(response: bytes) -> int:
+def _response_count(response: bytes) -> int:
     return len(re.findall(rb"HTTP/1\.1 [0-9]{3} ", response))
 
 
@@ -34,52 +34,62 @@
     def send(self, data: bytes) -> bytes:
         return fixture.exchange(self.server.port, data)
 
-    def complete(self, body: object, *headers: bytes) -> bytes:
+    def send_completion(self, body: object, *headers: bytes) -> bytes:
         data = json.dumps(body).encode()
         return self.send(
             fixture.request_bytes("POST", _COMPLETIONS, data, *headers)
         )
 
 
-class AmbiguousHeadTest(_ServerTest):
-    def test_two_readings_are_refused_and_the_connection_closed(self) -> None:
-        """A second request hides in the first.
+class RequestParsingTest(_ServerTest):
+    def test_ambiguous_heads_are_rejected_and_the_connection_closed(
+        self,
+    ) -> None:
+        """Guards against request smuggling.
 
-        Symptom: an answer for another caller on a shared connection.
-        Sequence: a caller sends a head that whoever stands before the
-        router ends elsewhere than the router does.
-        Cause: lenient parsing of lengths, line ends and folded headers.
+        If the router accepted ambiguous lengths, line ends or folded headers,
+        a proxy in front of it could see the end of a request at another place.
+        A caller could then hide a second request in the first, and an answer
+        would reach another caller on the shared connection.
         """
         hidden = b"GET /v1/models HTTP/1.1\r\nhost: router\r\n\r\n"
         head = fixture.head_lines("POST", _COMPLETIONS)
         cases = {
-            "both lengths": _raw(*head, _CHUNKED, body=b"0\r\n\r\n" + hidden),
-            "two lengths": _raw(*head, b"content-length: 4", body=hidden),
-            "signed length": _raw(
+            "both lengths": _raw_request(
+                *head, _CHUNKED, body=b"0\r\n\r\n" + hidden
+            ),
+            "two lengths": _raw_request(
+                *head, b"content-length: 4", body=hidden
+            ),
+            "signed length": _raw_request(
                 *head[:3], b"content-length: +0", body=hidden
             ),
-            "grouped length": _raw(
+            "grouped length": _raw_request(
                 *head[:3], b"content-length: 1_0", body=hidden
             ),
-            "unknown coding": _raw(
+            "unknown coding": _raw_request(
                 *head[:3], b"transfer-encoding: gzip, chunked", body=hidden
             ),
-            "space before colon": _raw(
+            "space before colon": _raw_request(
                 *head[:3], b"content-length : 0", body=hidden
             ),
-            "folded header": _raw(*head, b"x-a: b", b" c", body=hidden),
+            "folded header": _raw_request(*head, b"x-a: b", b" c", body=hidden),
             "bare line feeds": b"\n".join([*head, b"", b""]) + hidden,
-            "bare carriage return": _raw(*head, b"x-a: b\rc", body=hidden),
-            "NUL": _raw(*head, b"x-a: b\0c", body=hidden),
-            "absolute target": _raw(
+            "bare carriage return": _raw_request(
+                *head, b"x-a: b\rc", body=hidden
+            ),
+            "NUL": _raw_request(*head, b"x-a: b\0c", body=hidden),
+            "absolute target": _raw_request(
                 b"POST http://other/v1/completions HTTP/1.1", *head[1:]
             ),
-            "old version": _raw(b"POST /v1/completions HTTP/0.9", *head[1:]),
+            "old version": _raw_request(
+                b"POST /v1/completions HTTP/0.9", *head[1:]
+            ),
         }
         for name, data in cases.items():
             with self.subTest(name):
                 response = self.send(data)
-                self.assertEqual(_answers_count(response), 1)
+                self.assertEqual(_response_count(response), 1)
                 self.assertEqual(fixture.status_of(response), 400)
                 self.assertEqual(
                     fixture.head_of(response)["connection"], "close"
@@ -87,35 +97,41 @@
                 problem = fixture.problem_of(response)
                 self.assertEqual(problem["outcome"], "not-run")
 
-    def test_malformed_chunks_are_refused(self) -> None:
+    def test_malformed_chunks_are_rejected(self) -> None:
         head = fixture.head_lines("POST", _COMPLETIONS)[:3]
-        response = self.send(_raw(*head, _CHUNKED, body=b"zz\r\nabc\r\n"))
+        response = self.send(
+            _raw_request(*head, _CHUNKED, body=b"zz\r\nabc\r\n")
+        )
         self.assertEqual(fixture.status_of(response), 400)
-        self.assertEqual(_answers_count(response), 1)
+        self.assertEqual(_response_count(response), 1)
 
-    def test_short_body_is_refused(self) -> None:
+    def test_truncated_body_is_rejected(self) -> None:
         head = fixture.head_lines("POST", _COMPLETIONS)[:3]
-        response = self.send(_raw(*head, b"content-length: 90", body=b"{}"))
+        response = self.send(
+            _raw_request(*head, b"content-length: 90", body=b"{}")
+        )
         self.assertEqual(fixture.status_of(response), 400)
 
     def test_chunked_body_is_read(self) -> None:
         head = fixture.head_lines("POST", _COMPLETIONS)[:3]
         body = json.dumps({"model": "tagger", "prompt": "hi"}).encode()
         chunks = b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
-        response = self.send(_raw(*head, _CHUNKED, body=chunks))
+        response = self.send(_raw_request(*head, _CHUNKED, body=chunks))
         self.assertEqual(fixture.status_of(response), 200)
 
 
-class BoundsTest(_ServerTest):
-    def test_what_is_too_large_is_refused(self) -> None:
+class SizeLimitsTest(_ServerTest):
+    def test_oversized_requests_are_rejected(self) -> None:
         head = fixture.head_lines("POST", _COMPLETIONS)
         large = b"a" * 1_000_001
         chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(large), large)
         cases = {
-            "announced body": _raw(*head[:3], b"content-length: 99000000000"),
-            "chunked body": _raw(*head[:3], _CHUNKED, body=chunk),
-            "header fields": _raw(*head, b"x-a: " + b"a" * 40_000),
-            "target": _raw(b"GET /" + b"a" * 9000 + b" HTTP/1.1"),
+            "announced body": _raw_request(
+                *head[:3], b"content-length: 99000000000"
+            ),
+            "chunked body": _raw_request(*head[:3], _CHUNKED, body=chunk),
+            "header fields": _raw_request(*head, b"x-a: " + b"a" * 40_000),
+            "target": _raw_request(b"GET /" + b"a" * 9000 + b" HTTP/1.1"),
         }
         for name, data in cases.items():
             with self.subTest(name):
@@ -127,8 +143,8 @@
                 )
 
 
-class FieldsTest(_ServerTest):
-    def test_bad_values_are_refused(self) -> None:
+class FieldValidationTest(_ServerTest):
+    def test_invalid_values_are_rejected(self) -> None:
         good = {"model": "tagger", "prompt": "hi"}
         cases: list[tuple[object, bytes, int]] = [
             (good, b"x-mulberry-deadline-ms: soon", 400),
@@ -149,17 +165,17 @@
         ]
         for body, header, status in cases:
             with self.subTest(body=body, header=header[:40]):
-                response = self.complete(body, header)
+                response = self.send_completion(body, header)
                 self.assertEqual(fixture.status_of(response), status)
                 problem = fixture.problem_of(response)
                 self.assertEqual(problem["outcome"], "not-run")
-        self.assertEqual(self.generations.wanted, [])
+        self.assertEqual(self.generations.completions, [])
 
-    def test_unknown_keys_are_refused(self) -> None:
+    def test_unknown_customer_keys_are_rejected(self) -> None:
         for value in (b"", b"Bearer wrong", b"Basic a2V5"):
             with self.subTest(value):
                 response = self.send(
-                    _raw(
+                    _raw_request(
                         b"GET /v1/models HTTP/1.1",
                         b"host: router",
                         b"authorization: " + value,
@@ -168,14 +184,13 @@
                 self.assertEqual(fixture.status_of(response), 401)
 
     def test_callers_cannot_set_internal_fields(self) -> None:
-        """A caller steers what only our own processes may steer.
+        """Guards against a caller that reads another customer's KV cache.
 
-        Symptom: a caller reads another customer's KV cache.
-        Sequence: it sends the engines' extension object or an internal
-        header, and the router carries it on.
-        Cause: fields of callers and of our own processes share a namespace.
+        Callers and the system's own processes share one namespace of fields,
+        so a router must remove the extension object for engines and internal
+        headers from a caller's request.
         """
-        self.complete(
+        self.send_completion(
             {
                 "model": "tagger",
                 "prompt": "hi",
@@ -184,18 +199,22 @@
             b"x-mulberry-fencing: 1",
             b"x-mulberry-priority: 2",
         )
-        wanted = self.generations.wanted[0]
-        self.assertNotIn("mulberry", wanted.body)
-        names = [name for name, _ in wanted.caller.fields]
+        completion = self.generations.completions[0]
+        self.assertNotIn("mulberry", completion.body)
+        names = [name for name, _ in completion.caller.fields]
         self.assertNotIn("x-mulberry-fencing", names)
-        self.assertEqual(wanted.caller.priority, 2)
+        self.assertEqual(completion.caller.priority, 2)
 
-    def test_adapter_is_named_behind_the_model(self) -> None:
-        self.complete({"model": "tagger:names", "prompt": "hi"})
-        wanted = self.generations.wanted[0]
-        self.assertEqual((wanted.model, wanted.adapter), ("tagger", "names"))
+    def test_adapter_is_parsed_from_the_model_name(self) -> None:
+        self.send_completion({"model": "tagger:names", "prompt": "hi"})
+        completion = self.generations.completions[0]
+        self.assertEqual(
+            (completion.model, completion.adapter), ("tagger", "names")
+        )
 
-    def test_without_configuration_the_refusal_is_typed(self) -> None:
+    def test_without_configuration_the_answer_is_a_problem_document(
+        self,
+    ) -> None:
         server = fixture.caller_server()
         server._catalogue = lambda: None
         server.start()
@@ -208,7 +227,7 @@
 
 
 class ArbitraryBytesTest(_ServerTest):
-    def check(self, response: bytes) -> None:
+    def check_response(self, response: bytes) -> None:
         if not response:
             return
         for found in re.findall(rb"HTTP/1\.1 ([0-9]{3}) ", response):
@@ -218,14 +237,14 @@
 
     @hypothesis.settings(max_examples=60, deadline=None)
     @hypothesis.given(strategies.binary(max_size=300))
-    def test_any_bytes_get_a_typed_refusal(self, data: bytes) -> None:
-        self.check(self.send(data))
+    def test_any_bytes_get_a_problem_document(self, data: bytes) -> None:
+        self.check_response(self.send(data))
 
     @hypothesis.settings(max_examples=60, deadline=None)
     @hypothesis.given(strategies.binary(max_size=100), strategies.binary())
     def test_any_header_and_body(self, header: bytes, body: bytes) -> None:
         data = fixture.request_bytes("POST", _COMPLETIONS, body, header)
-        self.check(self.send(data))
+        self.check_response(self.send(data))
 
     @hypothesis.settings(max_examples=60, deadline=None)
     @hypothesis.given(
@@ -252,11 +271,13 @@
     def test_any_json(self, body: dict[str, object]) -> None:
         for path in (_COMPLETIONS, "/v1/chat/completions"):
             data = json.dumps(body).encode()
-            self.check(self.send(fixture.request_bytes("POST", path, data)))
+            self.check_response(
+                self.send(fixture.request_bytes("POST", path, data))
+            )
 
 
 class ErrorTypesTest(unittest.TestCase):
-    def test_statuses_have_reasons(self) -> None:
+    def test_every_error_status_has_a_reason_phrase(self) -> None:
         from mulberrywharf.callers import problems
 
         for kind in errors.RequestError.__subclasses__():
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""Completions towards callers: shapes, ends, slow callers, callers gone."""
+"""Answers to completion requests: formats, failures, slow and gone callers."""
 
 import json
 import socket
@@ -35,13 +35,15 @@
         self.server.start()
         self.addCleanup(self.server.close)
 
-    def data(self, path: str, **fields: Any) -> bytes:
+    def completion_request(self, path: str, **fields: Any) -> bytes:
         body = {"model": "tagger", "prompt": "is the hall ready"}
         body.update(fields)
         return fixture.request_bytes("POST", path, json.dumps(body).encode())
 
     def send(self, path: str, **fields: Any) -> bytes:
-        return fixture.exchange(self.server.port, self.data(path, **fields))
+        return fixture.exchange(
+            self.server.port, self.completion_request(path, **fields)
+        )
 
     def wait_closed(self) -> None:
         with gevent.Timeout(_WAIT_S):
@@ -49,7 +51,7 @@
                 gevent.sleep(0.01)
 
 
-class ShapesTest(_CompletionsTest):
+class AnswerFormatTest(_CompletionsTest):
     def test_plain_completion(self) -> None:
         self.serve(_two_tokens)
         answer = json.loads(fixture.body_of(self.send(_COMPLETIONS)))
@@ -72,11 +74,11 @@
         message = answer["choices"][0]["message"]
         self.assertEqual(message["content"], "ready now ")
         self.assertEqual(
-            self.generations.wanted[0].prompt,
+            self.generations.completions[0].prompt,
             "system: be short\nuser: ready?\n",
         )
 
-    def test_stream_passes_events_on(self) -> None:
+    def test_stream_relays_events_unchanged(self) -> None:
         self.serve(_two_tokens)
         response = self.send(_COMPLETIONS, stream=True)
         self.assertEqual(
@@ -88,8 +90,8 @@
         )
 
 
-class BrokenAnswerTest(_CompletionsTest):
-    def test_refusal_before_the_first_token_has_its_status(self) -> None:
+class FailedAnswerTest(_CompletionsTest):
+    def test_failure_before_the_first_token_sets_the_status(self) -> None:
         def refused() -> _Batches:
             raise errors.OverloadedError("no room", retry_after_s=3)
             yield fixture.batch("", 0)
@@ -103,12 +105,12 @@
                 self.assertEqual(head["retry-after"], "3")
                 self.assertEqual(head["x-mulberry-outcome"], "not-run")
 
-    def test_begun_stream_ends_with_an_error_event(self) -> None:
-        """A short answer is taken for a whole one.
+    def test_started_stream_that_fails_ends_with_an_error_event(self) -> None:
+        """Guards against a truncated answer that looks complete.
 
-        Symptom: a verdict that ends in mid-sentence.
-        Sequence: the engine dies after some tokens and nobody can resume.
-        Cause: an HTTP body that ends well says nothing about the answer.
+        If an engine dies after some tokens and no other can resume, a
+        correctly terminated HTTP body alone would not show that the answer is
+        incomplete.
         """
 
         def broken() -> _Batches:
@@ -122,7 +124,7 @@
         self.assertEqual(problem["outcome"], "unknown")
         self.assertNotIn(b"[DONE]", body)
 
-    def test_answer_without_its_end_is_no_answer(self) -> None:
+    def test_answer_without_a_last_batch_is_an_error(self) -> None:
         self.serve(lambda: iter([fixture.batch("ready ", 0)]))
         response = self.send(_COMPLETIONS)
         self.assertEqual(fixture.status_of(response), 502)
@@ -130,7 +132,7 @@
         self.assertIn(b"urn:mulberrywharf:back-end-lost", body)
         self.assertNotIn(b"[DONE]", body)
 
-    def test_faults_of_ours_are_unknown(self) -> None:
+    def test_internal_fault_has_an_unknown_outcome(self) -> None:
         def faulty() -> _Batches:
             raise ZeroDivisionError
             yield fixture.batch("", 0)
@@ -142,13 +144,11 @@
 
 
 class CallerGoneTest(_CompletionsTest):
-    def test_engine_is_cancelled_when_the_caller_leaves(self) -> None:
-        """An engine generates for nobody.
+    def test_generation_is_cancelled_when_the_caller_disconnects(self) -> None:
+        """Guards against engines that generate for disconnected callers.
 
-        Symptom: engines are busy while callers wait.
-        Sequence: the caller closes its connection before the first token,
-        when the router has nothing to write.
-        Cause: only a write would show that the caller left.
+        Before the first token the router has nothing to write, so a write
+        can't show that the caller closed its connection.
         """
         begun = gevent.event.Event()
 
@@ -162,12 +162,16 @@
                 begun.clear()
                 self.serve(silent)
                 sock = fixture.connect(self.server.port)
-                sock.sendall(self.data(_COMPLETIONS, stream=stream))
+                sock.sendall(
+                    self.completion_request(_COMPLETIONS, stream=stream)
+                )
                 self.assertTrue(begun.wait(_WAIT_S))
                 sock.close()
                 self.wait_closed()
 
-    def test_engine_is_cancelled_in_mid_stream(self) -> None:
+    def test_generation_is_cancelled_when_the_caller_disconnects_mid_stream(
+        self,
+    ) -> None:
         def endless() -> _Batches:
             while True:
                 gevent.sleep(0)
@@ -175,19 +179,19 @@
 
         self.serve(endless)
         sock = fixture.connect(self.server.port)
-        sock.sendall(self.data(_COMPLETIONS, stream=True))
+        sock.sendall(self.completion_request(_COMPLETIONS, stream=True))
         self.assertIn(b"200 OK", sock.recv(64))
         sock.close()
         self.wait_closed()
 
 
 class SlowCallerTest(_CompletionsTest):
-    def test_answer_is_pulled_no_faster_than_it_is_read(self) -> None:
-        """A caller that does not read fills the router's memory.
+    def test_answer_is_pulled_only_as_fast_as_it_is_read(self) -> None:
+        """Guards against a slow caller that exhausts the router's memory.
 
-        Symptom: a router grows until it is killed, and all its streams end.
-        Sequence: a caller asks for a long stream and stops reading.
-        Cause: an answer kept in memory for whoever does not take it.
+        If the router buffered a long stream for a caller that has stopped
+        reading, it would grow until it is killed, and all its streams would
+        end.
         """
         pulled_bytes = 0
         block = fixture.batch("x" * 65_536, 0)
@@ -200,24 +204,22 @@
 
         self.serve(endless)
         sock = fixture.connect(self.server.port)
-        sock.sendall(self.data(_COMPLETIONS, stream=True))
+        sock.sendall(self.completion_request(_COMPLETIONS, stream=True))
         before_bytes = -1
         with gevent.Timeout(_WAIT_S):
             while pulled_bytes != before_bytes:
                 before_bytes = pulled_bytes
                 gevent.sleep(0.2)
-        # What the kernel's socket buffers hold, and not a block more.
+        # Only what fits in the kernel's socket buffers has been pulled.
         self.assertLess(pulled_bytes, 16_000_000)
         sock.close()
         self.wait_closed()
 
-    def test_caller_that_stops_reading_is_given_up(self) -> None:
-        """An engine is held for as long as a caller cares to stall.
+    def test_caller_that_stops_reading_is_disconnected(self) -> None:
+        """Guards against a stalled caller that occupies an engine forever.
 
-        Symptom: engines are busy, their streams stand still.
-        Sequence: a caller asks for a long stream and reads nothing more,
-        but keeps its connection open.
-        Cause: a write without a bound.
+        A caller may stop reading a long stream but keep its connection open;
+        writes to it need a timeout.
         """
         block = fixture.batch("x" * 65_536, 0)
 
@@ -228,16 +230,15 @@
         self.serve(endless, idle_timeout_s=0.2)
         sock = fixture.connect(self.server.port)
         self.addCleanup(sock.close)
-        sock.sendall(self.data(_COMPLETIONS, stream=True))
+        sock.sendall(self.completion_request(_COMPLETIONS, stream=True))
         self.wait_closed()
 
     def test_large_answer_reaches_a_caller_that_reads_slowly(self) -> None:
-        """A part of a large answer comes twice, or not at all.
+        """Guards against repeated or missing bytes after a partial write.
 
-        Symptom: the JSON of a long verdict cannot be read.
-        Sequence: the kernel takes a part of a write, and the rest is sent
-        once the caller has read on.
-        Cause: the rest is counted from a wrong place.
+        The kernel accepts only part of a large write, and the rest is sent
+        once the caller has read more. If the rest began at a wrong offset, the
+        JSON of a long answer could not be parsed.
         """
         text = "".join(f"{number:07d} " for number in range(1_000_000))
         self.serve(
@@ -245,13 +246,13 @@
         )
         sock = fixture.connect(self.server.port)
         self.addCleanup(sock.close)
-        # Else the kernel holds the whole answer and nobody has to wait.
+        # With a larger buffer the kernel would take the whole answer at once.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 131_072)
-        sock.sendall(self.data(_COMPLETIONS))
+        sock.sendall(self.completion_request(_COMPLETIONS))
         received = b""
         while not received.endswith(b"}}"):
             part = sock.recv(262_144)
-            self.assertTrue(part, "the answer was cut")
+            self.assertTrue(part, "the answer was truncated")
             received += part
             gevent.sleep(0.05)
         document = json.loads(fixture.body_of(received))
--- a/tests/test_listener_stop.py
+++ b/tests/test_listener_stop.py
@@ -1,4 +1,4 @@
-"""A listener that stops: what was accepted is served, what is idle ends."""
+"""Stop of the listener: requests are served, idle connections closed."""
 
 import time
 import unittest
@@ -19,14 +19,14 @@
     def setUp(self) -> None:
         self.listener = listener.CallerListener(cluster.LOOPBACK, 0)
         self.entered = gevent.event.Event()
-        self.may_end = gevent.event.Event()
+        self.may_complete = gevent.event.Event()
         self.listener.serve(self._answer)
         self.listener.start()
         self.addCleanup(self.listener.stop)
 
     def _answer(self, environ: Any, start_response: Any) -> list[bytes]:
         self.entered.set()
-        self.may_end.wait()
+        self.may_complete.wait()
         start_response("200 OK", [("content-type", "text/plain")])
         return [b"done"]
 
@@ -35,13 +35,11 @@
         self.addCleanup(sock.close)
         return sock
 
-    def test_connections_in_the_backlog_are_served(self) -> None:
-        """A request that the kernel accepted gets a reset.
+    def test_connections_in_the_accept_queue_are_served(self) -> None:
+        """Guards against a stop that resets connections not yet accepted.
 
-        Symptom: connection resets in the moment of a stop.
-        Sequence: the kernel completes a connection and takes its request;
-        the listener is closed before the process accepts it.
-        Cause: closing a listener resets what it has not accepted.
+        The kernel completes a connection and receives its request before the
+        process accepts it; closing the listening socket then would reset it.
         """
         self.listener.stop_accepting()
         socks = [self.connect() for _ in range(4)]
@@ -50,20 +48,19 @@
         finishing = gevent.spawn(self.listener.finish)
         self.assertTrue(self.entered.wait(_JOIN_S))
         self.assertFalse(finishing.ready())
-        self.may_end.set()
+        self.may_complete.set()
         for sock in socks:
             self.assertIn(b"200 OK", sock.recv(65_536))
         finishing.get(timeout=_JOIN_S)
 
     def test_a_caller_slow_to_send_its_first_request_is_served(self) -> None:
-        """A request is cut by a stop on a busy machine.
+        """Guards against closing a new connection without an answer.
 
-        Symptom: a new connection closes without an answer.
-        Sequence: a caller connects just before the listener closes, and sends
-        its request some 300 ms later, for want of processor time.
-        Cause: connections without a request were ended at once.
+        On a busy machine a caller may connect just before the listener closes
+        and send its request some 300 ms later. A stop that closed connections
+        without a request at once would cut it.
         """
-        self.may_end.set()
+        self.may_complete.set()
         sock = self.connect()
         finishing = gevent.spawn(self.listener.finish)
         gevent.sleep(0.3)
@@ -71,25 +68,23 @@
         self.assertIn(b"200 OK", sock.recv(65_536))
         finishing.get(timeout=_JOIN_S)
 
-    def test_a_stream_begun_before_the_stop_leaves_its_connection_open(
+    def test_connection_of_a_stream_started_before_the_stop_stays_open(
         self,
     ) -> None:
-        """A caller's next request is cut by a stop.
+        """Guards against a stop that cuts the request after a stream.
 
-        Symptom: "connection closed" for the request behind a stream.
-        Sequence: the head of a stream goes out, the stop begins, the stream
-        ends whole; its caller sends the next request on that connection.
-        Cause: the connection was closed behind the stream, though the head
-        had not said so.
+        The head of a stream is sent before the stop and so does not announce
+        that the connection will close. The caller may send its next request on
+        it; closing the connection at the end of the stream would cut it.
         """
-        self.listener.serve(self._answer_in_two_parts)
+        self.listener.serve(self._answer_as_stream)
         sock = self.connect()
         sock.sendall(callers_fixture.request_bytes("GET", "/"))
         self.assertIn(b"200 OK", sock.recv(65_536))
         self.listener.announce_stop()
         finishing = gevent.spawn(self.listener.finish)
         gevent.sleep(0.3)
-        self.may_end.set()
+        self.may_complete.set()
         received = b""
         while not received.endswith(b"0\r\n\r\n"):
             part = sock.recv(65_536)
@@ -101,82 +96,81 @@
         self.assertEqual(head["connection"], "close")
         finishing.get(timeout=_JOIN_S)
 
-    def test_a_stream_that_ends_late_in_a_stop_ends_its_connection(
+    def test_stream_that_ends_late_in_a_stop_closes_its_connection(
         self,
     ) -> None:
-        """A request is cut by the end of the grace of a stop.
+        """Guards against an answer cut at the end of the grace period.
 
-        Symptom: an answer breaks off, eight seconds after the stop began.
-        Sequence: a stream ends five seconds into the stop; its caller sends
-        the next request on that connection, and it is taken.
-        Cause: how late a stop still takes requests was not bounded.
+        Without a limit on how late a stop accepts requests, the caller of a
+        stream that ended five seconds into the stop could send another request,
+        and its answer was cut eight seconds after the stop began.
         """
-        self.listener.serve(self._answer_in_two_parts)
+        self.listener.serve(self._answer_as_stream)
         sock = self.connect()
         sock.sendall(callers_fixture.request_bytes("GET", "/"))
         self.assertIn(b"200 OK", sock.recv(65_536))
         finishing = gevent.spawn(self.listener.finish)
-        gevent.sleep(listener._NEXT_REQUEST_S + 0.3)
-        self.may_end.set()
+        gevent.sleep(listener._NEXT_REQUEST_WAIT_S + 0.3)
+        self.may_complete.set()
         ended = time.monotonic()
         while sock.recv(65_536):
             pass
         self.assertLess(time.monotonic() - ended, 0.5)
         finishing.get(timeout=_JOIN_S)
 
-    def _answer_in_two_parts(
+    def _answer_as_stream(
         self, environ: Any, start_response: Any
     ) -> Iterator[bytes]:
         start_response("200 OK", [("content-type", "text/plain")])
         yield b"first"
-        self.may_end.wait()
+        self.may_complete.wait()
         yield b"second"
 
-    def test_request_that_races_with_the_end_of_reading_is_served(
+    def test_request_received_before_reading_is_shut_down_is_served(
         self,
     ) -> None:
-        """A request on a kept connection is lost in the moment of a stop.
+        """Guards against losing a request on a keep-alive connection.
 
-        Symptom: a kept connection closes without an answer.
-        Sequence: the request lies in the kernel when the stop ends reading
-        on connections that look idle.
-        Cause: the reader was woken by an error before it saw the bytes.
+        The kernel may have received the request when the stop shuts down
+        reading on a connection that looks idle. If the waiting reader got an
+        error before it read the bytes, the connection would close without an
+        answer.
         """
-        self.may_end.set()
+        self.may_complete.set()
         sock = self.connect()
         sock.sendall(callers_fixture.request_bytes("GET", "/"))
         self.assertIn(b"200 OK", sock.recv(65_536))
-        (accepted,) = self.listener._last_use_s
-        # No greenlet runs between these two.
+        (accepted,) = self.listener._last_activity_s
+        # No other greenlet runs between these two calls.
         sock._sock.send(callers_fixture.request_bytes("GET", "/"))
-        listener._end_reading(accepted)
+        listener._shut_down_reading(accepted)
         self.assertIn(b"200 OK", sock.recv(65_536))
 
-    def test_new_handshakes_do_not_begin_while_closing(self) -> None:
-        """The last connection of a listener is reset.
+    def test_new_handshakes_are_dropped_while_closing(self) -> None:
+        """Guards against an occasional connection reset during a stop.
 
-        Symptom: now and then a connection reset in the moment of a stop.
-        Sequence: the kernel completes a connection after the last accept
-        and before the close.
-        Cause: a listener cannot be closed and emptied in one step.
+        The kernel could complete a connection after the last accept and before
+        the close of the listening socket, which are separate steps.
         """
-        self.assertTrue(handshakes.refuse_new(self.listener.socket))
+        self.assertTrue(handshakes.drop_new_syns(self.listener.socket))
         late = gevent.socket.socket()
         self.addCleanup(late.close)
         late.settimeout(0.3)
         with self.assertRaises(TimeoutError):
             late.connect((cluster.LOOPBACK, self.listener.port))
 
-    def test_idle_connections_do_not_hold_up_the_stop(self) -> None:
-        self.may_end.set()
+    def test_idle_connections_do_not_delay_the_stop(self) -> None:
+        self.may_complete.set()
         sock = self.connect()
         sock.sendall(callers_fixture.request_bytes("GET", "/"))
         self.assertIn(b"200 OK", sock.recv(65_536))
         gevent.spawn(self.listener.finish).get(timeout=_JOIN_S)
         self.assertEqual(sock.recv(1), b"")
 
-    def test_answers_of_a_stopping_listener_end_their_connection(self) -> None:
-        self.may_end.set()
+    def test_answers_of_a_stopping_listener_close_their_connection(
+        self,
+    ) -> None:
+        self.may_complete.set()
         self.listener.announce_stop()
         sock = self.connect()
         sock.sendall(callers_fixture.request_bytes("GET", "/"))
--- a/tests/test_passthrough.py
+++ b/tests/test_passthrough.py
@@ -1,4 +1,4 @@
-"""Calls that pass through to plain services."""
+"""Calls that are passed through to plain services."""
 
 import unittest
 
@@ -30,7 +30,7 @@
         data = fixture.request_bytes(method, target, b"who", *headers)
         return fixture.exchange(self.server.port, data)
 
-    def test_call_and_answer_pass(self) -> None:
+    def test_call_and_answer_are_passed_through(self) -> None:
         response = self.send(
             "POST", "/services/desk/check-in?door=2", b"x-request-id: r9"
         )
@@ -41,12 +41,12 @@
             (call.service, call.path), ("desk", "/check-in?door=2")
         )
         self.assertEqual(call.caller.body, b"who")
-        own_id = call.headers[passthrough.CALLER_REQUEST_ID_HEADER]
-        self.assertEqual(own_id, "r9")
-        # The client that sends it writes the id of the run.
+        caller_request_id = call.headers[passthrough.CALLER_REQUEST_ID_HEADER]
+        self.assertEqual(caller_request_id, "r9")
+        # The client of the backend servers sets the ID of the run.
         self.assertNotIn("x-request-id", call.headers)
 
-    def test_hop_by_hop_fields_stay_on_their_hop(self) -> None:
+    def test_hop_by_hop_and_internal_fields_are_removed(self) -> None:
         response = self.send(
             "POST",
             "/services/desk/check-in",
@@ -65,7 +65,7 @@
         for name in ("connection", "x-mine", "te", "authorization", "host"):
             self.assertNotIn(name, headers)
 
-    def test_idempotency_by_header_configuration_and_method(self) -> None:
+    def test_idempotency_follows_header_configuration_and_method(self) -> None:
         cases = [
             ("POST", "/services/desk/check-in", (), False),
             ("POST", "/services/desk/echo", (), True),
@@ -89,13 +89,12 @@
                 self.send(method, target, *headers)
                 self.assertEqual(self.calls.calls[-1].idempotent, idempotent)
 
-    def test_paths_with_two_readings_are_refused(self) -> None:
-        """A payment runs under the name of a harmless path.
+    def test_ambiguous_paths_are_rejected(self) -> None:
+        """Guards against a payment that runs twice.
 
-        Symptom: a payment ran twice.
-        Sequence: a caller sends ``/echo/../payment``; the router takes it
-        for a path that may be repeated, the server resolves the dots.
-        Cause: two readings of one path.
+        If a caller sends ``/echo/../payment``, the router could take it for an
+        idempotent path and repeat the call, while the server resolves the dot
+        segments and runs the payment.
         """
         cases = [
             "/services/desk/echo/../payment",
@@ -110,7 +109,7 @@
                 self.assertEqual(fixture.status_of(response), 400)
         self.assertEqual(self.calls.calls, [])
 
-    def test_unknown_services_are_refused(self) -> None:
+    def test_unknown_services_are_rejected(self) -> None:
         for target in ("/services/other/x", "/services/", "/services/%64esk/x"):
             with self.subTest(target):
                 response = self.send("POST", target)
--- a/tests/test_problems.py
+++ b/tests/test_problems.py
@@ -1,4 +1,4 @@
-"""What callers are told when a request fails."""
+"""Error responses to callers."""
 
 import json
 import unittest
@@ -21,8 +21,11 @@
         ]
         for error, status, outcome in cases:
             with self.subTest(error=type(error).__name__):
-                told = problems.as_request_error(error)
-                self.assertEqual((told.status, told.outcome), (status, outcome))
+                request_error = problems.as_request_error(error)
+                self.assertEqual(
+                    (request_error.status, request_error.outcome),
+                    (status, outcome),
+                )
 
     def test_body_and_headers_agree(self) -> None:
         error = errors.OverloadedError("queue is full", retry_after_s=1.2)
@@ -35,9 +38,9 @@
         self.assertEqual(body["request_id"], "r1")
         self.assertTrue(body["advice"])
 
-    def test_internal_faults_do_not_show_their_text(self) -> None:
-        told = problems.as_request_error(ValueError("secret"))
-        self.assertNotIn("secret", problems.body(told, "r1").decode())
+    def test_messages_of_internal_faults_are_not_disclosed(self) -> None:
+        request_error = problems.as_request_error(ValueError("secret"))
+        self.assertNotIn("secret", problems.body(request_error, "r1").decode())
 
     def test_stream_event_carries_the_problem(self) -> None:
         error = errors.BackEndLostError("engine died", outcome="unknown")
