--- a/src/mulberrywharf/backend_servers/__init__.py
+++ b/src/mulberrywharf/backend_servers/__init__.py
@@ -1,1 +1,1 @@
-"""Plain services that run beside the engines."""
+"""Access to the backend servers of plain services."""
--- a/src/mulberrywharf/backend_servers/client.py
+++ b/src/mulberrywharf/backend_servers/client.py
@@ -1,4 +1,4 @@
-"""One exchange with a plain service, passed through as it comes."""
+"""HTTP client for the backend servers of plain services."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -24,12 +24,12 @@
     Attributes:
         method: HTTP method.
         path: Target with its query, percent-encoded.
-        headers: The caller's header fields; hop-by-hop ones are left out.
+        headers: The caller's header fields; hop-by-hop ones are not sent.
         body: The whole body.
-        request_id: Goes along as ``x-request-id``; an answer that echoes
-            another one is refused.
-        idempotent: Whether running it twice does no harm.
-        timeout_s: How long each wait for the server may last.
+        request_id: Sent as ``x-request-id``; an answer that echoes another ID
+            is rejected.
+        idempotent: Whether the request may safely run twice.
+        timeout_s: Timeout of each wait for the server.
     """
 
     method: str
@@ -42,12 +42,12 @@
 
 
 class BackendAnswer:
-    """The answer of a plain service, its body still to be read.
+    """The answer of a plain service, whose body has not been read yet.
 
     Attributes:
-        status: HTTP status.
-        reason: The status line's phrase.
-        headers: End-to-end header fields, repeated ones kept apart.
+        status: HTTP status code.
+        reason: Reason phrase of the status line.
+        headers: End-to-end header fields; repeated fields are not merged.
     """
 
     def __init__(
@@ -66,18 +66,18 @@
         """Yields the body in blocks; only one is in memory at a time.
 
         Raises:
-            AnswerLostError: The server broke off. Whoever passes the answer
-                on must break off as well, so that the caller does not take
-                the part for the whole.
+            AnswerLostError: The connection failed before the end of the body. A
+                relay must then also close its connection to the caller, so that
+                the caller does not take the truncated body for a complete one.
         """
         try:
             while True:
-                some = self._exchange.read_some(self._timeout_s)
-                if isinstance(some, Err):
-                    raise some.err_value
-                if not some.ok_value:
+                block = self._exchange.read_some(self._timeout_s)
+                if isinstance(block, Err):
+                    raise block.err_value
+                if not block.ok_value:
                     return
-                yield some.ok_value
+                yield block.ok_value
         finally:
             self.close()
 
@@ -85,7 +85,10 @@
         """Reads the whole body into memory.
 
         Args:
-            limit_bytes: A larger body is an ``AnswerTooLargeError``.
+            limit_bytes: Maximum size of the body.
+
+        Returns:
+            The body, or an ``AnswerTooLargeError`` if it is larger.
         """
         try:
             return self._exchange.read_all(self._timeout_s, limit_bytes)
@@ -93,12 +96,12 @@
             self.close()
 
     def close(self) -> None:
-        """Gives the connection back, or closes it if bytes are unread."""
+        """Returns the connection to its pool; closes it if bytes are unread."""
         self._exchange.finish()
 
 
 class BackendClient:
-    """Sends requests to plain services; each is written at most once."""
+    """Sends requests to plain services; writes each one at most once."""
 
     def __init__(
         self, connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S
@@ -107,11 +110,11 @@
         self._pool = _connections.ConnectionPool()
 
     def close(self) -> None:
-        """Closes idle connections."""
+        """Closes all idle connections."""
         self._pool.close()
 
     def forget(self, address: fleet.Address) -> None:
-        """Closes idle connections to a server that left."""
+        """Closes the idle connections to a server that was removed."""
         self._pool.forget(address)
 
     def send(
@@ -120,20 +123,21 @@
         """Sends a request and waits for the head of its answer.
 
         Args:
-            address: The backend server.
-            request: What to send.
+            address: Address of the backend server.
+            request: The request.
 
         Returns:
-            The answer. Else an error whose ``outcome`` is ``not-run`` if no
-            byte left and ``unknown`` otherwise: ``EngineUnreachableError``,
-            ``AnswerLostError``, or ``ForeignAnswerError`` when the answer
-            carries another request's id.
+            The answer, or an error: ``EngineUnreachableError``,
+            ``AnswerLostError``, or ``ForeignAnswerError`` if the answer carries
+            another request's ID. The error's ``outcome`` is ``not-run`` if
+            nothing was sent and ``unknown`` otherwise.
 
         Raises:
             BadRequestError: The request is malformed; nothing was sent.
         """
-        # A non-idempotent request never takes an idle connection, which the
-        # server may close just then: nobody would know whether it ran.
+        # A non-idempotent request always uses a new connection. If the server
+        # closed an idle one while the request is being sent, it would be
+        # unknown whether the request ran.
         pool = self._pool if request.idempotent else None
         opened = _exchange.Exchange.open(
             address, connect_timeout_s=self._connect_timeout_s, pool=pool
--- a/src/mulberrywharf/backend_servers/directory.py
+++ b/src/mulberrywharf/backend_servers/directory.py
@@ -1,4 +1,4 @@
-"""Which backend servers of a service may get new work."""
+"""Selects backend servers for the requests of plain services."""
 
 import random
 
@@ -6,24 +6,25 @@
 
 from mulberrywharf import errors, fleet
 
-_FAILURE_MEMORY_S = 10.0
+_RECENT_FAILURE_S = 10.0
 _RETRY_AFTER_S = 1.0
 
 
 class ServiceDirectory:
-    """Chooses a live backend server of a service.
+    """Chooses among the live backend servers of a service.
 
-    Servers of the own availability zone go first; one that failed in the
-    last seconds goes last, whatever its zone. Among equals it goes round.
+    Prefers servers without a recent failure, then servers in this node's
+    availability zone. Uses round robin among equally good servers.
     """
 
     def __init__(self, availability_zone: str, chance: random.Random):
-        """Makes an empty directory.
+        """Creates an empty directory.
 
         Args:
-            availability_zone: The own one.
-            chance: Gives each node another first turn; nodes that begin in
-                step would send their first requests to the same server.
+            availability_zone: The availability zone of this node.
+            chance: Random number generator that chooses where the round robin
+                starts. Otherwise all nodes would send their first requests to
+                the same server.
         """
         self._availability_zone = availability_zone
         self._chance = chance
@@ -32,7 +33,7 @@
         self._failed_at_s: dict[str, float] = {}
 
     def set_vms(self, vms: list[fleet.VmRecord]) -> None:
-        """Takes the VM list; leaving servers get no new work from now."""
+        """Replaces the VM list; servers that are not live get no new work."""
         by_service: dict[str, list[fleet.VmRecord]] = {}
         for vm in vms:
             if vm.kind != "backend":
@@ -49,7 +50,7 @@
         }
 
     def services(self) -> list[str]:
-        """Returns the names of all services, even of those without a server."""
+        """Returns the names of all services, also without a live server."""
         return sorted(self._by_service)
 
     def servers(self, service: str) -> list[fleet.VmRecord]:
@@ -63,43 +64,47 @@
 
         Args:
             service: Name of the service.
-            now_s: Monotonic time.
-            excluded: VM ids that this request has tried already.
+            now_s: Current monotonic time.
+            excluded: IDs of the VMs that this request has already tried.
 
         Returns:
-            The server; ``UnknownTargetError`` if nobody offers the service,
-            ``OverloadedError`` if no server of it is left.
+            The server, or ``UnknownTargetError`` if no VM offers the service,
+            or ``OverloadedError`` if none of its servers is left to try.
         """
         if service not in self._by_service:
             message = f"there is no service {service!r}"
             return Err(errors.UnknownTargetError(message))
-        able = [
+        candidates = [
             vm for vm in self._by_service[service] if vm.vm_id not in excluded
         ]
-        if not able:
+        if not candidates:
             message = f"no server of {service!r} is left to try"
             return Err(
                 errors.OverloadedError(message, retry_after_s=_RETRY_AFTER_S)
             )
-        best = min(self._rank(vm, now_s) for vm in able)
-        equals = [vm for vm in able if self._rank(vm, now_s) == best]
-        return Ok(equals[self._next_turn(service) % len(equals)])
+        best_rank = min(self._rank(vm, now_s) for vm in candidates)
+        equally_ranked = [
+            vm for vm in candidates if self._rank(vm, now_s) == best_rank
+        ]
+        return Ok(
+            equally_ranked[self._next_turn(service) % len(equally_ranked)]
+        )
 
     def failed(self, vm_id: str, now_s: float) -> None:
-        """Notes that an exchange with a server failed."""
+        """Records that an exchange with a server failed."""
         self._failed_at_s[vm_id] = now_s
 
     def succeeded(self, vm_id: str) -> None:
-        """Forgets a server's earlier failure."""
+        """Clears the recorded failure of a server."""
         self._failed_at_s.pop(vm_id, None)
 
     def _rank(self, vm: fleet.VmRecord, now_s: float) -> tuple[bool, bool]:
         failed_at_s = self._failed_at_s.get(vm.vm_id)
         failed = (
-            failed_at_s is not None and now_s - failed_at_s < _FAILURE_MEMORY_S
+            failed_at_s is not None and now_s - failed_at_s < _RECENT_FAILURE_S
         )
-        elsewhere = vm.availability_zone != self._availability_zone
-        return failed, elsewhere
+        in_other_zone = vm.availability_zone != self._availability_zone
+        return failed, in_other_zone
 
     def _next_turn(self, service: str) -> int:
         if service not in self._turns:
--- a/src/mulberrywharf/callers/passthrough.py
+++ b/src/mulberrywharf/callers/passthrough.py
@@ -14,8 +14,8 @@
 _PREFIX = "/services/"
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 CALLER_REQUEST_ID_HEADER = "x-mulberry-caller-request-id"
-"""Passes the caller's request ID to the service; ``x-request-id`` carries the
-ID of the run."""
+"""Carries the caller's request ID to the service; ``x-request-id`` carries the
+run ID that the router generates."""
 
 _REPLACED_HEADERS = frozenset(
     {
@@ -41,8 +41,8 @@
         caller: The caller's HTTP request.
         service: Name of the service.
         path: Origin-form target at the backend server, with its query.
-        headers: Header fields for the backend server, without the ID of the
-            run, which is not known yet.
+        headers: Header fields for the backend server, without the run ID,
+            which is not known yet.
         idempotent: Whether the call may run more than once.
         timeout_s: Timeout that the service's configuration sets for a call.
     """
--- a/src/mulberrywharf/callers/request.py
+++ b/src/mulberrywharf/callers/request.py
@@ -62,7 +62,7 @@
     idempotent: bool | None = None
 
     def fingerprint(self) -> int:
-        """Returns a 64-bit hash that is equal for a repeated request."""
+        """Returns a 64-bit hash by which a repeated request is recognized."""
         return fingerprints.fingerprint(
             (self.method, self.target, self.customer), self.body
         )
--- a/src/mulberrywharf/operators/__init__.py
+++ b/src/mulberrywharf/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The admin listener and the audit trail."""
+"""Admin listener, status reports and audit trail."""
--- a/src/mulberrywharf/operators/audit.py
+++ b/src/mulberrywharf/operators/audit.py
@@ -1,9 +1,9 @@
-"""The audit trail: each change of state, as a log line and in /status.
+"""Audit trail: records each state change as a log line and for /status.
 
-The VMs have no disks, so the trail in memory is bounded and dies with the
-process. What must last is elsewhere: changes of the configuration are in the
-configuration's own value, orders in the zone's order records, and the log
-lines go wherever the platform collects them.
+The VMs have no disks, so the trail is kept in memory, is bounded, and is lost
+when the process ends. Permanent records are kept elsewhere: configuration
+changes in the stored configuration, orders in the order records of the zone,
+and log lines where the platform collects them.
 """
 
 from collections import deque
@@ -15,18 +15,18 @@
 
 from mulberrywharf.clock import Clock
 
-LIMIT_COUNT = 200
+DEFAULT_LIMIT_COUNT = 200
 
 
 class AuditLine(TypedDict):
-    """One change of state as /status shows it.
+    """One state change as /status shows it.
 
     Attributes:
-        at_unix_s: When this process saw or made the change.
-        kind: What kind of change, such as ``order``.
+        at_unix_s: Unix time at which this process saw or made the change.
+        kind: Kind of change, such as ``order``.
         subject: What changed, such as an engine.
-        detail: What it changed to.
-        reason: Why.
+        detail: The new state.
+        reason: Reason for the change.
     """
 
     at_unix_s: float
@@ -37,7 +37,7 @@
 
 
 class ConfigurationInForce(NamedTuple):
-    """This process now runs another version of the configuration."""
+    """This process now uses another version of the configuration."""
 
     version: int
     author: str
@@ -45,7 +45,7 @@
 
 
 class OrderChanged(NamedTuple):
-    """An order was recorded or reached another phase."""
+    """An order was recorded or entered another phase."""
 
     engine_id: str
     order_id: str
@@ -56,7 +56,7 @@
 
 
 class RoleChanged(NamedTuple):
-    """An engine reports another role than before."""
+    """An engine reports a different role than before."""
 
     engine_id: str
     before: str
@@ -64,21 +64,21 @@
 
 
 class DrainBegan(NamedTuple):
-    """A process or an engine gets no new work from now on."""
+    """A process or an engine gets no new work any more."""
 
     subject: str
     reason: str
 
 
 class LeaseTaken(NamedTuple):
-    """This process may act for others from now on."""
+    """This process acquired a lease and now has the authority tied to it."""
 
     lease: str
     fencing_number: int
 
 
 class LeaseLost(NamedTuple):
-    """This process may no longer act for others."""
+    """This process lost a lease and the authority tied to it."""
 
     lease: str
     fencing_number: int
@@ -96,15 +96,15 @@
 
 
 class AuditLog:
-    """Writes each event as a structured log line and keeps the latest."""
+    """Writes each event as a structured log line and keeps the latest ones."""
 
-    def __init__(self, clock: Clock, *, limit_count: int = LIMIT_COUNT):
+    def __init__(self, clock: Clock, *, limit_count: int = DEFAULT_LIMIT_COUNT):
         self._clock = clock
         self._lines: deque[AuditLine] = deque(maxlen=limit_count)
 
     def record(self, event: AuditEvent) -> None:
-        """Adds an event to the trail."""
-        kind, subject, detail, reason = _parts(event)
+        """Logs an event and adds it to the trail."""
+        kind, subject, detail, reason = _line_parts(event)
         line = AuditLine(
             at_unix_s=self._clock.unix_s(),
             kind=kind,
@@ -120,7 +120,7 @@
         return list(self._lines)
 
 
-class _Parts(NamedTuple):
+class _LineParts(NamedTuple):
     kind: str
     subject: str
     detail: str
@@ -128,13 +128,13 @@
 
 
 @singledispatch
-def _parts(event: object) -> _Parts:
+def _line_parts(event: object) -> _LineParts:
     raise TypeError(f"{type(event).__name__} is not an audit event")
 
 
-@_parts.register
-def _(event: ConfigurationInForce) -> _Parts:
-    return _Parts(
+@_line_parts.register
+def _(event: ConfigurationInForce) -> _LineParts:
+    return _LineParts(
         "configuration",
         f"version {event.version}",
         f"change {event.change_id}",
@@ -142,9 +142,9 @@
     )
 
 
-@_parts.register
-def _(event: OrderChanged) -> _Parts:
-    return _Parts(
+@_line_parts.register
+def _(event: OrderChanged) -> _LineParts:
+    return _LineParts(
         "order",
         event.engine_id,
         f"{event.action} {event.phase}, order {event.order_id}, "
@@ -153,9 +153,9 @@
     )
 
 
-@_parts.register
-def _(event: RoleChanged) -> _Parts:
-    return _Parts(
+@_line_parts.register
+def _(event: RoleChanged) -> _LineParts:
+    return _LineParts(
         "role-change",
         event.engine_id,
         f"{event.before} to {event.after}",
@@ -163,14 +163,14 @@
     )
 
 
-@_parts.register
-def _(event: DrainBegan) -> _Parts:
-    return _Parts("drain", event.subject, "no new work", event.reason)
+@_line_parts.register
+def _(event: DrainBegan) -> _LineParts:
+    return _LineParts("drain", event.subject, "no new work", event.reason)
 
 
-@_parts.register
-def _(event: LeaseTaken) -> _Parts:
-    return _Parts(
+@_line_parts.register
+def _(event: LeaseTaken) -> _LineParts:
+    return _LineParts(
         "lease-taken",
         event.lease,
         f"fencing number {event.fencing_number}",
@@ -178,9 +178,9 @@
     )
 
 
-@_parts.register
-def _(event: LeaseLost) -> _Parts:
-    return _Parts(
+@_line_parts.register
+def _(event: LeaseLost) -> _LineParts:
+    return _LineParts(
         "lease-lost",
         event.lease,
         f"fencing number {event.fencing_number}",
--- a/src/mulberrywharf/operators/client.py
+++ b/src/mulberrywharf/operators/client.py
@@ -1,4 +1,4 @@
-"""Reads the admin listeners of nodes, for mulberryctl."""
+"""Reads status reports from the admin listeners of nodes, for mulberryctl."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -20,16 +20,16 @@
 
 DEFAULT_TIMEOUT_S = 3.0
 
-_CONCURRENT_COUNT = 32
-_LIMIT_BYTES = 16 * 1024 * 1024
+_CONCURRENT_READS_LIMIT_COUNT = 32
+_BODY_LIMIT_BYTES = 16 * 1024 * 1024
 
 
 class NodeAnswer(NamedTuple):
-    """What one node said, or why it said nothing.
+    """The status report of one node, or the error of reading it.
 
     Attributes:
-        address: Its admin listener.
-        report: Its status, or None.
+        address: Address of the node's admin listener.
+        report: The status report, or None if reading it failed.
         error: The failure, or None.
     """
 
@@ -41,20 +41,20 @@
 def read_status(
     address: Address, token: str, timeout_s: float = DEFAULT_TIMEOUT_S
 ) -> Result[StatusReport, OperatorError]:
-    """Reads the status of one node.
+    """Reads the status report of one node.
 
     Args:
-        address: Its admin listener.
-        token: The operator's token.
-        timeout_s: For connecting and for the whole answer.
+        address: Address of the node's admin listener.
+        token: Token of the operator.
+        timeout_s: Timeout for the whole exchange, including the connect.
     """
-    if not _fits_in_a_header(token):
+    if not _is_valid_in_a_header(token):
         message = "the token holds characters that no header can carry"
         return Err(NotAuthorisedError(message))
     message = f"{address} did not answer in {timeout_s:g} s"
     try:
         with gevent.Timeout(timeout_s):
-            return _exchange(address, token, timeout_s)
+            return _fetch_status(address, token, timeout_s)
     except gevent.Timeout:
         return Err(AdminListenerError(message))
     except (OSError, HTTPParseError, ValueError) as error:
@@ -66,7 +66,11 @@
     token: str,
     timeout_s: float = DEFAULT_TIMEOUT_S,
 ) -> list[NodeAnswer]:
-    """Reads the status of several nodes at once, in their order."""
+    """Reads the status reports of several nodes concurrently.
+
+    Returns:
+        One answer for each address, in the order of the addresses.
+    """
 
     def read(address: Address) -> NodeAnswer:
         found = read_status(address, token, timeout_s)
@@ -74,18 +78,17 @@
             return NodeAnswer(address, None, found.err_value)
         return NodeAnswer(address, found.ok_value, None)
 
-    pool = gevent.pool.Pool(_CONCURRENT_COUNT)
+    pool = gevent.pool.Pool(_CONCURRENT_READS_LIMIT_COUNT)
     return list(pool.map(read, addresses))
 
 
-def _fits_in_a_header(token: str) -> bool:
-    # Sent all the same, a token with a line end would make the client fail
-    # as if the node did not answer, and the operator would look for a node
-    # that is down.
+def _is_valid_in_a_header(token: str) -> bool:
+    # With a line break in the token, the HTTP client would fail as if the node
+    # did not answer, and the operator would look for a node that is down.
     return token.isascii() and (token.isprintable() or not token)
 
 
-def _exchange(
+def _fetch_status(
     address: Address, token: str, timeout_s: float
 ) -> Result[StatusReport, OperatorError]:
     client = HTTPClient(
@@ -98,7 +101,7 @@
         response = client.request(
             "GET", "/status", headers={"authorization": f"Bearer {token}"}
         )
-        body = bytes(response.read(_LIMIT_BYTES))
+        body = bytes(response.read(_BODY_LIMIT_BYTES))
     finally:
         client.close()
     status = response.status_code
--- a/src/mulberrywharf/operators/order_status.py
+++ b/src/mulberrywharf/operators/order_status.py
@@ -1,11 +1,11 @@
-"""Puts an order record into the form that operators read."""
+"""Converts order records to the format shown to operators."""
 
 from mulberrywharf.authority.order_records import OrderRecord
 from mulberrywharf.operators.status import OrderStatus
 
 
 def order_status(record: OrderRecord) -> OrderStatus:
-    """Returns the record as /status and mulberryctl show it."""
+    """Returns an order record as /status and mulberryctl show it."""
     return OrderStatus(
         order_id=record.order_id,
         action=record.action,
--- a/src/mulberrywharf/operators/readiness.py
+++ b/src/mulberrywharf/operators/readiness.py
@@ -1,4 +1,4 @@
-"""Readiness, health and metrics of a process without an admin interface."""
+"""Readiness, health and metrics of a process without an admin listener."""
 
 from collections.abc import Iterable
 
@@ -9,10 +9,10 @@
 
 
 class ReadinessServer:
-    """Answers the platform's balancer and collectors.
+    """Answers the platform's load balancer and metrics collectors.
 
     Attributes:
-        ready: What the balancer is told.
+        ready: Whether ``/ready`` answers that the process is ready.
     """
 
     def __init__(self, ip: str, port: int):
@@ -21,11 +21,11 @@
 
     @property
     def port(self) -> int:
-        """The TCP port that it listens on."""
+        """TCP port that the server listens on."""
         return self._server.port
 
     def start(self) -> None:
-        """Begins to answer; not ready until told so."""
+        """Starts answering; not ready until ``ready`` is set."""
         self._server.start()
 
     def close(self) -> None:
--- a/src/mulberrywharf/operators/server.py
+++ b/src/mulberrywharf/operators/server.py
@@ -1,8 +1,8 @@
 """The admin listener: health, readiness, metrics, status and drain.
 
-Health, readiness and metrics need no token, because the platform's balancer
-and collectors have none; they tell nothing about callers' requests. Status
-and drain need an operator's token.
+Health, readiness and metrics require no token, because the platform's load
+balancer and metrics collectors have none; they reveal nothing about callers'
+requests. Status and drain require an operator's token.
 """
 
 import json
@@ -35,7 +35,7 @@
 
 
 class _Reply(NamedTuple):
-    """An answer before it is written."""
+    """An HTTP response that has not been written yet."""
 
     status: HTTPStatus
     body: bytes
@@ -43,10 +43,10 @@
 
 
 class OperatorsServer:
-    """Listens for operators and the platform.
+    """Answers operators and the platform's load balancer and collectors.
 
     Attributes:
-        ready: What ``/readyz`` tells the balancer.
+        ready: Whether ``/readyz`` answers that the process is ready.
     """
 
     def __init__(
@@ -85,14 +85,14 @@
         *,
         audit: AuditLog | None = None,
     ) -> "OperatorsServer":
-        """Binds the listener; it answers after ``start``.
+        """Binds the listener; call ``start`` to answer requests.
 
         Args:
-            settings: Of the process.
-            status: Builds the body of ``/status``; must not wait.
-            on_drain: Begins a graceful stop, as SIGTERM does. Called once, in
-                a greenlet of its own, however often operators ask.
-            audit: The process's audit trail, shown in ``/status``.
+            settings: Settings of the process.
+            status: Builds the body of ``/status``; must not block.
+            on_drain: Starts a graceful stop, as SIGTERM does. Called once, in
+                its own greenlet, however often operators request it.
+            audit: Audit trail of the process, shown in ``/status``.
         """
         operators = settings["operators"]
         listen = operators["listen"]
@@ -107,19 +107,19 @@
 
     @property
     def port(self) -> int:
-        """The TCP port that it listens on."""
+        """TCP port that the admin listener listens on."""
         return self._server.port
 
     def start(self) -> None:
-        """Begins to answer; not ready until told so."""
+        """Starts answering; not ready until ``set_ready`` is called."""
         self._server.start()
 
     def close(self) -> None:
-        """Stops listening; answers in flight get a moment to end."""
+        """Stops listening; waits up to a second for answers in progress."""
         self._server.stop(timeout=_CLOSE_TIMEOUT_S)
 
     def set_ready(self, ready: bool) -> None:
-        """Sets what ``/readyz`` tells the balancer."""
+        """Sets whether ``/readyz`` answers that the process is ready."""
         self.ready = ready
 
     def _answer(
@@ -128,7 +128,8 @@
         reply = self._reply(environ)
         path = str(environ["PATH_INFO"])
         known = any(path == known for _, known in self._answer_by_path)
-        # Unknown paths share one label: a scanner must not grow the metrics.
+        # Unknown paths share one label, so that a scanner cannot add an
+        # unbounded number of time series.
         label = path if known else "other"
         _requests_total.inc({"path": label, "status": str(int(reply.status))})
         start_response(
@@ -145,7 +146,9 @@
         try:
             answer = self._answer_by_path.get(key)
             if answer is None:
-                raise OperatorRequestError(f"no {key[0]} {key[1]} here")
+                raise OperatorRequestError(
+                    f"the admin listener has no {key[0]} {key[1]}"
+                )
             return answer(environ)
         except NotAuthorisedError as error:
             return _problem(HTTPStatus.UNAUTHORIZED, error)
@@ -184,8 +187,8 @@
                 self._audit.record(
                     DrainBegan("this process", f"asked by {operator}")
                 )
-            # A graceful stop takes as long as its requests; the operator
-            # gets an answer now, and the stop may close this very listener.
+            # A graceful stop lasts until all requests are answered and may
+            # close this listener; the operator's request is answered now.
             gevent.spawn(self._on_drain)
         return _json({"draining": True}, HTTPStatus.ACCEPTED)
 
--- a/src/mulberrywharf/operators/situations.py
+++ b/src/mulberrywharf/operators/situations.py
@@ -1,4 +1,7 @@
-"""Carries the rules' inputs from a controller's status to a dry run."""
+"""Converts the rules' inputs for a controller's status report and back.
+
+mulberryctl evaluates other rules on the inputs in a report as a dry run.
+"""
 
 import math
 
@@ -9,7 +12,7 @@
 
 
 def rule_status(match: Match, config_version: int) -> RuleStatus:
-    """Builds what /status says about the last evaluation."""
+    """Returns the last evaluation of the rules as /status shows it."""
     return RuleStatus(
         rule_name=match.rule_name,
         undecided=match.undecided,
@@ -18,14 +21,14 @@
 
 
 def situation_status(situation: Situation) -> SituationStatus:
-    """Builds what /status says about the inputs; stale ones are None."""
+    """Returns the rules' inputs as /status shows them; stale ones are None."""
     age_s = situation.rates_age_s
     return SituationStatus(
         availability_zone=situation.availability_zone,
         utc_minute=situation.utc_minute,
-        prefill_share=_fresh(situation.prefill_share),
-        queue_delay_s=_fresh(situation.queue_delay_s),
-        engines_lost_count=_fresh(situation.engines_lost_count),
+        prefill_share=_value_if_fresh(situation.prefill_share),
+        queue_delay_s=_value_if_fresh(situation.queue_delay_s),
+        engines_lost_count=_value_if_fresh(situation.engines_lost_count),
         customer_requests_per_s=dict(situation.customer_requests_per_s),
         model_requests_per_s=dict(situation.model_requests_per_s),
         absent_requests_per_s=situation.absent_requests_per_s,
@@ -35,7 +38,10 @@
 
 
 def situation_from_status(status: SituationStatus) -> Situation:
-    """Reads the inputs back, as if they had been taken just now."""
+    """Returns the inputs in a status report.
+
+    Readings that were fresh when the report was made get an age of 0.
+    """
     age_s = status["rates_age_s"]
     return Situation(
         availability_zone=status["availability_zone"],
@@ -51,5 +57,5 @@
     )
 
 
-def _fresh(reading: Reading) -> float | None:
+def _value_if_fresh(reading: Reading) -> float | None:
     return reading.value if reading.age_s <= STALE_AFTER_S else None
--- a/src/mulberrywharf/operators/status.py
+++ b/src/mulberrywharf/operators/status.py
@@ -1,4 +1,4 @@
-"""What a process tells operators about itself: the body of ``GET /status``."""
+"""The status report of a process: the body of ``GET /status``."""
 
 from typing import NotRequired
 
@@ -7,28 +7,30 @@
 
 from mulberrywharf.operators.audit import AuditLine
 
-# Nodes and mulberryctl are replaced one by one. A newer node may say more than
-# an older mulberryctl knows, and the known part must still be readable; a
-# field that is added to a released report must be NotRequired, or a newer
-# mulberryctl would take every older node for one that does not answer.
-_OPEN = pydantic.ConfigDict(extra="ignore")
+# Nodes and mulberryctl are upgraded one by one. An older mulberryctl must be
+# able to read the fields that it knows in the report of a newer node. A field
+# added to a released report must be NotRequired; otherwise a newer mulberryctl
+# would treat every older node as one that does not answer.
+_IGNORE_UNKNOWN_FIELDS = pydantic.ConfigDict(extra="ignore")
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class OrderStatus(TypedDict):
     """The latest order of an engine.
 
     Attributes:
-        order_id: Unique.
-        action: Such as ``set-role``.
-        wanted: What the engine shall be afterwards, such as ``prefill``.
-        phase: How far it is.
-        in_flight: Not settled yet.
-        rule: The rule that it follows from.
+        order_id: Unique ID of the order.
+        action: Ordered action, such as ``set-role``.
+        wanted: Role or model that the engine should have afterwards, such as
+            ``prefill``.
+        phase: Progress of the order.
+        in_flight: Whether the order is not settled yet.
+        rule: Name of the rule that caused the order.
         config_version: Version of the configuration with that rule.
-        fencing_number: Of the lease under which it was recorded.
-        reason: Why it was ordered.
-        recorded_unix_s: When the phase was recorded.
+        fencing_number: Fencing number of the lease under which the order was
+            recorded.
+        reason: Reason for the order.
+        recorded_unix_s: Unix time at which the phase was recorded.
     """
 
     order_id: str
@@ -43,18 +45,18 @@
     recorded_unix_s: float
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class EngineStatus(TypedDict):
     """One engine as this process sees it.
 
     Attributes:
-        engine_id: Its VM.
-        availability_zone: Where it stands.
-        seen_role: The role that it reported, or ``unknown``.
-        seen_state: The state that it reported, or ``unknown``.
-        report_age_s: Age of that report; None when none came yet.
-        wanted_role: What the rules ask for, if they ask for something.
-        order: Its latest order.
+        engine_id: ID of the engine's VM.
+        availability_zone: Zone of that VM.
+        seen_role: Role that the engine reported, or ``unknown``.
+        seen_state: State that the engine reported, or ``unknown``.
+        report_age_s: Age of that report; None if none was received yet.
+        wanted_role: Role that the rules request for the engine, if any.
+        order: Latest order of the engine.
     """
 
     engine_id: str
@@ -66,28 +68,30 @@
     order: NotRequired[OrderStatus | None]
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class PlatformStatus(TypedDict):
-    """How old the process's picture of the platform is.
+    """Age of the data that the process has read from the platform.
 
     Attributes:
-        key_value_age_s: Since the last answer of the key-value service; None
-            when none came yet.
-        vm_list_age_s: Since the last read of the VM list; None likewise.
+        key_value_age_s: Time since the last answer of the key-value service;
+            None if there was none yet.
+        vm_list_age_s: Time since the last read of the VM list; None if there
+            was none yet.
     """
 
     key_value_age_s: float | None
     vm_list_age_s: float | None
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class LeaseStatus(TypedDict):
     """The zone's controller lease as this process sees it.
 
     Attributes:
-        held: This process may give orders.
-        fencing_number: Of the lease it holds, else of the last it held.
-        holder_vm_id: Who holds it, as far as known.
+        held: Whether this process holds the lease and may give orders.
+        fencing_number: Fencing number of the lease that this process holds or
+            last held.
+        holder_vm_id: VM of the lease holder, if known.
     """
 
     held: bool
@@ -95,14 +99,16 @@
     holder_vm_id: NotRequired[str]
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class RuleStatus(TypedDict):
-    """What the rules said at the last evaluation.
+    """The result of the last evaluation of the rules.
 
     Attributes:
-        rule_name: The rule that counts, or ``default``.
-        undecided: It is not known whether it matches; nothing is changed.
-        explanation: Rule, version, inputs and their age, for an operator.
+        rule_name: Name of the rule that applies, or ``default``.
+        undecided: Whether it is unknown if the rule matches; if so, nothing is
+            changed.
+        explanation: Readable text with the rule, the configuration version, the
+            inputs and their age.
     """
 
     rule_name: str
@@ -110,22 +116,24 @@
     explanation: str
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class SituationStatus(TypedDict):
-    """What the rules were evaluated on, for dry runs of other rules.
+    """The inputs of the last evaluation, for dry runs of other rules.
 
     Attributes:
-        availability_zone: The zone that is ruled.
-        utc_minute: Minute of the UTC day.
-        prefill_share: Prefill's share of the work; None when unknown.
-        queue_delay_s: None when unknown.
-        engines_lost_count: None when unknown.
-        customer_requests_per_s: By customer.
-        model_requests_per_s: By model.
-        absent_requests_per_s: Of those absent there; None when unknown.
-        rates_age_s: Age of both kinds of rates; None when unknown.
-        rates_given_up: No condition on them holds, as too few routers have
-            told them for long.
+        availability_zone: Zone that the rules were evaluated for.
+        utc_minute: Minute of the UTC day, 0 to 1439.
+        prefill_share: Share of prefill in the work, 0 to 1; None if unknown.
+        queue_delay_s: Time that requests wait for an engine; None if unknown.
+        engines_lost_count: Engines of the zone that should serve and do not;
+            None if unknown.
+        customer_requests_per_s: Request rates by customer.
+        model_requests_per_s: Request rates by model.
+        absent_requests_per_s: Rate to assume for a customer or model that is
+            not listed; None if unknown.
+        rates_age_s: Age of both kinds of rates; None if unknown.
+        rates_given_up: Whether too few routers have reported rates for so long
+            that no condition on rates holds.
     """
 
     availability_zone: str
@@ -140,23 +148,24 @@
     rates_given_up: NotRequired[bool]
 
 
-@pydantic.with_config(_OPEN)
+@pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class StatusReport(TypedDict):
     """The body of ``GET /status``.
 
     Attributes:
-        vm_id: Name of the entry VM.
-        availability_zone: Where it stands.
+        vm_id: ID of the entry VM.
+        availability_zone: Zone of that VM.
         program: ``router`` or ``controller``.
-        config_version: Version in force in this process; 0 when none is.
-        ready: Whether it takes work.
-        engines: The zone's engines, as it sees them.
-        platform: Age of its picture of the platform.
-        lease: Of controllers.
-        rule: Of controllers.
-        situation: Of controllers; what the rules were evaluated on.
-        counts: Totals that help an operator, by name.
-        audit: Latest changes of state, oldest first; the server adds them.
+        config_version: Version of the configuration that this process uses; 0
+            if it has none.
+        ready: Whether the process accepts work.
+        engines: Engines of the zone, as this process sees them.
+        platform: Age of the data read from the platform.
+        lease: The zone's controller lease; only from controllers.
+        rule: Last evaluation of the rules; only from controllers.
+        situation: Inputs of that evaluation; only from controllers.
+        counts: Further totals for operators, by name.
+        audit: Latest state changes, oldest first; added by the admin listener.
     """
 
     vm_id: str
--- a/src/mulberrywharf/operators/tokens.py
+++ b/src/mulberrywharf/operators/tokens.py
@@ -1,4 +1,4 @@
-"""Who may use the admin listener: bearer tokens, kept only as hashes."""
+"""Bearer tokens for the admin listener, of which only the hashes are kept."""
 
 import hashlib
 import hmac
@@ -9,14 +9,14 @@
 
 
 class Tokens:
-    """The operators' tokens of one process."""
+    """The operators' tokens that one process accepts."""
 
     def __init__(self, operator_by_hash: dict[str, str]):
         self._operator_by_hash = operator_by_hash
 
     @classmethod
     def from_config(cls, settings: OperatorsSettings) -> "Tokens":
-        """Takes the tokens from the settings; none means nobody may."""
+        """Reads the tokens from the settings; without any, none is accepted."""
         return cls(
             {
                 token["token_sha256_hex"]: token["operator"]
@@ -25,19 +25,20 @@
         )
 
     def operator(self, authorization: str) -> str | None:
-        """Returns the operator whose token it is, or None.
+        """Returns the operator to whom a token belongs, or None.
 
         Args:
-            authorization: The request's header, empty when it has none.
+            authorization: Value of the request's ``Authorization`` header,
+                empty if it has none.
         """
         if not authorization.lower().startswith(_SCHEME):
             return None
         token = authorization[len(_SCHEME) :].strip()
-        # A WSGI header is text in Latin-1; this gives the bytes that came.
-        seen = hashlib.sha256(token.encode("latin-1", "replace")).hexdigest()
+        # WSGI decodes headers as Latin-1; encoding restores the sent bytes.
+        digest = hashlib.sha256(token.encode("latin-1", "replace")).hexdigest()
         found = None
-        # Every hash is compared, so that the time tells nothing.
+        # Compares every hash, so that the duration reveals nothing.
         for expected, operator in self._operator_by_hash.items():
-            if hmac.compare_digest(seen, expected):
+            if hmac.compare_digest(digest, expected):
                 found = operator
         return found
--- a/tests/builders_operators.py
+++ b/tests/builders_operators.py
@@ -1,4 +1,4 @@
-"""Test data around the admin listener and mulberryctl."""
+"""Test data for the admin listener and mulberryctl."""
 
 import hashlib
 import io
@@ -14,7 +14,7 @@
 
 
 def operators_settings(token: str = TOKEN) -> Any:
-    """Builds the part of a node's settings that the listener reads."""
+    """Builds the part of a node's settings that the admin listener reads."""
     token_hash = hashlib.sha256(token.encode()).hexdigest()
     return {
         "operators": {
@@ -53,7 +53,7 @@
 
 
 def start_node(report: Callable[[], StatusReport]) -> OperatorsServer:
-    """Starts the admin listener of a node that reports what is given."""
+    """Starts the admin listener of a node with the given status report."""
     server = OperatorsServer.from_config(
         operators_settings(), report, lambda: None
     )
@@ -62,14 +62,14 @@
 
 
 class CtlRun(NamedTuple):
-    """One run of mulberryctl."""
+    """Exit code and output of one run of mulberryctl."""
 
     exit_code: int
     stdout: str
     stderr: str
 
     def value(self) -> Any:
-        """Returns what --output json printed."""
+        """Parses the output of ``--output json``."""
         return json.loads(self.stdout)
 
 
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -1,4 +1,4 @@
-"""Plain services: one exchange, own answer, and the choice of server."""
+"""Client of the backend servers, and the choice of a server."""
 
 import random
 import unittest
@@ -28,7 +28,7 @@
 
 
 class ExchangeTest(ClientCase):
-    def test_answer_passes_through(self) -> None:
+    def test_answer_is_passed_through(self) -> None:
         body = b"0123456789" * 10_000
         head = (
             b"set-cookie: a=1\r\nset-cookie: b=2\r\n"
@@ -44,7 +44,7 @@
         self.assertEqual(names.count("set-cookie"), 2)
         self.assertNotIn("keep-alive", names)
 
-    def test_only_end_to_end_fields_go_along(self) -> None:
+    def test_only_end_to_end_fields_are_sent(self) -> None:
         server = self.serve(lambda s, r: s.sendall(build.plain_answer(b"")))
         list(self.send(server.address).unwrap().body())
         head = server.requests[0]
@@ -52,12 +52,12 @@
         for name in (b"connection", b"x-hop", b"te"):
             self.assertEqual(build.header(head, name), b"")
 
-    def test_failures_and_their_outcomes(self) -> None:
+    def test_failed_answers_have_an_unknown_outcome(self) -> None:
         other = b"x-request-id: other\r\n"
         unframed = b"HTTP/1.1 200 OK\r\n\r\npart"
         cases: dict[str, tuple[bytes, type[errors.EngineError]]] = {
             "no answer": (b"", errors.AnswerLostError),
-            "crossed answer": (
+            "answer with another ID": (
                 build.plain_answer(b"x", headers=other),
                 errors.ForeignAnswerError,
             ),
@@ -76,11 +76,11 @@
                 self.assertEqual(error.outcome, "unknown")
                 self.assertEqual(len(server.requests), 1)
 
-    def test_gone_before_connect_is_not_run(self) -> None:
+    def test_failed_connect_has_the_outcome_not_run(self) -> None:
         error = self.send(build.closed_address()).unwrap_err()
         self.assertEqual(error.outcome, "not-run")
 
-    def test_a_cut_body_is_an_error_and_not_an_end(self) -> None:
+    def test_a_truncated_body_is_an_error(self) -> None:
         answer = build.plain_answer(b"x" * 100)[:-1]
 
         def script(sock: Any, request: bytes) -> None:
@@ -93,11 +93,10 @@
 
 
 class FreshConnectionTest(ClientCase):
-    """A payment's fate is unknown because an idle connection closed.
+    """Guards against unknown outcomes caused by closing idle connections.
 
-    Symptom: presses of a payment page end as ``unknown`` although nothing is
-    down. Sequence: the server closes an idle connection while a request is
-    being written to it. Cause: a non-idempotent request on a used connection.
+    If a payment were sent on an idle connection that the server closes at the
+    same time, its outcome would be ``unknown`` although nothing is down.
     """
 
     def test_only_idempotent_requests_use_idle_connections(self) -> None:
@@ -110,7 +109,7 @@
                     list(sent.unwrap().body())
                 self.assertEqual(server.connection_count, connection_count)
 
-    def test_an_answer_left_unread_closes_its_connection(self) -> None:
+    def test_an_unread_answer_closes_its_connection(self) -> None:
         answer = build.plain_answer(b"x" * 200_000)
         server = self.serve(lambda s, r: s.sendall(answer))
         for _ in range(2):
@@ -130,32 +129,32 @@
             "nave-cartago", random.Random(1)
         )
 
-    def chosen(self, count: int, now_s: float = 0.0) -> list[str]:
+    def chosen_ids(self, count: int, now_s: float = 0.0) -> list[str]:
         return [
             self.directory.choose("help", now_s).unwrap().vm_id
             for _ in range(count)
         ]
 
-    def test_goes_round_the_own_zone(self) -> None:
+    def test_round_robin_within_the_own_zone(self) -> None:
         self.directory.set_vms(
             [_server("a"), _server("b"), _server("c", "nave-heredia")]
         )
-        self.assertEqual(sorted(self.chosen(4)), ["a", "a", "b", "b"])
+        self.assertEqual(sorted(self.chosen_ids(4)), ["a", "a", "b", "b"])
 
     def test_leaving_servers_get_no_new_work(self) -> None:
         self.directory.set_vms([_server("a"), _server("b", state="leaving")])
-        self.assertEqual(set(self.chosen(4)), {"a"})
+        self.assertEqual(set(self.chosen_ids(4)), {"a"})
 
-    def test_a_failed_server_goes_last_for_a_while(self) -> None:
+    def test_a_failed_server_is_chosen_last_for_some_time(self) -> None:
         self.directory.set_vms([_server("a"), _server("c", "nave-heredia")])
         self.directory.failed("a", 0.0)
-        self.assertEqual(self.chosen(1, 1.0), ["c"])
-        self.assertEqual(self.chosen(1, 60.0), ["a"])
+        self.assertEqual(self.chosen_ids(1, 1.0), ["c"])
+        self.assertEqual(self.chosen_ids(1, 60.0), ["a"])
         self.directory.failed("c", 60.0)
         self.directory.failed("a", 60.0)
-        self.assertEqual(self.chosen(1, 61.0), ["a"])
+        self.assertEqual(self.chosen_ids(1, 61.0), ["a"])
 
-    def test_nobody_left_and_nobody_known(self) -> None:
+    def test_no_server_left_and_unknown_service_are_errors(self) -> None:
         self.directory.set_vms([_server("a")])
         excluded = frozenset(["a"])
         none_left = self.directory.choose("help", 0.0, excluded).unwrap_err()
--- a/tests/test_operators_server.py
+++ b/tests/test_operators_server.py
@@ -1,4 +1,4 @@
-"""The admin listener: who gets what, readiness, drain and audit."""
+"""The admin listener: authorization, readiness, drain and audit trail."""
 
 import json
 import unittest
@@ -13,7 +13,7 @@
 from mulberrywharf.operators.status import ADAPTER
 from tests import builders_operators as build
 
-GUARD_S = 10
+TIMEOUT_S = 10
 
 
 def setUpModule():
@@ -41,15 +41,14 @@
         self.drained_count += 1
         self.drained.set()
 
-    def ask(self, method, path, token=None):
+    def send(self, method, path, token=None):
         headers = {}
         if token is not None:
             headers["authorization"] = f"Bearer {token}"
         response = self.client.request(method, path, headers=headers)
         return response.status_code, bytes(response.read())
 
-    def test_who_gets_what(self):
-
+    def test_status_codes_by_path_and_token(self):
         cases = [
             ("GET", "/healthz", None, 200),
             ("GET", "/readyz", None, 503),
@@ -65,7 +64,7 @@
         ]
         for method, path, token, expected in cases:
             with self.subTest(method=method, path=path, token=token):
-                status, body = self.ask(method, path, token)
+                status, body = self.send(method, path, token)
                 self.assertEqual(status, expected)
                 if status in (401, 404):
                     problem = json.loads(body)
@@ -78,7 +77,7 @@
             self.audit.record(
                 audit.ConfigurationInForce(version, "ana", f"c{version}")
             )
-        status, body = self.ask("GET", "/status", build.TOKEN)
+        status, body = self.send("GET", "/status", build.TOKEN)
         self.assertEqual(status, 200)
         report = ADAPTER.validate_json(body)
         self.assertEqual(report["config_version"], 3)
@@ -87,15 +86,15 @@
             ["version 2", "version 3", "version 4"],
         )
 
-    def test_readiness_follows(self):
+    def test_readyz_follows_set_ready(self):
         for ready, expected in ((True, 200), (False, 503)):
             self.server.set_ready(ready)
-            self.assertEqual(self.ask("GET", "/readyz")[0], expected)
+            self.assertEqual(self.send("GET", "/readyz")[0], expected)
 
-    def test_drain_begins_once(self):
+    def test_drain_is_started_only_once(self):
         for _ in range(3):
-            self.assertEqual(self.ask("POST", "/drain", build.TOKEN)[0], 202)
-        self.assertTrue(self.drained.wait(GUARD_S))
+            self.assertEqual(self.send("POST", "/drain", build.TOKEN)[0], 202)
+        self.assertTrue(self.drained.wait(TIMEOUT_S))
         self.assertEqual(self.drained_count, 1)
         lines = self.audit.lines()
         self.assertEqual([line["kind"] for line in lines], ["drain"])
@@ -103,7 +102,7 @@
 
 
 class AuditLogTest(unittest.TestCase):
-    def test_every_event_has_a_line(self):
+    def test_every_event_is_recorded(self):
         events = [
             audit.ConfigurationInForce(7, "ana", "c7"),
             audit.OrderChanged("e1", "o1", "set-role", "sent", 4, "rule x"),
--- a/tests/test_passthrough.py
+++ b/tests/test_passthrough.py
@@ -43,7 +43,7 @@
         self.assertEqual(call.caller.body, b"who")
         caller_request_id = call.headers[passthrough.CALLER_REQUEST_ID_HEADER]
         self.assertEqual(caller_request_id, "r9")
-        # The client of the backend servers sets the ID of the run.
+        # The client of the backend servers sets it to the run ID.
         self.assertNotIn("x-request-id", call.headers)
 
     def test_hop_by_hop_and_internal_fields_are_removed(self) -> None:
