--- a/src/mulberrywharf/backend_servers/client.py
+++ b/src/mulberrywharf/backend_servers/client.py
@@ -88,7 +88,8 @@
             limit_bytes: Maximum size of the body.
 
         Returns:
-            The body, or an ``AnswerTooLargeError`` if it is larger.
+            The body, or an error, such as ``AnswerTooLargeError`` if it is
+            larger.
         """
         try:
             return self._exchange.read_all(self._timeout_s, limit_bytes)
--- a/src/mulberrywharf/operators/audit.py
+++ b/src/mulberrywharf/operators/audit.py
@@ -64,21 +64,21 @@
 
 
 class DrainBegan(NamedTuple):
-    """A process or an engine gets no new work any more."""
+    """A process or an engine gets no new work from now on."""
 
     subject: str
     reason: str
 
 
 class LeaseTaken(NamedTuple):
-    """This process acquired a lease and now has the authority tied to it."""
+    """This process acquired a lease and may now act as its holder."""
 
     lease: str
     fencing_number: int
 
 
 class LeaseLost(NamedTuple):
-    """This process lost a lease and the authority tied to it."""
+    """This process lost a lease and must no longer act as its holder."""
 
     lease: str
     fencing_number: int
--- a/src/mulberrywharf/operators/client.py
+++ b/src/mulberrywharf/operators/client.py
@@ -16,7 +16,7 @@
     OperatorError,
 )
 from mulberrywharf.fleet import Address
-from mulberrywharf.operators.status import ADAPTER, StatusReport
+from mulberrywharf.operators.status import REPORT_ADAPTER, StatusReport
 
 DEFAULT_TIMEOUT_S = 3.0
 
@@ -110,7 +110,7 @@
     if status != 200:
         return Err(AdminListenerError(f"{address} answered {status}"))
     try:
-        return Ok(ADAPTER.validate_json(body))
+        return Ok(REPORT_ADAPTER.validate_json(body))
     except pydantic.ValidationError as error:
         found = error.errors()[0]
         where = ".".join(map(str, found["loc"]))
--- a/src/mulberrywharf/operators/status.py
+++ b/src/mulberrywharf/operators/status.py
@@ -182,4 +182,6 @@
     audit: NotRequired[list[AuditLine]]
 
 
-ADAPTER: pydantic.TypeAdapter[StatusReport] = pydantic.TypeAdapter(StatusReport)
+REPORT_ADAPTER: pydantic.TypeAdapter[StatusReport] = pydantic.TypeAdapter(
+    StatusReport
+)
--- a/tests/test_caller_request.py
+++ b/tests/test_caller_request.py
@@ -237,12 +237,14 @@
 
     @hypothesis.settings(max_examples=60, deadline=None)
     @hypothesis.given(strategies.binary(max_size=300))
-    def test_any_bytes_get_a_problem_document(self, data: bytes) -> None:
+    def test_any_bytes_get_a_valid_response(self, data: bytes) -> None:
         self.check_response(self.send(data))
 
     @hypothesis.settings(max_examples=60, deadline=None)
     @hypothesis.given(strategies.binary(max_size=100), strategies.binary())
-    def test_any_header_and_body(self, header: bytes, body: bytes) -> None:
+    def test_any_header_and_body_get_a_valid_response(
+        self, header: bytes, body: bytes
+    ) -> None:
         data = fixture.request_bytes("POST", _COMPLETIONS, body, header)
         self.check_response(self.send(data))
 
@@ -268,7 +270,9 @@
             ),
         )
     )
-    def test_any_json(self, body: dict[str, object]) -> None:
+    def test_any_json_gets_a_valid_response(
+        self, body: dict[str, object]
+    ) -> None:
         for path in (_COMPLETIONS, "/v1/chat/completions"):
             data = json.dumps(body).encode()
             self.check_response(
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -147,8 +147,9 @@
     def test_generation_is_cancelled_when_the_caller_disconnects(self) -> None:
         """Guards against engines that generate for disconnected callers.
 
-        Before the first token the router has nothing to write, so a write
-        can't show that the caller closed its connection.
+        Before the first token the router has nothing to write, so no write
+        shows that the caller closed its connection; the engine would stay busy
+        while other callers wait.
         """
         begun = gevent.event.Event()
 
--- a/tests/test_operators_server.py
+++ b/tests/test_operators_server.py
@@ -10,7 +10,7 @@
 from mulberrywharf.clock import SystemClock
 from mulberrywharf.operators import audit
 from mulberrywharf.operators.server import OperatorsServer
-from mulberrywharf.operators.status import ADAPTER
+from mulberrywharf.operators.status import REPORT_ADAPTER
 from tests import builders_operators as build
 
 TIMEOUT_S = 10
@@ -79,7 +79,7 @@
             )
         status, body = self.send("GET", "/status", build.TOKEN)
         self.assertEqual(status, 200)
-        report = ADAPTER.validate_json(body)
+        report = REPORT_ADAPTER.validate_json(body)
         self.assertEqual(report["config_version"], 3)
         self.assertEqual(
             [line["subject"] for line in report["audit"]],
