--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -151,22 +151,22 @@
         shows that the caller closed its connection; the engine would stay busy
         while other callers wait.
         """
-        begun = gevent.event.Event()
+        started = gevent.event.Event()
 
         def silent() -> _Batches:
-            begun.set()
+            started.set()
             gevent.event.Event().wait()
             yield fixture.batch("", 0)
 
         for stream in (True, False):
             with self.subTest(stream=stream):
-                begun.clear()
+                started.clear()
                 self.serve(silent)
                 sock = fixture.connect(self.server.port)
                 sock.sendall(
                     self.completion_request(_COMPLETIONS, stream=stream)
                 )
-                self.assertTrue(begun.wait(_WAIT_S))
+                self.assertTrue(started.wait(_WAIT_S))
                 sock.close()
                 self.wait_closed()
 
