--- a/src/mulberrywharf/platform_service/call_budget.py
+++ b/src/mulberrywharf/platform_service/call_budget.py
@@ -1,8 +1,9 @@
-"""Budgets of calls to the platform, one token bucket for each purpose.
+"""Budgets of calls to the platform, with one token bucket for each purpose.
 
-The service bills each call and limits its rate for the whole deployment. A
-fault in one part of a process, such as a loop that retries at once, must not
-use up the calls that renew a lease: each purpose has a bucket of its own.
+The service bills each call and limits the call rate of the whole deployment. A
+fault in one part of a process, such as a loop that retries without a delay,
+must not use up the calls that renew a lease. So each purpose has its own
+bucket.
 """
 
 from collections.abc import Mapping
@@ -10,11 +11,12 @@
 
 
 class CallBudget(NamedTuple):
-    """How many calls one process may send for one purpose.
+    """Rate limit of one process's calls for one purpose.
 
     Attributes:
-        per_s: Long-run rate.
-        burst_count: Calls that may be sent at once after a quiet time.
+        per_s: Sustained rate in calls per second.
+        burst_count: Capacity of the bucket: the number of calls that may be
+            sent at once when it is full.
     """
 
     per_s: float
@@ -22,11 +24,11 @@
 
 
 DEFAULT_BUDGET = CallBudget(per_s=20.0, burst_count=40)
-"""For a purpose that names none."""
+"""Budget of a purpose that has none of its own."""
 
 
 class TokenBucket:
-    """Counts the calls that may still be sent."""
+    """Token bucket in which each token allows one call."""
 
     def __init__(self, budget: CallBudget, now_s: float):
         self._budget = budget
@@ -34,7 +36,7 @@
         self._filled_s = now_s
 
     def take(self, now_s: float) -> bool:
-        """Takes one call out of the bucket; False if none is left."""
+        """Takes one token; returns False if the bucket is empty."""
         elapsed_s = max(0.0, now_s - self._filled_s)
         self._filled_s = now_s
         self._tokens = min(
@@ -48,14 +50,14 @@
 
 
 class PurposeBudgets:
-    """The buckets of one process."""
+    """Token buckets of one process, by purpose."""
 
     def __init__(self, budgets: Mapping[str, CallBudget] | None = None):
         self._budgets = dict(budgets or {})
         self._buckets: dict[str, TokenBucket] = {}
 
     def take(self, purpose: str, now_s: float) -> bool:
-        """Takes one call for the purpose; False if its budget is spent."""
+        """Takes one token; returns False if the purpose's budget is spent."""
         bucket = self._buckets.get(purpose)
         if bucket is None:
             budget = self._budgets.get(purpose, DEFAULT_BUDGET)
--- a/src/mulberrywharf/platform_service/dialect.py
+++ b/src/mulberrywharf/platform_service/dialect.py
@@ -1,8 +1,9 @@
-"""How a key-value service is read and watched, whatever it speaks.
+"""Operations of the key-value client that depend on the service's protocol.
 
-The client asks through functions that vary with the dialect's type; what
-they return is typed and the same for all. ``EtcdGateway`` is the built-in
-dialect; an adapter registers another.
+A dialect is the protocol of one kind of key-value service. The functions here
+dispatch on the type of their first argument, the dialect, and return the same
+types for every dialect. ``EtcdGateway`` is the built-in dialect; adapters
+register others.
 """
 
 from collections.abc import Callable
@@ -21,60 +22,62 @@
 )
 
 Reading = tuple[list[KeyValue], ServiceState]
-"""Every key under a prefix, and where the service stood then."""
+"""All keys under a prefix, and the state of the service at that time."""
 
 
 class WatchMessage(NamedTuple):
-    """What one message of a watch brings.
+    """One message of a watch.
 
     Attributes:
-        events: Changes in the order of revisions.
-        state: Where the service stood.
-        is_start: Whether it only confirms the watch; its state then says
-            nothing about what the watch has seen.
-        is_canceled: Whether the history that the watch missed is dropped.
+        events: Changes, ordered by revision.
+        state: State of the service when it sent the message.
+        is_confirmation: Whether the message only confirms that the watch was
+            opened. Changes up to the revision in ``state`` may then still be
+            missing.
+        is_canceled: Whether the service no longer has the changes that the
+            watch missed.
     """
 
     events: tuple[WatchEvent, ...]
     state: ServiceState
-    is_start: bool = False
+    is_confirmation: bool = False
     is_canceled: bool = False
 
 
 class WatchStream(Protocol):
-    """The messages of one watch."""
+    """Message stream of one watch."""
 
     def read(self) -> WatchMessage | None:
-        """Waits for the next message; None at the end of the stream.
+        """Waits for the next message; returns None at the end of the stream.
 
         Raises:
-            OSError: The connection broke or was silent for too long.
-            HTTPParseError: The answer is not HTTP.
+            OSError: The connection broke, or no data arrived in time.
+            HTTPParseError: The response is not valid HTTP.
             ValueError: The message is malformed.
         """
         ...
 
     @property
     def is_busy(self) -> bool:
-        """Whether a message comes just now, or is about to be asked for."""
+        """Whether a message is being received or is about to be requested."""
         ...
 
     def close(self) -> None:
-        """Ends the watch at the service."""
+        """Ends the watch."""
         ...
 
 
 class WatchRequest(NamedTuple):
-    """A watch to be opened.
+    """Parameters for opening a watch.
 
     Attributes:
-        prefix: Beginning of the keys.
-        known_revision: The last revision that was seen.
-        known_cluster_id: The service that it was seen at.
-        attempt: Chooses the endpoint.
-        silence_s: Returns after how long without a byte a read fails.
-        purpose: Whose budget pays.
-        after_failure: Whether the last attempt brought nothing.
+        prefix: Prefix of the keys.
+        known_revision: Last revision that the watch has seen.
+        known_cluster_id: Cluster id of the service at that revision.
+        attempt: Number of the attempt; selects the endpoint.
+        silence_s: Returns the timeout of a read without data, in seconds.
+        purpose: Call budget that is charged.
+        after_failure: Whether the previous attempt received no message.
     """
 
     prefix: str
@@ -88,9 +91,9 @@
 
 @singledispatch
 def era_header(dialect: Any) -> str | None:
-    """Returns the field of an answer's head that tells the service's era.
+    """Returns the response header that holds the era of the service.
 
-    None for a service that tells its history in another way, or none.
+    Returns None if the service does not report its era in a header.
     """
     return None
 
@@ -99,24 +102,25 @@
 def read_prefix(
     dialect: Any, calls: gateway.Gateway, prefix: str, purpose: str
 ) -> Result[Reading, errors.PlatformError]:
-    """Reads every key that begins with ``prefix``.
+    """Reads all keys with a prefix.
 
     Args:
-        dialect: What the service speaks.
-        calls: Its endpoints.
-        prefix: Beginning of the keys.
-        purpose: Whose budget pays.
+        dialect: Dialect of the service.
+        calls: Endpoints of the service.
+        prefix: Prefix of the keys.
+        purpose: Call budget that is charged.
     """
-    raise TypeError(f"no reading in the dialect {dialect!r}")
+    raise TypeError(f"dialect {dialect!r} does not implement read_prefix")
 
 
 @singledispatch
 def read_stale(
     dialect: Any, calls: gateway.Gateway, prefix: str, purpose: str
 ) -> Result[Reading, errors.PlatformError]:
-    """Reads a prefix as it was some seconds ago, where that costs less.
+    """Reads all keys with a prefix, possibly some seconds out of date.
 
-    A service without such reads answers with the present.
+    This costs less than ``read_prefix`` at services that offer stale reads;
+    other services return the current keys.
     """
     return read_prefix(dialect, calls, prefix, purpose)
 
@@ -125,22 +129,22 @@
 def read_key(
     dialect: Any, calls: gateway.Gateway, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
-    """Reads one key; ``Ok(None)`` if it does not exist."""
-    raise TypeError(f"no reading in the dialect {dialect!r}")
+    """Reads one key; returns ``Ok(None)`` if it does not exist."""
+    raise TypeError(f"dialect {dialect!r} does not implement read_key")
 
 
 @singledispatch
 def open_watch(
-    dialect: Any, calls: gateway.Gateway, wanted: WatchRequest
+    dialect: Any, calls: gateway.Gateway, request: WatchRequest
 ) -> Result[WatchStream, errors.PlatformError]:
     """Opens a watch.
 
     Args:
-        dialect: What the service speaks.
-        calls: Its endpoints.
-        wanted: What to watch.
+        dialect: Dialect of the service.
+        calls: Endpoints of the service.
+        request: Parameters of the watch.
     """
-    raise TypeError(f"no watch in the dialect {dialect!r}")
+    raise TypeError(f"dialect {dialect!r} does not implement open_watch")
 
 
 @singledispatch
@@ -166,23 +170,23 @@
         The changes, and the state of the service at some time after the call
         began. ``HistoryGoneError`` if the changes are no longer available.
     """
-    return read_prefix(dialect, calls, prefix, purpose).map(_reading_as_changes)
+    return read_prefix(dialect, calls, prefix, purpose).map(_as_changes)
 
 
-def _reading_as_changes(reading: Reading) -> WatchMessage:
+def _as_changes(reading: Reading) -> WatchMessage:
     found, state = reading
     return WatchMessage(tuple(WatchEvent("put", kv) for kv in found), state)
 
 
 class KeyWrite(NamedTuple):
-    """A key to be written, or deleted, if all guards are as expected.
+    """A conditional write or deletion of one key.
 
     Attributes:
         key: The key.
-        value: Its new value, None to delete it.
-        guards: Keys and their revisions that must hold; 0 for absent.
-        lease_id: The key goes when this lease lapses; 0 for none.
-        purpose: Whose budget pays.
+        value: New value, or None to delete the key.
+        guards: Conditions; nothing is written unless all of them hold.
+        lease_id: Lease whose expiry deletes the key; 0 for none.
+        purpose: Call budget that is charged.
     """
 
     key: str
@@ -194,44 +198,54 @@
 
 @singledispatch
 def write_key(
-    dialect: Any, calls: gateway.Gateway, wanted: KeyWrite
+    dialect: Any, calls: gateway.Gateway, write: KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
-    """Writes or deletes a key and returns it as it is then.
-
-    The ``create_revision`` is 0 where a service doesn't tell that of a key
-    which existed before.
+    """Writes or deletes a key if all guards hold.
 
     Args:
-        dialect: What the service speaks.
-        calls: Its endpoints.
-        wanted: What to write; a guard that does not hold is a
-            ``RevisionConflictError``.
+        dialect: Dialect of the service.
+        calls: Endpoints of the service.
+        write: The write or deletion.
+
+    Returns:
+        The key after the write. Its ``create_revision`` is 0 if the key
+        existed before and the service does not report it.
+        ``RevisionConflictError`` if a guard does not hold.
     """
-    raise TypeError(f"no write in the dialect {dialect!r}")
+    raise TypeError(f"dialect {dialect!r} does not implement write_key")
 
 
 @singledispatch
 def grant_lease(
     dialect: Any, calls: gateway.Gateway, ttl_s: float, purpose: str
 ) -> Result[int, errors.PlatformError]:
-    """Asks for a lease of at least the length and returns its id."""
-    raise TypeError(f"no leases in the dialect {dialect!r}")
+    """Requests a lease and returns its id.
+
+    Args:
+        dialect: Dialect of the service.
+        calls: Endpoints of the service.
+        ttl_s: Length of the lease in seconds.
+        purpose: Call budget that is charged.
+    """
+    raise TypeError(f"dialect {dialect!r} does not implement grant_lease")
 
 
 @singledispatch
 def keep_alive(
     dialect: Any, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[float, errors.PlatformError]:
-    """Renews a lease and returns its new length in seconds.
+    """Renews a lease.
 
-    A lease that has lapsed is an ``AuthorityLostError``.
+    Returns:
+        The new time to live in seconds; ``AuthorityLostError`` if the lease
+        has expired.
     """
-    raise TypeError(f"no leases in the dialect {dialect!r}")
+    raise TypeError(f"dialect {dialect!r} does not implement keep_alive")
 
 
 @singledispatch
 def revoke(
     dialect: Any, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[None, errors.PlatformError]:
-    """Ends a lease; the service deletes its keys at once."""
-    raise TypeError(f"no leases in the dialect {dialect!r}")
+    """Revokes a lease; the service deletes its keys at once."""
+    raise TypeError(f"dialect {dialect!r} does not implement revoke")
--- a/src/mulberrywharf/platform_service/era.py
+++ b/src/mulberrywharf/platform_service/era.py
@@ -1,9 +1,9 @@
-"""Which history of the key-value service an answer belongs to.
+"""Detects restores of the key-value service by the era in its responses.
 
-A service that comes back from an older copy loses what it has acknowledged
-since, and gives the same revisions out again: by revisions alone a node would
-go on in a history that it never saw. Where the service tells an era, which
-rises each time, each answer shows it.
+A service that is restored from an older copy loses the writes that it
+acknowledged since, and assigns the same revisions again. A node that compares
+only revisions would not notice and would miss changes. A service may therefore
+send an era with each response, a number that increases with each restore.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from mulberrywharf import metrics
 
 NO_ERA = 0
-"""Of a service that tells none, and never goes back."""
+"""Era of a service that sends none; it is assumed never to be restored."""
 
 _restores = metrics.counter(
     "mulberry_store_restores_total",
@@ -25,7 +25,7 @@
     """The newest era that this process has seen.
 
     Attributes:
-        current: The era.
+        current: The newest era, or ``NO_ERA``.
     """
 
     def __init__(self) -> None:
@@ -35,44 +35,46 @@
         self._warned: set[str] = set()
 
     def on_restored(self, callback: Callable[[], None]) -> None:
-        """Calls back once for each later era, as soon as an answer shows it."""
+        """Registers a callback that runs once for each newer era seen."""
         self._callbacks.append(callback)
 
-    def forget(self, callback: Callable[[], None]) -> None:
-        """Takes a callback back; one that is not known is no failure."""
+    def remove_callback(self, callback: Callable[[], None]) -> None:
+        """Removes a callback; it is no error if it is not registered."""
         if callback in self._callbacks:
             self._callbacks.remove(callback)
 
-    def note(self, told: str | None) -> bool:
-        """Takes in what an answer tells.
+    def observe(self, era_text: str | None) -> bool:
+        """Processes the era in a response and detects restores.
 
         Args:
-            told: Its era, None if it tells none.
+            era_text: Value of the era header, None if it is absent.
 
         Returns:
-            Whether the answer is of the newest era. One that tells none, or
-            nothing that can be read, is taken for it.
+            False if the response is from an older era. A response with no era
+            or a malformed one counts as current.
         """
         is_first, self._is_first = self._is_first, False
-        if told is None:
+        if era_text is None:
             if self.current != NO_ERA:
                 self._warn_once("missing", "an answer tells no era")
             return True
-        if not (told.isascii() and told.isdecimal()):
-            self._warn_once("unreadable", f"an answer tells the era {told!r}")
+        if not (era_text.isascii() and era_text.isdecimal()):
+            self._warn_once(
+                "unreadable", f"an answer tells the era {era_text!r}"
+            )
             return True
-        era = int(told)
+        era = int(era_text)
         if era < self.current:
             self._warn_once("older", f"an answer is of era {era}, now past")
             return False
         if is_first:
-            # No restore: nothing was known before.
+            # The first response is no restore, as no era was known before.
             self.current = era
         elif era > self.current:
-            self._begin(era)
+            self._advance_to(era)
         return True
 
-    def _begin(self, era: int) -> None:
+    def _advance_to(self, era: int) -> None:
         before, self.current = self.current, era
         self._warned.discard("older")
         _restores.inc({})
--- a/src/mulberrywharf/platform_service/etcd.py
+++ b/src/mulberrywharf/platform_service/etcd.py
@@ -14,8 +14,8 @@
     WatchEvent,
     decode_header,
     decode_key_value,
-    encode,
-    prefix_end,
+    encode_key,
+    encode_prefix_end,
 )
 
 
@@ -25,9 +25,9 @@
 
 @dialect.read_prefix.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, prefix: str, purpose: str
+    _dialect: EtcdGateway, calls: gateway.Gateway, prefix: str, purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
-    body = {"key": encode(prefix), "range_end": prefix_end(prefix)}
+    body = {"key": encode_key(prefix), "range_end": encode_prefix_end(prefix)}
     call = gateway.Call("/v3/kv/range", body, "range", purpose, False)
     return calls.send(call).map(
         lambda answer: (
@@ -39,10 +39,10 @@
 
 @dialect.read_key.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, key: str, purpose: str
+    _dialect: EtcdGateway, calls: gateway.Gateway, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
     call = gateway.Call(
-        "/v3/kv/range", {"key": encode(key)}, "range", purpose, False
+        "/v3/kv/range", {"key": encode_key(key)}, "range", purpose, False
     )
     return calls.send(call).map(_first_key)
 
@@ -54,28 +54,28 @@
 
 @dialect.open_watch.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, wanted: dialect.WatchRequest
+    _dialect: EtcdGateway, calls: gateway.Gateway, request: dialect.WatchRequest
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
-    request = {
-        "key": encode(wanted.prefix),
-        "range_end": prefix_end(wanted.prefix),
-        "start_revision": str(wanted.known_revision + 1),
+    create_request = {
+        "key": encode_key(request.prefix),
+        "range_end": encode_prefix_end(request.prefix),
+        "start_revision": str(request.known_revision + 1),
         "progress_notify": True,
     }
     opened = calls.open_stream(
         "/v3/watch",
-        {"create_request": request},
-        attempt=wanted.attempt,
-        silence_s=wanted.silence_s(),
-        purpose=wanted.purpose,
+        {"create_request": create_request},
+        attempt=request.attempt,
+        silence_s=request.silence_s(),
+        purpose=request.purpose,
     )
     if isinstance(opened, Err):
         return opened
-    return Ok(_EtcdStream(opened.ok_value))
+    return Ok(_EtcdWatchStream(opened.ok_value))
 
 
-class _EtcdStream:
-    """One watch as the gateway streams it, a JSON object a line."""
+class _EtcdWatchStream:
+    """Message stream of one watch, with one JSON object per line."""
 
     def __init__(self, lines: http_calls.LineStream):
         self._lines = lines
@@ -90,7 +90,7 @@
 
     @property
     def is_busy(self) -> bool:
-        # Messages are lines of one answer that never ends.
+        # All messages arrive in one response that never ends.
         return False
 
     def close(self) -> None:
@@ -101,13 +101,13 @@
     return dialect.WatchMessage(
         tuple(_decode_event(event) for event in result.get("events", [])),
         decode_header(result),
-        is_start=bool(result.get("created")),
+        is_confirmation=bool(result.get("created")),
         is_canceled=bool(result.get("canceled")),
     )
 
 
 def _decode_event(event: dict[str, Any]) -> WatchEvent:
-    # The JSON gateway leaves out the default, which is PUT.
+    # The JSON gateway omits default values; the default type is PUT.
     kind = event.get("type", "PUT")
     return WatchEvent(
         "delete" if kind == "DELETE" else "put", decode_key_value(event["kv"])
@@ -116,43 +116,43 @@
 
 @dialect.write_key.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, wanted: dialect.KeyWrite
+    _dialect: EtcdGateway, calls: gateway.Gateway, write: dialect.KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
-    operations = [_operation(wanted), _revisions_of(wanted.key)]
+    operations = [_write_operation(write), _revision_read(write.key)]
     body = {
-        "compare": [_comparison(guard) for guard in wanted.guards],
+        "compare": [_compare_clause(guard) for guard in write.guards],
         "success": operations,
-        "failure": [_revisions_of(guard.key) for guard in wanted.guards],
+        "failure": [_revision_read(guard.key) for guard in write.guards],
     }
-    call = gateway.Call("/v3/kv/txn", body, "txn", wanted.purpose, True)
+    call = gateway.Call("/v3/kv/txn", body, "txn", write.purpose, True)
     sent = calls.send(call)
     if isinstance(sent, Err):
         return sent
     answer = sent.ok_value
     if answer.get("succeeded"):
-        return Ok(_as_written(wanted, answer))
-    changed = _changed_key(wanted.guards, answer)
+        return Ok(_written_key(write, answer))
+    changed = _conflicting_key(write.guards, answer)
     return Err(errors.RevisionConflictError(changed))
 
 
 @dialect.grant_lease.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, ttl_s: float, purpose: str
+    _dialect: EtcdGateway, calls: gateway.Gateway, ttl_s: float, purpose: str
 ) -> Result[int, errors.PlatformError]:
     body = {"TTL": str(max(1, int(ttl_s)))}
-    # A grant whose answer is lost leaves a lease without keys, which
-    # lapses by itself; so it is tried again like a read.
+    # is_write is False because the call is safe to retry: if the response is
+    # lost, the granted lease has no keys and expires by itself.
     call = gateway.Call("/v3/lease/grant", body, "lease_grant", purpose, False)
     return calls.send(call).map(lambda answer: int(answer["ID"]))
 
 
 @dialect.keep_alive.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
+    _dialect: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[float, errors.PlatformError]:
     body = {"ID": str(lease_id)}
-    # A renewal that is repeated does no harm, so a lost answer is
-    # treated as that of a read.
+    # is_write is False because the call is safe to retry: renewing twice has
+    # no further effect.
     call = gateway.Call(
         "/v3/lease/keepalive", body, "lease_keepalive", purpose, False
     )
@@ -161,13 +161,13 @@
         return sent
     ttl_s = float(sent.ok_value.get("result", {}).get("TTL", 0))
     if ttl_s <= 0:
-        return Err(errors.AuthorityLostError(f"lease {lease_id} lapsed"))
+        return Err(errors.AuthorityLostError(f"lease {lease_id} expired"))
     return Ok(ttl_s)
 
 
 @dialect.revoke.register
 def _(
-    spoken: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
+    _dialect: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[None, errors.PlatformError]:
     body = {"ID": str(lease_id)}
     call = gateway.Call(
@@ -176,43 +176,43 @@
     return calls.send(call).map(lambda _: None)
 
 
-def _as_written(
-    wanted: dialect.KeyWrite, answer: Mapping[str, Any]
+def _written_key(
+    write: dialect.KeyWrite, answer: Mapping[str, Any]
 ) -> KeyValue:
-    found = _ranges(answer)[0]
+    found = _range_results(answer)[0]
     if not found:
         revision = decode_header(answer).revision
-        return KeyValue(wanted.key, b"", 0, revision)
-    return found[0]._replace(value=wanted.value or b"")
+        return KeyValue(write.key, b"", 0, revision)
+    return found[0]._replace(value=write.value or b"")
 
 
-def _operation(wanted: dialect.KeyWrite) -> dict[str, Any]:
-    if wanted.value is None:
-        return {"requestDeleteRange": {"key": encode(wanted.key)}}
+def _write_operation(write: dialect.KeyWrite) -> dict[str, Any]:
+    if write.value is None:
+        return {"requestDeleteRange": {"key": encode_key(write.key)}}
     put: dict[str, Any] = {
-        "key": encode(wanted.key),
-        "value": base64.b64encode(wanted.value).decode(),
+        "key": encode_key(write.key),
+        "value": base64.b64encode(write.value).decode(),
     }
-    if wanted.lease_id:
-        put["lease"] = str(wanted.lease_id)
+    if write.lease_id:
+        put["lease"] = str(write.lease_id)
     return {"requestPut": put}
 
 
-def _comparison(condition: Guard) -> dict[str, str]:
+def _compare_clause(guard: Guard) -> dict[str, str]:
     return {
-        "key": encode(condition.key),
+        "key": encode_key(guard.key),
         "target": "MOD",
         "result": "EQUAL",
-        "mod_revision": str(condition.mod_revision),
+        "mod_revision": str(guard.mod_revision),
     }
 
 
-def _revisions_of(key: str) -> dict[str, Any]:
-    return {"requestRange": {"key": encode(key), "keys_only": True}}
+def _revision_read(key: str) -> dict[str, Any]:
+    return {"requestRange": {"key": encode_key(key), "keys_only": True}}
 
 
-def _ranges(answer: Mapping[str, Any]) -> list[list[KeyValue]]:
-    """Returns what each range of a transaction found."""
+def _range_results(answer: Mapping[str, Any]) -> list[list[KeyValue]]:
+    """Returns the keys found by each range of a transaction."""
     return [
         [decode_key_value(kv) for kv in part["response_range"].get("kvs", [])]
         for part in answer.get("responses", [])
@@ -220,10 +220,10 @@
     ]
 
 
-def _changed_key(conditions: Sequence[Guard], answer: Mapping[str, Any]) -> str:
-    """Finds the condition that the service's reading contradicts."""
-    for condition, found in zip(conditions, _ranges(answer), strict=False):
+def _conflicting_key(guards: Sequence[Guard], answer: Mapping[str, Any]) -> str:
+    """Returns the key of the first guard that does not hold."""
+    for guard, found in zip(guards, _range_results(answer), strict=False):
         revision = found[0].mod_revision if found else 0
-        if revision != condition.mod_revision:
-            return condition.key
-    return conditions[0].key
+        if revision != guard.mod_revision:
+            return guard.key
+    return guards[0].key
--- a/src/mulberrywharf/platform_service/gateway.py
+++ b/src/mulberrywharf/platform_service/gateway.py
@@ -1,7 +1,7 @@
-"""Calls to the gateway of the key-value service: retries, budgets, metrics.
+"""Calls to the key-value service with retries, call budgets and metrics.
 
-A call is tried at every endpoint in turn, but a write only while it is
-certain that nothing was written.
+A call is retried at each endpoint in turn. A write is retried only if the
+service has certainly not executed it.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,13 +19,13 @@
     outage,
 )
 
-_ROUNDS_COUNT = 2
+_ATTEMPTS_PER_ENDPOINT_COUNT = 2
 _BACKOFF_BASE_S = 0.05
 _BACKOFF_LIMIT_S = 1.0
 _HISTORY_GONE_STATUS = 410
 _CONDITION_FAILED_STATUS = 412
 _RATE_EXCEEDED_STATUS = 429
-_NOTHING_DONE_STATUSES = frozenset({_RATE_EXCEEDED_STATUS, 503})
+_NOT_EXECUTED_STATUSES = frozenset({_RATE_EXCEEDED_STATUS, 503})
 
 _calls = metrics.counter(
     "mulberry_platform_calls_total",
@@ -37,11 +37,11 @@
     """One call to the service.
 
     Attributes:
-        path: Path of the gateway.
-        body: JSON request.
-        kind: Short name for the metrics.
-        purpose: Whose budget pays for it.
-        is_write: Whether a lost answer leaves the outcome open.
+        path: Path of the HTTP request.
+        body: JSON body of the request, or None.
+        kind: Short name of the operation, a label of the metrics.
+        purpose: Call budget that is charged.
+        is_write: Whether the outcome is unknown if no response arrives.
         method: HTTP method.
     """
 
@@ -54,10 +54,12 @@
 
 
 class Gateway:
-    """The endpoints of the service, counted and budgeted by purpose.
+    """Client for all endpoints of the service.
+
+    Calls are counted and budgeted by purpose.
 
     Attributes:
-        era: The newest era that an answer has shown.
+        era: Newest era of the service seen in a response.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         self._clock = system_clock
         self.era = era.ServiceEra()
         self._restored_s = float("-inf")
-        self.era.on_restored(self._note_restored)
+        self.era.on_restored(self._record_restore)
         self._answered_s = float("-inf")
         self._outage = outage.LastOutage()
         self._endpoints = [
@@ -82,32 +84,32 @@
         self._budgets = call_budget.PurposeBudgets(purpose_budgets)
 
     def close(self) -> None:
-        """Closes the connections; later calls are not sent."""
+        """Closes the connections; later calls fail unsent."""
         for endpoint in self._endpoints:
             endpoint.close()
 
     def age_s(self) -> float:
-        """Returns how long ago the service last answered, inf before."""
+        """Returns the seconds since the last successful call, or inf."""
         return self._clock.monotonic_s() - self._answered_s
 
     def trouble_age_s(self) -> float:
-        """Returns how long ago the last outage ended, inf before any."""
+        """Returns the seconds since the last outage ended, or inf."""
         return self._outage.age_s(self._clock.monotonic_s())
 
     def restored_age_s(self) -> float:
-        """Returns how long ago the service was back from an older copy."""
+        """Returns the seconds since the last restore was seen, or inf."""
         return self._clock.monotonic_s() - self._restored_s
 
-    def _note_restored(self) -> None:
-        # What the service holds now lacks what it had acknowledged, as behind
-        # an outage in which all leases lapsed.
+    def _record_restore(self) -> None:
+        # A restore counts as an outage: writes that the service acknowledged
+        # may be lost, as after an outage in which all leases expired.
         self._restored_s = self._clock.monotonic_s()
-        self._outage.failed(self._restored_s)
+        self._outage.record_failure(self._restored_s)
 
-    def note_answer(self) -> None:
-        """Notes that the service did what it was asked, just now."""
+    def record_success(self) -> None:
+        """Records that the service has just executed a call."""
         self._answered_s = self._clock.monotonic_s()
-        self._outage.answered(self._answered_s)
+        self._outage.record_answer(self._answered_s)
 
     def open_stream(
         self,
@@ -118,44 +120,57 @@
         silence_s: float,
         purpose: str,
     ) -> Result[http_calls.LineStream, errors.PlatformError]:
-        """Opens a stream at the endpoint of this attempt."""
-        if not self.take(purpose):
-            return Err(_budget_spent(purpose))
+        """Opens a watch stream.
+
+        Args:
+            path: Path of the request.
+            body: JSON body of the request.
+            attempt: Number of the attempt; selects the endpoint.
+            silence_s: A read fails after this many seconds without data.
+            purpose: Call budget that is charged.
+        """
+        if not self.try_charge(purpose):
+            return Err(_budget_exceeded_error(purpose))
         endpoint = self._endpoints[attempt % len(self._endpoints)]
         try:
             stream = endpoint.open_stream(path, body, silence_s=silence_s)
         except (OSError, response.HTTPParseError) as error:
             self._count(purpose, "watch", "failed")
-            message = f"{endpoint.name}: no watch: {error}"
+            message = f"{endpoint.name}: opening a watch failed: {error}"
             return Err(errors.PlatformUnavailableError(message))
         if stream.status != 200:
             stream.close()
             self._count(purpose, "watch", str(stream.status))
-            message = f"{endpoint.name}: watch refused with {stream.status}"
+            message = (
+                f"{endpoint.name}: watch rejected with HTTP {stream.status}"
+            )
             return Err(errors.PlatformUnavailableError(message))
         self._count(purpose, "watch", "ok")
-        self.note_answer()
+        self.record_success()
         return Ok(stream)
 
     def open_poll(self, *, attempt: int, timeout_s: float) -> "Poll":
-        """Makes a connection of its own for calls that wait long.
+        """Creates a separate connection for long-polling calls.
 
         Args:
-            attempt: Chooses the endpoint.
-            timeout_s: A call fails after this long without an answer.
+            attempt: Number of the attempt; selects the endpoint.
+            timeout_s: A call fails after this many seconds without a response.
         """
         endpoint = self._endpoints[attempt % len(self._endpoints)]
-        return Poll(self, endpoint.for_long_answers(timeout_s))
+        return Poll(self, endpoint.with_answer_timeout(timeout_s))
 
     def send(self, call: Call) -> Result[dict[str, Any], errors.PlatformError]:
-        """Tries the endpoints in turn while nothing can have been written."""
+        """Sends a call, trying each endpoint in turn until one succeeds.
+
+        A write is not retried once the service may have executed it.
+        """
         failure: errors.PlatformError = errors.PlatformUnavailableError(
             "no endpoint was tried"
         )
-        attempts_count = _ROUNDS_COUNT * len(self._endpoints)
+        attempts_count = _ATTEMPTS_PER_ENDPOINT_COUNT * len(self._endpoints)
         for attempt in range(attempts_count):
-            if not self.take(call.purpose):
-                return Err(_budget_spent(call.purpose))
+            if not self.try_charge(call.purpose):
+                return Err(_budget_exceeded_error(call.purpose))
             endpoint = self._endpoints[attempt % len(self._endpoints)]
             outcome = self.send_once(endpoint, call)
             if isinstance(outcome, Ok):
@@ -170,33 +185,33 @@
     def send_once(
         self, endpoint: http_calls.HttpCalls, call: Call
     ) -> Result[dict[str, Any], errors.PlatformError]:
-        """Sends a call to one endpoint and classifies its answer."""
+        """Sends a call once, to one endpoint, and classifies the response."""
         sent_s = self._clock.monotonic_s()
         sent = endpoint.call(call.method, call.path, call.body)
         if isinstance(sent, Err):
             failure = sent.err_value
-            self._outage.failed(sent_s)
+            self._outage.record_failure(sent_s)
             self._count(call.purpose, call.kind, failure.code)
             return Err(failure if call.is_write else _as_unavailable(failure))
         answer = sent.ok_value
         self._count(call.purpose, call.kind, str(answer.status))
-        if not self.era.note(answer.era):
-            return Err(_of_older_era(endpoint.name, call))
+        if not self.era.observe(answer.era):
+            return Err(_older_era_error(endpoint.name, call))
         if answer.status == 200:
-            self.note_answer()
+            self.record_success()
             return Ok(answer.body)
-        refusal = _refusal(endpoint.name, call, answer)
+        refusal = _error_for_status(endpoint.name, call, answer)
         if isinstance(refusal, errors.PlatformRefusedError):
-            self._outage.answered(self._clock.monotonic_s())
+            self._outage.record_answer(self._clock.monotonic_s())
         elif answer.status != _RATE_EXCEEDED_STATUS:
-            # A service that bounds its callers' rate goes on serving the
-            # others. Taken for an outage, a refusal kept a server that left
-            # just behind it in use for 2 s more, in calm times.
-            self._outage.failed(sent_s)
+            # A rate-limited service still serves other callers. When this
+            # status counted as an outage, a server that left just after it
+            # stayed in use for 2 s longer although the service was available.
+            self._outage.record_failure(sent_s)
         return Err(refusal)
 
-    def take(self, purpose: str) -> bool:
-        """Takes one call out of a purpose's budget; False if it is spent."""
+    def try_charge(self, purpose: str) -> bool:
+        """Charges a call to a budget; returns False if the budget is spent."""
         return self._budgets.take(purpose, self._clock.monotonic_s())
 
     def _count(self, purpose: str, kind: str, outcome: str) -> None:
@@ -204,50 +219,54 @@
 
 
 class Poll:
-    """Calls that the service may keep waiting, each on the same connection."""
+    """Long-polling calls that reuse one connection."""
 
     def __init__(self, calls: Gateway, endpoint: http_calls.HttpCalls):
         self._calls = calls
         self._endpoint = endpoint
 
     def send(self, call: Call) -> Result[dict[str, Any], errors.PlatformError]:
-        """Sends one call, without a retry."""
-        if not self._calls.take(call.purpose):
-            return Err(_budget_spent(call.purpose))
+        """Sends one call, without retries."""
+        if not self._calls.try_charge(call.purpose):
+            return Err(_budget_exceeded_error(call.purpose))
         return self._calls.send_once(self._endpoint, call)
 
     @property
     def era(self) -> int:
-        """The newest era that an answer has shown, on any connection."""
+        """Newest era of the service seen on any connection."""
         return self._calls.era.current
 
     @property
     def is_receiving(self) -> bool:
-        """Whether an answer has begun and not ended."""
+        """Whether the body of a response is being read."""
         return self._endpoint.is_receiving
 
     def close(self) -> None:
-        """Closes the connection; a call that waits there fails."""
+        """Closes the connection; a pending call fails."""
         self._endpoint.close()
 
 
-def _of_older_era(name: str, call: Call) -> errors.PlatformError:
-    """Returns what an answer of an era that is past comes to.
+def _older_era_error(name: str, call: Call) -> errors.PlatformError:
+    """Returns the error for a response from an older era.
 
-    What it tells may be gone, so it changes nothing that is believed.
+    The service may have lost that state in a restore, so the response is
+    discarded.
     """
-    message = f"{name}: the answer to {call.path} is of an older era"
+    message = f"{name}: the response to {call.path} is from an older era"
     if call.is_write:
         return errors.WriteOutcomeUnknownError(message)
     return errors.PlatformUnavailableError(message)
 
 
-def _refusal(
+def _error_for_status(
     name: str, call: Call, answer: http_calls.Answer
 ) -> errors.PlatformError:
-    """Classifies an answer that is not 200 by what it says about effect."""
-    message = f"{name}: {call.path} answered {answer.status}"
-    if answer.status in _NOTHING_DONE_STATUSES:
+    """Returns the error for a status other than 200.
+
+    The error says whether the service can have executed the call.
+    """
+    message = f"{name}: {call.path} returned HTTP {answer.status}"
+    if answer.status in _NOT_EXECUTED_STATUSES:
         return errors.PlatformUnavailableError(message)
     if answer.status == _HISTORY_GONE_STATUS:
         return errors.HistoryGoneError(message)
@@ -268,9 +287,9 @@
     return errors.PlatformUnavailableError(failure.message)
 
 
-def _budget_spent(purpose: str) -> errors.BudgetExceededError:
+def _budget_exceeded_error(purpose: str) -> errors.BudgetExceededError:
     return errors.BudgetExceededError(
-        f"the call budget for {purpose} is spent; nothing was sent"
+        f"the call budget for {purpose} is spent; the call was not sent"
     )
 
 
--- a/src/mulberrywharf/platform_service/http_calls.py
+++ b/src/mulberrywharf/platform_service/http_calls.py
@@ -1,8 +1,8 @@
-"""HTTP calls to one endpoint of the platform, with typed failures.
+"""HTTP calls to one endpoint of the platform, with typed errors.
 
-What a writer may assume after a failure depends on when it happened: before
-a connection stood, nothing can have been written; afterwards nobody knows.
-This module tells the two apart, the modules beside it decide what follows.
+If a call fails before its connection is established, the service cannot have
+executed it. If it fails later, the outcome is unknown. This module reports the
+two cases as different errors; its callers decide whether to retry.
 """
 
 import json
@@ -19,27 +19,27 @@
 from mulberrywharf import _headers, errors, settings
 
 CONCURRENT_CALLS_COUNT = 32
-"""Calls to one endpoint that may wait for their answers at once."""
+"""Maximum number of concurrent calls to one endpoint."""
 
 _JSON_HEADERS = {"content-type": "application/json"}
-_BLOCK_BYTES = 65_536
+_READ_BLOCK_BYTES = 65_536
 _KEEP_ALIVE_IDLE_S = 1
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES_COUNT = 2
-"""A connection that went silent for good is noticed after 3 s. A change that
-it would have brought is in force late by that time, which the operators'
-bound of seconds allows; two probes of 54 bytes a second are 5 % of the bytes
-that a node may spend on control."""
+"""TCP keep-alive detects a dead connection after 3 s. A change sent on that
+connection takes effect up to 3 s late, which is within the few seconds that
+operators allow. Two 54-byte probes per second use 5 % of the bytes that a node
+may spend on control traffic."""
 
 
 class Answer(NamedTuple):
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     Attributes:
-        status: HTTP status.
-        body: Parsed JSON object, empty if the body is none.
-        retry_after_s: What the service asked for, or None.
-        era: What it tells of its era, None if nothing.
+        status: HTTP status code.
+        body: Parsed JSON object; empty if the response has no body.
+        retry_after_s: Delay in seconds from ``Retry-After``, or None.
+        era: Value of the era header, or None if it is absent.
     """
 
     status: int
@@ -49,22 +49,23 @@
 
 
 class ConnectError(OSError):
-    """No connection stood, so no byte of the call left this process."""
+    """The connection was not established, so no byte of the call was sent."""
 
 
 class _Pool(connectionpool.ConnectionPool):
-    """Connections whose failure to open is told apart from later ones.
+    """Connection pool that raises ``ConnectError`` if connecting fails.
 
-    A timeout while connecting and one while waiting for the answer are the
-    same exception in the library. Taken for the same, every write in a
-    partition would end as "outcome unknown" although nothing had left.
+    The library raises the same exception for a timeout while connecting and
+    for one while waiting for the response. Without the distinction, every
+    write during a network partition would be reported as "outcome unknown"
+    although nothing was sent.
     """
 
     def __init__(self, *args: Any, **options: Any):
         super().__init__(*args, **options)
-        # The library doesn't give a place back when a greenlet is killed
-        # while it sends: with its own limit, so many kills later every call
-        # would wait for ever. ``HttpCalls`` limits the calls instead.
+        # The library does not release its semaphore when a greenlet is killed
+        # while sending. After as many kills as the limit, every call would
+        # block forever. ``HttpCalls`` limits concurrent calls instead.
         self._semaphore = lock.DummySemaphore()
 
     def _create_socket(self) -> Any:
@@ -74,12 +75,12 @@
             raise ConnectError(str(error)) from error
 
     def drop_idle(self) -> None:
-        """Closes the connections that wait for a call."""
+        """Closes all idle connections."""
         while not self._socket_queue.empty():
             self._socket_queue.get(block=False).close()
 
     def after_connect(self, sock: Any) -> None:
-        """Sends small calls at once and notices a peer that vanished."""
+        """Disables Nagle's algorithm and enables TCP keep-alive."""
         tcp = socket.IPPROTO_TCP
         sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -89,7 +90,7 @@
 
 
 class _Client(geventhttpclient.HTTPClient):
-    """The library's client over the pool above."""
+    """The library's HTTP client, using ``_Pool``."""
 
     def __init__(
         self,
@@ -99,7 +100,7 @@
         read_timeout_s: float,
     ):
         super().__init__(endpoint["ip"], endpoint["port"])
-        self.block_size = _BLOCK_BYTES
+        self.block_size = _READ_BLOCK_BYTES
         self._pool = _Pool(
             endpoint["ip"],
             endpoint["port"],
@@ -110,19 +111,24 @@
             network_timeout=read_timeout_s,
         )
         self._connection_pool = self._pool
-        # The library sends an idempotent call again on a fresh connection as
-        # often as the pool is large, and once more: a service that closes
-        # each connection at once gets 33 calls for one, each of them paid
-        # for. One more is enough for an idle connection that it had closed.
+        # The library resends a failed idempotent call on new connections, up
+        # to the pool size plus one times. With the real size, a service that
+        # closes every connection at once would receive 33 billed calls for
+        # one. A size of 0 leaves one resend, which is enough if the service
+        # has closed an idle connection.
         self._pool.size = 0
 
     def drop_idle(self) -> None:
-        """Closes the connections that wait for a call."""
+        """Closes all idle connections."""
         self._pool.drop_idle()
 
 
 class HttpCalls:
-    """Pooled calls to one endpoint, and streams from it."""
+    """Client for one endpoint: pooled calls and line streams.
+
+    Attributes:
+        is_receiving: Whether the body of a response is being read.
+    """
 
     def __init__(
         self,
@@ -132,13 +138,13 @@
         answer_timeout_s: float | None = None,
         era_header: str | None = None,
     ):
-        """Makes the pool; connections open with the first call.
+        """Creates the pool; connections open with the first call.
 
         Args:
-            endpoint: Where to call.
-            timeout_s: For a new connection, and for an answer.
-            answer_timeout_s: For an answer, if it may take longer.
-            era_header: Field of the head that tells the service's era.
+            endpoint: Address of the service.
+            timeout_s: Timeout for connecting and for a response, in seconds.
+            answer_timeout_s: Timeout for a response, if it differs.
+            era_header: Response header with the service's era, if any.
         """
         self._era_header = era_header
         self._endpoint = endpoint
@@ -146,7 +152,6 @@
         self._slots = lock.BoundedSemaphore(CONCURRENT_CALLS_COUNT)
         self._is_closed = False
         self.is_receiving = False
-        """Whether the head of the latest answer has come, and its end not."""
         self._client = _Client(
             endpoint,
             connect_timeout_s=timeout_s,
@@ -158,8 +163,12 @@
         """The endpoint as ``ip:port``."""
         return f"{self._endpoint['ip']}:{self._endpoint['port']}"
 
-    def for_long_answers(self, answer_timeout_s: float) -> "HttpCalls":
-        """Returns calls to the same endpoint that wait longer for answers."""
+    def with_answer_timeout(self, answer_timeout_s: float) -> "HttpCalls":
+        """Returns a client for the same endpoint with another timeout.
+
+        Args:
+            answer_timeout_s: Timeout for a response, in seconds.
+        """
         return HttpCalls(
             self._endpoint,
             self._timeout_s,
@@ -168,7 +177,7 @@
         )
 
     def close(self) -> None:
-        """Closes the pooled connections; later calls are not sent."""
+        """Closes the pooled connections; later calls fail unsent."""
         self._is_closed = True
         self._client.close()
 
@@ -180,16 +189,15 @@
         *,
         headers: Mapping[str, str] | None = None,
     ) -> Result[Answer, errors.PlatformError]:
-        """Sends one call and reads its whole answer, without a retry.
+        """Sends one call and reads the complete response, without retries.
 
         Returns:
-            The answer, ``PlatformUnavailableError`` if nothing left this
-            process, or ``WriteOutcomeUnknownError`` if the call left and its
-            answer did not come; for a read the latter means the same as the
-            former.
+            The response; ``PlatformUnavailableError`` if nothing was sent; or
+            ``WriteOutcomeUnknownError`` if the call was sent but no complete
+            response arrived. For a read, both errors mean that it failed.
         """
         if not self._slots.acquire(timeout=self._timeout_s):
-            return Err(self._unavailable("all connections are waiting"))
+            return Err(self._unavailable("all connections are in use"))
         if self._is_closed:
             self._slots.release()
             return Err(self._unavailable("this client is closed"))
@@ -199,13 +207,13 @@
             self._client.drop_idle()
             return Err(self._unavailable(str(error)))
         except (OSError, response.HTTPParseError, ValueError) as error:
-            # What took this call's answer may have silenced every connection
-            # of before for good, while new ones work. Tried one by one behind
-            # the return of the service, each costs a whole timeout: with
-            # eight of them and 0.5 s a call, a server that had left went out
-            # of use 5.5 to 6.1 s behind the return; without them 0.6 s.
+            # The fault may have broken every pooled connection for good, while
+            # new ones work. If they were tried one by one after an outage,
+            # each would cost a full timeout: with eight connections and 0.5 s
+            # per call, a server that had left stayed in use for 5.5 to 6.1 s
+            # after the outage instead of 0.6 s.
             self._client.drop_idle()
-            message = f"{self.name}: the answer to {path} was lost: {error}"
+            message = f"{self.name}: no complete response to {path}: {error}"
             return Err(errors.WriteOutcomeUnknownError(message))
         finally:
             self._slots.release()
@@ -227,12 +235,12 @@
         finally:
             self.is_receiving = False
         if not answer.message_complete:
-            raise ConnectionResetError("the answer was cut short")
+            raise ConnectionResetError("the response is incomplete")
         return Answer(
             answer.status_code,
-            _parse_object(text),
-            _headers.retry_after_s(_field(answer, "retry-after")),
-            _field(answer, self._era_header),
+            _parse_json_object(text),
+            _headers.retry_after_s(_header_value(answer, "retry-after")),
+            _header_value(answer, self._era_header),
         )
 
     def _unavailable(self, reason: str) -> errors.PlatformUnavailableError:
@@ -241,16 +249,16 @@
     def open_stream(
         self, path: str, body: Mapping[str, Any], *, silence_s: float
     ) -> "LineStream":
-        """Opens an answer that is read line by line.
+        """Sends a POST request whose response is read line by line.
 
         Args:
-            path: What to post to.
-            body: The request.
-            silence_s: A read fails after this long without a byte.
+            path: Path of the request.
+            body: JSON body of the request.
+            silence_s: A read fails after this many seconds without data.
 
         Raises:
-            OSError: No connection, or it broke.
-            HTTPParseError: The answer is not HTTP.
+            OSError: Connecting failed, or the connection broke.
+            HTTPParseError: The response is not valid HTTP.
         """
         client = _Client(
             self._endpoint,
@@ -267,7 +275,7 @@
 
 
 class LineStream:
-    """JSON objects, one a line, from an answer that does not end."""
+    """A streamed response with one JSON object per line."""
 
     def __init__(self, client: Any, answer: Any):
         self._client = client
@@ -275,45 +283,45 @@
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status code of the response."""
         return int(self._answer.status_code)
 
     def read(self) -> dict[str, Any] | None:
         """Returns the next object, or None when the stream has ended."""
         line = self._answer.readline(b"\n")
-        return _parse_object(line) if line else None
+        return _parse_json_object(line) if line else None
 
     def close(self) -> None:
-        """Closes the connection, whose answer never ends by itself."""
+        """Closes the connection; the response does not end by itself."""
         self._answer.release()
         self._client.close()
 
 
-def _parse_object(text: bytes) -> dict[str, Any]:
+def _parse_json_object(text: bytes) -> dict[str, Any]:
     if not text.strip():
         return {}
     parsed = json.loads(text)
     if not isinstance(parsed, dict):
-        raise ValueError("the answer is not a JSON object")
+        raise ValueError("the response is not a JSON object")
     return parsed
 
 
-def _field(answer: Any, name: str | None) -> str | None:
+def _header_value(answer: Any, name: str | None) -> str | None:
     value = answer.get(name) if name else None
     return value if isinstance(value, str) else None
 
 
 def full_jitter_s(attempt: int, *, base_s: float, limit_s: float) -> float:
-    """Returns a random wait below an exponentially growing bound.
+    """Returns a random delay for exponential backoff with full jitter.
 
-    After an outage every node would otherwise come back in the same
-    instant and overload the service again; a wait that is random over the
-    whole interval spreads them.
+    Without jitter, all nodes would reconnect at the same time after an outage
+    and overload the service again. The delay is uniformly distributed between
+    0 and an upper bound that doubles with each attempt.
 
     Args:
-        attempt: 0 for the first wait.
-        base_s: Bound of the first wait.
-        limit_s: Bound of every wait.
+        attempt: Number of the attempt, 0 for the first delay.
+        base_s: Upper bound of the first delay, in seconds.
+        limit_s: Upper bound of every delay, in seconds.
     """
     bound_s = min(limit_s, base_s * 2 ** min(attempt, 16))
     return random.uniform(0.0, bound_s)
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -1,8 +1,8 @@
-"""Client of the platform's key-value service, whatever dialect it speaks.
+"""Client of the platform's key-value service, for any dialect.
 
-Reads are tried at every endpoint in turn. A write is tried again only while
-it is certain that nothing was written; when its answer is lost the caller
-gets ``WriteOutcomeUnknownError`` and reads back before it decides.
+A read is retried at each endpoint in turn. A write is retried only if the
+service has certainly not executed it. If the response to a write is lost, the
+caller gets ``WriteOutcomeUnknownError`` and must read the key to find out.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -28,7 +28,10 @@
 
 
 class KeyValueClient:
-    """Calls to the key-value service, counted and budgeted by purpose."""
+    """Client of the key-value service.
+
+    Calls are counted and budgeted by purpose.
+    """
 
     def __init__(
         self,
@@ -39,14 +42,14 @@
         system_clock: clock.Clock | None = None,
         dialect: Any = None,
     ):
-        """Makes a client; connections open with the first call.
+        """Creates a client; connections open with the first call.
 
         Args:
-            endpoints: Where the service answers, tried in order.
-            timeout_s: For one call.
-            purpose_budgets: Budget of each purpose.
-            system_clock: Measures how old the last answer is.
-            dialect: What the service speaks, None for etcd's gateway.
+            endpoints: Endpoints of the service, tried in order.
+            timeout_s: Timeout of one call, in seconds.
+            purpose_budgets: Call budget of each purpose.
+            system_clock: Monotonic clock; the system's if None.
+            dialect: Dialect of the service; None for etcd's JSON gateway.
         """
         self._dialect = dialect or etcd.EtcdGateway()
         self._gateway = gateway.Gateway(
@@ -56,7 +59,7 @@
             system_clock=system_clock or clock.SystemClock(),
             era_header=dialect_module.era_header(self._dialect),
         )
-        self._gateway.era.on_restored(self._restart_watches)
+        self._gateway.era.on_restored(self._resync_watches)
         self._watches: list[watch_module.Watch] = []
 
     @classmethod
@@ -65,11 +68,11 @@
         config: settings.Settings,
         purpose_budgets: Mapping[str, call_budget.CallBudget] | None = None,
     ) -> "KeyValueClient":
-        """Builds the client that the settings describe.
+        """Creates a client from settings.
 
         Args:
             config: Settings of the process.
-            purpose_budgets: Budget of each purpose; others get
+            purpose_budgets: Call budget of each purpose; other purposes get
                 ``call_budget.DEFAULT_BUDGET``.
         """
         platform = config["platform"]
@@ -80,62 +83,62 @@
         )
 
     def start(self) -> None:
-        """Opens nothing: connections open with the first call."""
+        """Does nothing; connections open with the first call."""
 
     def close(self) -> None:
-        """Ends every watch and closes the connections."""
+        """Closes all watches and connections."""
         for watch in list(self._watches):
             watch.close()
         self._watches.clear()
         self._gateway.close()
 
     def age_s(self) -> float:
-        """Returns how long ago the service last answered, inf before.
+        """Returns the seconds since the service last worked, or inf.
 
-        Only calls that it carried out count, and what watches bring: a
-        service that refuses everything is as good as away. A process that
-        has nothing to ask learns only from its watches, which may be quiet
-        for up to ``watch.REOPEN_S``.
+        Successful calls and watch messages count; rejected calls don't, as a
+        service that rejects everything is as good as unavailable. In a process
+        that sends no calls only watches update this value, and they may be
+        silent for up to ``watch.REOPEN_S``.
         """
         return self._gateway.age_s()
 
     def trouble_age_s(self) -> float:
-        """Returns how long ago the service's last outage ended, inf before.
+        """Returns the seconds since the service's last outage ended, or inf.
 
-        An outage is a time in which calls of this process were not carried
-        out; see ``outage.LastOutage`` for how its end is told.
+        During an outage, calls of this process fail; ``outage.LastOutage``
+        estimates when it ended.
         """
         return self._gateway.trouble_age_s()
 
     @property
     def era(self) -> int:
-        """The newest era of the service that an answer has shown."""
+        """Newest era of the service seen in a response."""
         return self._gateway.era.current
 
     def restored_age_s(self) -> float:
-        """Returns how long ago the service came back from an older copy."""
+        """Returns the seconds since the last restore was seen, or inf."""
         return self._gateway.restored_age_s()
 
     def on_restored(self, callback: Callable[[], None]) -> None:
-        """Calls back each time that the service is back from an older copy.
+        """Registers a callback for restores of the service from an older copy.
 
-        Leases and keys of before are gone by then, revisions may be given out
-        again, and an older value may stand where a newer one was seen.
+        A restore may lose leases and keys, replace newer values by older ones
+        and assign the same revisions again.
         """
         self._gateway.era.on_restored(callback)
 
     def forget_restored(self, callback: Callable[[], None]) -> None:
-        """Takes a callback of ``on_restored`` back."""
-        self._gateway.era.forget(callback)
+        """Removes a callback registered with ``on_restored``."""
+        self._gateway.era.remove_callback(callback)
 
-    def _restart_watches(self) -> None:
+    def _resync_watches(self) -> None:
         for watch in self._watches:
-            watch.start_anew()
+            watch.resync()
 
     def get(
         self, key: str, *, purpose: str
     ) -> Result[KeyValue | None, errors.PlatformError]:
-        """Reads one key; ``Ok(None)`` if it does not exist."""
+        """Reads one key; returns ``Ok(None)`` if it does not exist."""
         return dialect_module.read_key(
             self._dialect, self._gateway, key, purpose
         )
@@ -143,7 +146,7 @@
     def get_prefix(
         self, prefix: str, *, purpose: str
     ) -> Result[list[KeyValue], errors.PlatformError]:
-        """Reads every key that begins with ``prefix``."""
+        """Reads all keys with a prefix."""
         return self.read_for_watch(prefix, purpose=purpose).map(
             lambda reading: reading[0]
         )
@@ -151,7 +154,10 @@
     def get_prefix_stale(
         self, prefix: str, *, purpose: str
     ) -> Result[list[KeyValue], errors.PlatformError]:
-        """Reads a prefix as it was some seconds ago, where that costs less."""
+        """Reads all keys with a prefix, possibly some seconds out of date.
+
+        At services that offer stale reads this costs less than ``get_prefix``.
+        """
         return dialect_module.read_stale(
             self._dialect, self._gateway, prefix, purpose
         ).map(lambda reading: reading[0])
@@ -166,24 +172,24 @@
         guards: Sequence[Guard] = (),
         purpose: str,
     ) -> Result[KeyValue, errors.PlatformError]:
-        """Writes a key if it and all guards are as expected.
+        """Writes a key if its revision is as expected and all guards hold.
 
         Args:
             key: The key to write.
             value: At most ``VALUE_LIMIT_BYTES``.
             expected_revision: The key's ``mod_revision``, 0 to create it.
-            lease_id: The key is deleted when this lease lapses; 0 for none.
+            lease_id: Lease whose expiry deletes the key; 0 for none.
             guards: Other keys that must not have changed, such as the key
                 that proves this process's authority.
-            purpose: Whose budget pays.
+            purpose: Call budget that is charged.
 
         Returns:
-            The key as written; ``RevisionConflictError`` with the key that
-            had changed; ``WriteOutcomeUnknownError`` if the answer was lost;
+            The written key; ``RevisionConflictError`` with the key that has
+            changed; ``WriteOutcomeUnknownError`` if the response was lost; or
             another ``PlatformError`` if nothing was written.
         """
         if len(value) > VALUE_LIMIT_BYTES:
-            message = f"{key}: {len(value)} bytes exceed the service's limit"
+            message = f"{key}: a value of {len(value)} bytes exceeds the limit"
             return Err(errors.PlatformRefusedError(message))
         return dialect_module.write_key(
             self._dialect,
@@ -205,16 +211,17 @@
         expected_revision: int | None = None,
         guards: Sequence[Guard] = (),
     ) -> Result[int, errors.PlatformError]:
-        """Deletes a key, if it and all guards are as expected.
+        """Deletes a key if its revision is as expected and all guards hold.
 
         Args:
-            key: The key to delete; an absent one is no failure.
-            purpose: Whose budget pays.
-            expected_revision: Its ``mod_revision``, None for any.
+            key: The key to delete; it is no error if it does not exist.
+            purpose: Call budget that is charged.
+            expected_revision: The key's ``mod_revision``, None for any.
             guards: As in ``compare_and_swap``.
 
         Returns:
-            The service's revision, or the failures of ``compare_and_swap``.
+            The revision of the service after the deletion, or the errors of
+            ``compare_and_swap``.
         """
         conditions = list(guards)
         if expected_revision is not None:
@@ -228,12 +235,12 @@
     def grant_lease(
         self, ttl_s: float, *, purpose: str
     ) -> Result[int, errors.PlatformError]:
-        """Asks for a lease and returns its id.
+        """Requests a lease and returns its id.
 
         Args:
-            ttl_s: Its length; the service counts in whole seconds, so a
-                part of a second is dropped, and at least one is asked for.
-            purpose: Whose budget pays.
+            ttl_s: Time to live in seconds. A service that counts in whole
+                seconds gets it rounded down, to at least 1 s.
+            purpose: Call budget that is charged.
         """
         return dialect_module.grant_lease(
             self._dialect, self._gateway, ttl_s, purpose
@@ -245,8 +252,9 @@
         """Renews a lease.
 
         Returns:
-            Its new length in seconds, counted by the service from when it
-            received the renewal; ``AuthorityLostError`` if it has lapsed.
+            The new time to live in seconds, which the service counts from
+            when it received the renewal; ``AuthorityLostError`` if the lease
+            has expired.
         """
         return dialect_module.keep_alive(
             self._dialect, self._gateway, lease_id, purpose
@@ -255,7 +263,7 @@
     def revoke(
         self, lease_id: int, *, purpose: str
     ) -> Result[None, errors.PlatformError]:
-        """Ends a lease; the service deletes its keys at once."""
+        """Revokes a lease; the service deletes its keys at once."""
         return dialect_module.revoke(
             self._dialect, self._gateway, lease_id, purpose
         )
@@ -268,19 +276,20 @@
         purpose: str,
         patience: Callable[[], watch_module.Patience] = watch_module.Patience,
     ) -> watch_module.Watch:
-        """Calls back for each key under ``prefix``, now and on each change.
+        """Starts a watch that reports existing keys, then each change.
 
-        Keys that exist are reported first. After a cut the watch resumes
-        where it stopped; see ``watch.Watch`` for what it promises.
+        After an interruption the watch resumes where it stopped; see
+        ``watch.Watch`` for its guarantees.
 
         Args:
-            prefix: Beginning of the keys.
+            prefix: Prefix of the keys.
             on_change: Called in the watch's greenlet, one event at a time.
-            purpose: Whose budget pays for opening and reading.
-            patience: Returns how long it waits now.
+            purpose: Call budget that is charged.
+            patience: Returns the current timeouts of the watch.
 
         Returns:
-            The running watch, to be closed by its owner or with the client.
+            The running watch. Its owner closes it, or it closes with the
+            client.
         """
         watch = watch_module.Watch(
             self, prefix, on_change, purpose=purpose, patience=patience
@@ -289,19 +298,19 @@
         watch.start()
         return watch
 
-    def forget_watch(self, watch: watch_module.Watch) -> None:
-        """Drops a watch that its owner has closed."""
+    def remove_watch(self, watch: watch_module.Watch) -> None:
+        """Removes a watch that its owner has closed."""
         if watch in self._watches:
             self._watches.remove(watch)
 
-    def note_watch_message(self) -> None:
-        """Counts a message of a watch as an answer of the service."""
-        self._gateway.note_answer()
+    def record_watch_message(self) -> None:
+        """Records a watch message as a sign that the service works."""
+        self._gateway.record_success()
 
     def read_for_watch(
         self, prefix: str, *, purpose: str
     ) -> Result[dialect_module.Reading, errors.PlatformError]:
-        """Reads a prefix and where the service stood then."""
+        """Reads all keys with a prefix, and the state of the service."""
         return dialect_module.read_prefix(
             self._dialect, self._gateway, prefix, purpose
         )
@@ -324,7 +333,7 @@
         )
 
     def open_watch(
-        self, wanted: dialect_module.WatchRequest
+        self, request: dialect_module.WatchRequest
     ) -> Result[dialect_module.WatchStream, errors.PlatformError]:
-        """Opens the stream of one watch at the endpoint of this attempt."""
-        return dialect_module.open_watch(self._dialect, self._gateway, wanted)
+        """Opens the message stream of one watch."""
+        return dialect_module.open_watch(self._dialect, self._gateway, request)
--- a/src/mulberrywharf/platform_service/key_value_types.py
+++ b/src/mulberrywharf/platform_service/key_value_types.py
@@ -1,4 +1,4 @@
-"""Typed records of the key-value service and their base64 wire form."""
+"""Types of the key-value client, and etcd's base64 encoding of them."""
 
 import base64
 from collections.abc import Mapping
@@ -6,15 +6,15 @@
 
 
 class KeyValue(NamedTuple):
-    """One key as the service holds it.
+    """A key with its value and revisions.
 
     Attributes:
-        key: Its name.
-        value: At most 1 MB.
-        create_revision: Revision that created it; rises with each new
-            creation, so that it serves as a fencing number.
-        mod_revision: Revision that last wrote it.
-        lease_id: Lease that it lives under, 0 for none.
+        key: Name of the key.
+        value: Value, at most 1 MB.
+        create_revision: Revision at which the key was created. It increases
+            with each creation, so it serves as a fencing number.
+        mod_revision: Revision of the last write.
+        lease_id: Lease whose expiry deletes the key; 0 for none.
     """
 
     key: str
@@ -25,17 +25,23 @@
 
 
 class Guard(NamedTuple):
-    """A key that must still have this ``mod_revision`` (0: not exist)."""
+    """Condition of a write: the key has this revision.
+
+    Attributes:
+        key: Name of the key.
+        mod_revision: Expected revision of the last write; 0 if the key must
+            not exist.
+    """
 
     key: str
     mod_revision: int
 
 
 class ServiceState(NamedTuple):
-    """Where the service stood when it answered.
+    """State of the service when it sent a response.
 
     Attributes:
-        revision: Its revision.
+        revision: Revision of the service.
         cluster_id: Changes when the service is restored from a backup.
     """
 
@@ -44,14 +50,15 @@
 
 
 class WatchEvent(NamedTuple):
-    """A change that a watch saw.
+    """A change reported by a watch.
 
     Attributes:
         kind: ``put`` or ``delete``.
-        key_value: The key; a deleted one has an empty value.
-        is_restored: Whether it was found when the service was back from an
-            older copy. Nobody has done that now: a put may be older than what
-            was known, and a delete may be of a key that was lost.
+        key_value: The key; its value is empty for a deletion.
+        is_restored: Whether the difference was found after the service was
+            restored from an older copy. It is then not a change made by a
+            client: a put may be older than the last reported value, and a
+            delete may be of a key that the restore lost.
     """
 
     kind: Literal["put", "delete"]
@@ -59,20 +66,20 @@
     is_restored: bool = False
 
 
-def encode(key: str) -> str:
-    """Returns a key in the wire form."""
+def encode_key(key: str) -> str:
+    """Returns a key encoded for the wire."""
     return base64.b64encode(key.encode()).decode()
 
 
-def prefix_end(prefix: str) -> str:
-    """Returns the wire form of the first key behind all of a prefix."""
+def encode_prefix_end(prefix: str) -> str:
+    """Returns the encoded exclusive end of the range of keys with a prefix."""
     data = bytearray(prefix.encode())
     data[-1] += 1
     return base64.b64encode(bytes(data)).decode()
 
 
 def decode_key_value(kv: Mapping[str, Any]) -> KeyValue:
-    """Reads a key-value record; absent numbers are 0 on the wire."""
+    """Decodes a key-value record; etcd omits numbers that are 0."""
     return KeyValue(
         base64.b64decode(kv["key"]).decode(),
         base64.b64decode(kv.get("value", "")),
@@ -83,7 +90,7 @@
 
 
 def decode_header(answer: Mapping[str, Any]) -> ServiceState:
-    """Reads the header that every answer of the service carries."""
+    """Decodes the header that every response of etcd contains."""
     header = answer.get("header", {})
     return ServiceState(
         int(header.get("revision", 0)), str(header.get("cluster_id", ""))
--- a/src/mulberrywharf/platform_service/lease.py
+++ b/src/mulberrywharf/platform_service/lease.py
@@ -1,8 +1,8 @@
-"""A lease held at the key-value service, and until when it is surely held.
+"""Holds a lease at the key-value service and tracks until when it is valid.
 
-The service counts a lease from when it received the renewal. This process
-counts it from before the renewal was sent, which is earlier: so it gives up
-the lease before the service can grant its keys to another.
+The service counts the time to live from when it receives a grant or renewal.
+This process counts it from before it sends the call, which is earlier. So it
+gives up the lease before the service can give its keys to another holder.
 """
 
 import random
@@ -15,11 +15,11 @@
 from mulberrywharf import clock, errors
 from mulberrywharf.platform_service import http_calls, key_value
 
-_NEVER_S = float("-inf")
-_RENEWALS_IN_TTL_COUNT = 3
+_NOT_HELD_S = float("-inf")
+_RENEWALS_PER_TTL_COUNT = 3
 _RENEWAL_JITTER_SHARE = 0.2
 _RETRY_BASE_S = 0.1
-_RETRIES_IN_TTL_COUNT = 6
+_RETRIES_PER_TTL_COUNT = 6
 _CREATE_ATTEMPTS_COUNT = 4
 
 RenewedCallback = Callable[[float], None]
@@ -27,12 +27,12 @@
 
 
 class LeaseHolder:
-    """Grants itself a lease, renews it and tells when it is lost.
+    """Acquires a lease, renews it and reports its loss.
 
-    A lost lease stays lost; whoever wants authority again builds another
-    holder. ``valid_until_monotonic_s`` must be compared with the clock
-    immediately before each act that needs the lease: a process that was
-    paused wakes with this object unchanged and the lease long gone.
+    A lost lease is not acquired again; create a new holder for that. Compare
+    ``valid_until_monotonic_s`` with the clock immediately before each action
+    that needs the lease: if the process was paused, the lease may have expired
+    although nothing in this object has changed yet.
     """
 
     def __init__(
@@ -45,16 +45,17 @@
         on_lost: LostCallback | None = None,
         system_clock: clock.Clock | None = None,
     ):
-        """Prepares a holder.
+        """Creates a holder; ``start`` acquires the lease.
 
         Args:
-            client: The service.
-            ttl_s: Length of the lease; whole seconds are asked for.
-            purpose: Whose call budget pays.
+            client: Client of the key-value service.
+            ttl_s: Time to live in seconds, rounded down to whole seconds, at
+                least 1 s.
+            purpose: Call budget that is charged.
             on_renewed: Called with the new ``valid_until_monotonic_s`` after
                 the grant and each renewal.
-            on_lost: Called once when the lease lapses without ``close``.
-            system_clock: Clock of the process.
+            on_lost: Called once if the lease is lost without ``close``.
+            system_clock: Monotonic clock; the system's if None.
         """
         self._client = client
         self._ttl_s = float(max(1, int(ttl_s)))
@@ -63,29 +64,29 @@
         self._on_lost = on_lost
         self._clock = system_clock or clock.SystemClock()
         self._lease_id = 0
-        self._valid_until_s = _NEVER_S
+        self._valid_until_s = _NOT_HELD_S
         self._is_lost = False
         self._greenlets: list[gevent.Greenlet] = []
 
     @property
     def lease_id(self) -> int:
-        """The lease, 0 before ``start`` and after it was lost or closed."""
+        """Id of the lease; 0 before ``start``, after a loss and if closed."""
         return self._lease_id
 
     @property
     def valid_until_monotonic_s(self) -> float:
-        """Until when the lease is surely held; -inf if it is not held."""
+        """Monotonic time until which the lease is valid; -inf if not held."""
         return self._valid_until_s
 
     def is_valid(self) -> bool:
-        """Tells whether the lease is surely held at this instant."""
+        """Returns whether the lease is certainly still held now."""
         return self._clock.monotonic_s() < self._valid_until_s
 
     def start(self) -> Result[int, errors.PlatformError]:
-        """Asks for the lease, then keeps it alive.
+        """Acquires the lease and starts to renew it.
 
         Returns:
-            The lease id, or why there is none; then ``start`` may be called
+            The lease id, or the error; after an error, ``start`` may be called
             again.
         """
         sent_s = self._clock.monotonic_s()
@@ -94,39 +95,43 @@
             return granted
         self._lease_id = granted.ok_value
         self._client.on_restored(self._on_restored)
-        self._extend(sent_s, self._ttl_s)
+        self._extend_validity(sent_s, self._ttl_s)
         self._greenlets = [
-            gevent.spawn(self._renew_for_ever),
-            gevent.spawn(self._wait_for_lapse),
+            gevent.spawn(self._renew_until_lost),
+            gevent.spawn(self._wait_for_expiry),
         ]
         return granted
 
     def close(self) -> None:
-        """Gives the lease back; the service deletes its keys."""
+        """Revokes the lease; the service deletes its keys."""
         gevent.killall(self._greenlets)
         lease_id = self._lease_id
-        self._forget()
+        self._clear()
         if lease_id:
             self._client.revoke(lease_id, purpose=self._purpose)
 
     def create_key(
         self, key: str, value: bytes
     ) -> Result[key_value.KeyValue, errors.PlatformError]:
-        """Creates a key under the lease, if nobody has it.
+        """Creates a key attached to the lease, if the key does not exist.
 
-        A lost answer is resolved by reading the key back: it is this
-        holder's if it lives under this lease. Where the reading finds no
-        key, the write may still be on its way, so the same create is sent
-        again rather than given up; only one of the two can take effect.
+        If the response is lost, the key is read back: it belongs to this
+        holder if it is attached to this lease. If it does not exist, the
+        write may still be in transit, so the same create is sent again; only
+        one of the two can take effect.
 
         Returns:
-            The key, whose ``create_revision`` rises from holder to holder;
-            ``RevisionConflictError`` if another has it.
+            The key, whose ``create_revision`` increases from holder to
+            holder; ``RevisionConflictError`` if another holder has the key.
         """
-        failure: errors.PlatformError = errors.AuthorityLostError("no lease")
+        failure: errors.PlatformError = errors.AuthorityLostError(
+            "no lease is held"
+        )
         for _ in range(_CREATE_ATTEMPTS_COUNT):
             if not self.is_valid():
-                return Err(errors.AuthorityLostError(f"{key}: no valid lease"))
+                return Err(
+                    errors.AuthorityLostError(f"{key}: the lease is not valid")
+                )
             created = self._client.compare_and_swap(
                 key,
                 value,
@@ -154,50 +159,51 @@
             return Ok(found)
         return Err(errors.RevisionConflictError(found.key))
 
-    def _renew_for_ever(self) -> None:
+    def _renew_until_lost(self) -> None:
         failures_count = 0
         while not self._is_lost:
             gevent.sleep(self._pause_s(failures_count))
             sent_s = self._clock.monotonic_s()
             if sent_s >= self._valid_until_s:
-                self._lose("it was not renewed in time")
+                self._mark_lost("not renewed in time")
                 return
-            kept = self._client.keep_alive(
+            renewed = self._client.keep_alive(
                 self._lease_id, purpose=self._purpose
             )
-            if isinstance(kept, Ok):
+            if isinstance(renewed, Ok):
                 failures_count = 0
-                self._extend(sent_s, kept.ok_value)
-            elif isinstance(kept.err_value, errors.AuthorityLostError):
-                self._lose("the service says that it lapsed")
+                self._extend_validity(sent_s, renewed.ok_value)
+            elif isinstance(renewed.err_value, errors.AuthorityLostError):
+                self._mark_lost("the service reported that it has expired")
             else:
                 failures_count += 1
-                logger.warning("lease not renewed: {}", kept.err_value)
+                logger.warning("lease not renewed: {}", renewed.err_value)
 
     def _pause_s(self, failures_count: int) -> float:
         if failures_count:
             return http_calls.full_jitter_s(
                 failures_count,
                 base_s=_RETRY_BASE_S,
-                limit_s=self._ttl_s / _RETRIES_IN_TTL_COUNT,
+                limit_s=self._ttl_s / _RETRIES_PER_TTL_COUNT,
             )
         jitter = random.uniform(1.0 - _RENEWAL_JITTER_SHARE, 1.0)
-        return self._ttl_s / _RENEWALS_IN_TTL_COUNT * jitter
+        return self._ttl_s / _RENEWALS_PER_TTL_COUNT * jitter
 
-    def _wait_for_lapse(self) -> None:
-        """Loses the lease on time, also while a renewal waits for an answer.
+    def _wait_for_expiry(self) -> None:
+        """Marks the lease as lost when it expires, even during a renewal.
 
-        A renewal in an outage may block for longer than the lease lasts;
-        left to it, the callback would come after another holder's grant.
+        In an outage, a renewal may block for longer than the lease lasts. If
+        the loss were reported only afterwards, another holder could already
+        have the lease's keys.
         """
         while not self._is_lost:
             left_s = self._valid_until_s - self._clock.monotonic_s()
             if left_s <= 0:
-                self._lose("it was not renewed in time")
+                self._mark_lost("not renewed in time")
                 return
             gevent.sleep(left_s)
 
-    def _extend(self, sent_s: float, ttl_s: float) -> None:
+    def _extend_validity(self, sent_s: float, ttl_s: float) -> None:
         if self._is_lost:
             return
         self._valid_until_s = max(self._valid_until_s, sent_s + ttl_s)
@@ -205,22 +211,22 @@
             self._on_renewed(self._valid_until_s)
 
     def _on_restored(self) -> None:
-        # The service has lost the lease and its keys, and may give them to
-        # another any moment. It may give out the same id again, too: renewed,
-        # this one would look alive.
-        self._lose("the service is back from an older copy")
+        # The service may have lost the lease and given its keys to another
+        # holder. It may also assign the same lease id again, so that renewing
+        # this lease would seem to succeed.
+        self._mark_lost("the service was restored from an older copy")
 
-    def _lose(self, reason: str) -> None:
+    def _mark_lost(self, reason: str) -> None:
         if self._is_lost:
             return
         message = f"lease {self._lease_id} of {self._purpose}: {reason}"
-        self._forget()
+        self._clear()
         logger.warning("{}", message)
         if self._on_lost is not None:
             self._on_lost(errors.AuthorityLostError(message))
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self._client.forget_restored(self._on_restored)
         self._is_lost = True
         self._lease_id = 0
-        self._valid_until_s = _NEVER_S
+        self._valid_until_s = _NOT_HELD_S
--- a/src/mulberrywharf/platform_service/outage.py
+++ b/src/mulberrywharf/platform_service/outage.py
@@ -1,47 +1,57 @@
-"""When the key-value service was last in trouble, as far as calls tell.
+"""Estimates when the last outage of the key-value service ended.
 
-A call that fails says little about now: it may have been sent seconds ago. So
-the end of an outage lies between the sending of the last call that failed and
-the first answer behind it.
+The service may have recovered while a failed call was still waiting for its
+timeout. The end of an outage therefore lies between the time at which the last
+failed call was sent and the first response after that.
 """
 
 import math
 
-UNSURE_S = 0.75
-"""How long behind the sending of the last failed call an outage is believed to
-last at the most, if no answer ends it before. A gateway in an outage sends a
-call every half second or so, its two watches and its renewals together; a
-server is kept for 2 s behind the end, and operators excuse work at a server
-that left for 3 s behind it."""
+OUTAGE_EXPIRY_S = 0.75
+"""An outage is assumed to end at most this long after the last failed call was
+sent, even without a response. During an outage a gateway sends a call about
+every 0.5 s: its two watches and its lease renewals. It keeps servers for 2 s
+after an outage, and operators accept requests to a server that has left for 3 s
+after it."""
 
 
 class LastOutage:
-    """The last time in which calls failed."""
+    """The last period in which calls to the service failed."""
 
     def __init__(self) -> None:
-        self._failed_sent_s = -math.inf
-        self._answered_s: float | None = None
+        self._last_failure_sent_s = -math.inf
+        self._first_answer_s: float | None = None
 
-    def failed(self, sent_s: float) -> None:
-        """Notes that a call was not carried out.
+    def record_failure(self, sent_s: float) -> None:
+        """Records that a call failed.
 
-        A call that was sent before the service answered another one is news
-        of an outage that is known to be over. Taken for a new one it kept
-        servers that had left in use for a second longer.
+        A failed call that was sent before the response that ended the last
+        outage belongs to that outage. When it counted as a new outage, servers
+        that had left stayed in use for 1 s longer.
 
         Args:
-            sent_s: When it was sent.
+            sent_s: Monotonic time at which the call was sent.
         """
-        self._failed_sent_s = max(self._failed_sent_s, sent_s)
-        if self._answered_s is not None and sent_s > self._answered_s:
-            self._answered_s = None
+        self._last_failure_sent_s = max(self._last_failure_sent_s, sent_s)
+        if self._first_answer_s is not None and sent_s > self._first_answer_s:
+            self._first_answer_s = None
 
-    def answered(self, now_s: float) -> None:
-        """Notes that the service decided about a call, also by refusing it."""
-        if self._answered_s is None:
-            self._answered_s = now_s
+    def record_answer(self, now_s: float) -> None:
+        """Records that the service responded, even if it rejected the call.
+
+        Args:
+            now_s: Current monotonic time.
+        """
+        if self._first_answer_s is None:
+            self._first_answer_s = now_s
 
     def age_s(self, now_s: float) -> float:
-        """Returns how long ago it ended, inf if there was none."""
-        ended_s = now_s if self._answered_s is None else self._answered_s
-        return now_s - min(ended_s, self._failed_sent_s + UNSURE_S)
+        """Returns the seconds since the last outage ended, or inf.
+
+        Args:
+            now_s: Current monotonic time.
+        """
+        ended_s = (
+            now_s if self._first_answer_s is None else self._first_answer_s
+        )
+        return now_s - min(ended_s, self._last_failure_sent_s + OUTAGE_EXPIRY_S)
--- a/src/mulberrywharf/platform_service/watch.py
+++ b/src/mulberrywharf/platform_service/watch.py
@@ -1,7 +1,7 @@
-"""One long watch on the keys under a prefix.
+"""A long-running watch on the keys with a prefix.
 
-A waiting watch is one call however long it waits, so a node that watches
-costs the service nothing while nothing changes.
+A watch is billed as one call however long it waits, so it costs the service
+nothing while no key changes.
 """
 
 import contextlib
@@ -26,48 +26,55 @@
     from mulberrywharf.platform_service.key_value import KeyValueClient
 
 REOPEN_S = 60.0
-"""A watch that has been silent so long is opened again.
+"""Default time without data after which a watch is reopened.
 
-A service that hangs, or a middlebox that keeps the connection while the
-service is gone, looks like a quiet time. One would notice only that changes
-no longer arrive; reopening bounds how long that lasts.
+If the service hangs, or a middlebox keeps the connection open after the service
+is gone, the watch looks as if no key changed. Reopening it limits for how long
+changes are missed.
 """
 
-_REOPEN_SHARE = (0.75, 1.0)
-"""Part of the longest silence that a watch is given, drawn for each one."""
+_SILENCE_SHARE_RANGE = (0.75, 1.0)
+"""Range of a random factor by which each stream's silence timeout is shortened,
+so that watches are not reopened in step."""
 
 BRIEF_REOPEN_S = 2.0
-"""For what must be in force within seconds. A service that drops its history
-may leave a watch that waits without a word, and a change made in that moment
-then comes with the next opening: with 10 s, routes were seen 7 s late.
-Operators are promised 2 s, counted from 3 s after such a moment: with 0.4 s
-for the answer and a first pause of up to 0.5 s a change comes within 2.9 s. A
-node that hears of changes from others may wait longer, see ``hurry``."""
+"""Silence timeout for changes that must take effect within seconds.
+
+A service that drops its history may stop serving a waiting watch without an
+error. A change at that moment then arrives only when the watch is reopened:
+with 10 s, routes arrived 7 s late. Operators are promised changes within 2 s,
+counted from 3 s after such a moment. With 0.4 s for the response and a first
+backoff of up to 0.5 s, a change arrives within 2.9 s. A node that hears of
+changes from other nodes may wait longer, see ``hurry``.
+"""
 
 PROMPT_REOPEN_S = 1.2
-"""The same for what one node hears for many: with 0.4 s for the answer and a
-first pause of up to 0.5 s a change comes within 2.1 s, which leaves the time to
-tell it to nodes that wait longer."""
+"""Silence timeout of a node that passes changes on to other nodes.
+
+With 0.4 s for the response and a first backoff of up to 0.5 s, a change arrives
+within 2.1 s. This leaves time to notify nodes whose watches wait longer.
+"""
 
 _BACKOFF_BASE_S = 0.25
 _BACKOFF_LIMIT_S = 1.0
-"""With the wait for an answer it bounds how long after the return of the
-service a node learns of a change; operators are promised 2 s, counted from 3 s
-after the return. The two watches of 340 nodes that try every second or so stay
-under the service's 2,000 reads/s."""
+"""Together with the response timeout, this limits how long after an outage a
+node misses a change. Operators are promised changes within 2 s, counted from
+3 s after the outage. The two watches of each of 340 nodes, retried about once a
+second, stay under the service's limit of 2,000 reads/s."""
 
 
 RESTORED_SPREAD_S = 0.5
-"""When the service is back from an older copy all nodes read anew. Spread over
-this time, the two readings of 340 nodes stay under its 2,000 reads/s."""
+"""After a restore of the service, all nodes read their keys again. Spread over
+this time, the two reads of each of 340 nodes stay under the service's limit of
+2,000 reads/s."""
 
 
 class Patience(NamedTuple):
-    """How long a watch waits.
+    """Timeouts of a watch.
 
     Attributes:
-        silence_s: Longest silence that is believed.
-        pause_s: Bound of the pause behind a failure.
+        silence_s: Time in seconds without data after which it is reopened.
+        pause_s: Upper bound in seconds of the backoff after a failure.
     """
 
     silence_s: float = REOPEN_S
@@ -75,24 +82,26 @@
 
 
 BRIEF = Patience(BRIEF_REOPEN_S)
-"""For what must be in force within seconds."""
+"""Timeouts for changes that must take effect within seconds."""
 
 PROMPT = Patience(PROMPT_REOPEN_S)
-"""For what must be in force within seconds also where it is heard of others."""
+"""Timeouts for changes that must take effect within seconds at other nodes too,
+which this node notifies."""
 
 
-class _Hurried(gevent.GreenletExit):
-    """The watch is to be opened again at once."""
+class _ReopenRequested(gevent.GreenletExit):
+    """Interrupts a waiting watch so that it is reopened at once."""
 
 
 class Watch:
-    """Reports each key under a prefix, first as it is, then as it changes.
-
-    Each change is reported at least once and in the order of revisions;
-    changes that follow closely may be seen as the last of them only, after
-    a cut. When the service has dropped the history that the watch missed, or
-    comes back behind what it already reported, the prefix is read again and
-    the differences are reported; see ``WatchEvent.is_restored``.
+    """Reports all keys with a prefix, then each change to them.
+
+    Each change is reported at least once, ordered by revision. After an
+    interruption, several changes to one key may be reported as one, with the
+    latest value. If the service no longer has the changes that the watch
+    missed, or was restored to an older state than already reported, the keys
+    are read again and the differences are reported; see
+    ``WatchEvent.is_restored``.
     """
 
     def __init__(
@@ -109,88 +118,88 @@
         self._on_change = on_change
         self._purpose = purpose
         self._patience = patience
-        self._known: dict[str, KeyValue] = {}
-        self._state: ServiceState | None = None
-        self._is_stale = False
+        self._reported: dict[str, KeyValue] = {}
+        self._position: ServiceState | None = None
+        self._needs_resync = False
         self._failures_count = 0
         self._opened_count = 0
         self._changed_revision = 0
         self._answered_s = float("-inf")
-        self._is_waiting = False
+        self._is_interruptible = False
         self._stream: dialect.WatchStream | None = None
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the watch."""
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends the watch; no callback runs afterwards."""
-        self._client.forget_watch(self)
+        """Stops the watch; no callback runs afterwards."""
+        self._client.remove_watch(self)
         if self._greenlet is not None:
             self._greenlet.kill()
 
     @property
     def changed_revision(self) -> int:
-        """Revision of the last change that was reported, 0 before that."""
+        """Revision of the last reported change, 0 before the first."""
         return self._changed_revision
 
     @property
     def seen_revision(self) -> int:
         """Revision up to which every change has been reported."""
-        revision = self._state.revision if self._state else 0
+        revision = self._position.revision if self._position else 0
         return max(revision, self._changed_revision)
 
     @property
     def age_s(self) -> float:
-        """How long ago the service last answered it, inf before."""
+        """Seconds since the last message of the watch, or inf."""
         return time.monotonic() - self._answered_s
 
     def hurry(self) -> None:
-        """Opens the watch again if it waits for a change.
+        """Reopens the watch at once if it is waiting for a change.
 
-        For a node that knows of a change which this watch should have
-        brought: the service has left it without a word. A message that has
-        begun to come is awaited: a large document takes a second on a slow
-        link, and would be sent from its beginning again. So is a call that is
-        about to leave.
+        A node calls this if it knows of a change that the watch should have
+        reported: the service may have stopped serving the watch without an
+        error. A message that is being received is not interrupted: a large
+        document takes 1 s on a slow link and would be sent again from the
+        start. Nor is a call that is about to be sent.
         """
         if self._stream is None or not self._stream.is_busy:
-            self._open_again()
+            self._reopen()
 
-    def _open_again(self) -> None:
-        if self._is_waiting and self._greenlet is not None:
-            self._greenlet.kill(_Hurried, block=False)
+    def _reopen(self) -> None:
+        if self._is_interruptible and self._greenlet is not None:
+            self._greenlet.kill(_ReopenRequested, block=False)
 
-    def start_anew(self) -> None:
-        """Reads the present again: the service is back from an older copy.
+    def resync(self) -> None:
+        """Reads all keys again, after a restore of the service.
 
-        Its revisions may have caught up with what was seen before the watch
-        asks again. It would then go on in a history that it never saw, and
-        miss every change up to there.
+        By the time the watch is reopened, the restored service may have
+        reached the last seen revision again. Resuming there would miss all
+        changes up to that revision.
         """
-        self._is_stale = True
-        self._open_again()
+        self._needs_resync = True
+        self._reopen()
 
     def _run(self) -> None:
         while True:
             try:
-                if not self._follow():
+                if not self._watch_once():
                     self._failures_count += 1
-                with self._waiting():
+                with self._interruptible():
                     gevent.sleep(self._pause_s())
-            except _Hurried:
+            except _ReopenRequested:
                 logger.bind(prefix=self._prefix).info("watch opened anew")
 
     @contextlib.contextmanager
-    def _waiting(self) -> Iterator[None]:
-        # Only these waits may be broken off: a callback would be left half
-        # done.
-        self._is_waiting = True
+    def _interruptible(self) -> Iterator[None]:
+        # ``_reopen`` interrupts the greenlet only in these waits. Elsewhere it
+        # could interrupt a callback halfway.
+        self._is_interruptible = True
         try:
             yield
         finally:
-            self._is_waiting = False
+            self._is_interruptible = False
 
     def _pause_s(self) -> float:
         return http_calls.full_jitter_s(
@@ -199,16 +208,20 @@
             limit_s=self._patience().pause_s,
         )
 
-    def _follow(self) -> bool:
-        """Reads if need be, then follows one stream until it ends."""
-        if self._is_stale:
+    def _watch_once(self) -> bool:
+        """Reads the keys if necessary, then watches one stream to its end.
+
+        Returns:
+            Whether the attempt succeeded; if not, the next delay is longer.
+        """
+        if self._needs_resync:
             gevent.sleep(random.uniform(0.0, RESTORED_SPREAD_S))
-            self._state = None
-        if self._state is None and not self._read():
+            self._position = None
+        if self._position is None and not self._read_present():
             return False
-        known = self._state or ServiceState(0, "")
-        # Drawn once, so that watches don't fall into step.
-        share = random.uniform(*_REOPEN_SHARE)
+        known = self._position or ServiceState(0, "")
+        # Drawn once per stream, so that watches are not reopened in step.
+        share = random.uniform(*_SILENCE_SHARE_RANGE)
         opened = self._client.open_watch(
             dialect.WatchRequest(
                 self._prefix,
@@ -236,12 +249,13 @@
             self._stream = None
             stream.close()
 
-    def _read(self) -> bool:
-        is_restored, self._is_stale = self._is_stale, False
+    def _read_present(self) -> bool:
+        is_restored, self._needs_resync = self._needs_resync, False
         read = self._client.read_for_watch(self._prefix, purpose=self._purpose)
-        if isinstance(read, Err) or self._is_stale:
-            # Restored while it was read: pages may be of two histories.
-            self._is_stale = self._is_stale or is_restored
+        if isinstance(read, Err) or self._needs_resync:
+            # If the service was restored during the read, the pages may mix
+            # states from before and after the restore.
+            self._needs_resync = self._needs_resync or is_restored
             return False
         found, state = read.ok_value
         if is_restored:
@@ -250,51 +264,51 @@
                 before_revision=self.seen_revision,
                 revision=state.revision,
             ).info("the present is read from the older copy")
-            # Revisions are counted anew.
+            # The restored service may assign lower revisions.
             self._changed_revision = 0
         self._report_differences(found, is_restored=is_restored)
-        self._state = state
+        self._position = state
         return True
 
     def _report_differences(
         self, found: Iterable[KeyValue], *, is_restored: bool
     ) -> None:
         present = {kv.key: kv for kv in found}
-        for key in sorted(self._known.keys() - present.keys()):
-            gone = self._known[key]._replace(value=b"")
-            self._report(WatchEvent("delete", gone, is_restored))
+        for key in sorted(self._reported.keys() - present.keys()):
+            deleted = self._reported[key]._replace(value=b"")
+            self._report(WatchEvent("delete", deleted, is_restored))
         for kv in sorted(present.values(), key=lambda kv: kv.mod_revision):
-            if self._known.get(kv.key) != kv:
+            if self._reported.get(kv.key) != kv:
                 self._report(WatchEvent("put", kv, is_restored))
 
     def _consume(self, stream: dialect.WatchStream) -> bool:
-        """Reports what the stream brings; False if it brought nothing."""
-        brought_any = False
+        """Reports the stream's events; returns False if no message came."""
+        has_messages = False
         while True:
-            with self._waiting():
+            with self._interruptible():
                 message = stream.read()
-            if message is None or self._is_stale:
-                return brought_any
+            if message is None or self._needs_resync:
+                return has_messages
             if not self._is_continuous(message):
                 logger.bind(
                     prefix=self._prefix,
                     seen=self.seen_revision,
                     age_s=round(self._client.age_s(), 3),
-                ).info("history was dropped: the present is read instead")
-                # The service answered, so the next call need not wait for
-                # the long pause behind failures: with it the present was read
-                # up to a second later, and a server that had left used so
-                # long. With the short one it is read within 0.25 s.
-                self._note_regained()
-                self._state = None
+                ).info("history was dropped: reading the current keys instead")
+                # The service responded, so the backoff is reset and the keys
+                # are read within 0.25 s. With the backoff of earlier failures
+                # they were read up to 1 s later, and a server that had left
+                # stayed in use that long.
+                self._clear_failures()
+                self._position = None
                 return True
-            self._note_regained()
+            self._clear_failures()
             self._answered_s = time.monotonic()
-            brought_any = True
-            self._client.note_watch_message()
-            self._take_events(message)
+            has_messages = True
+            self._client.record_watch_message()
+            self._handle_events(message)
 
-    def _note_regained(self) -> None:
+    def _clear_failures(self) -> None:
         if self._failures_count:
             logger.bind(
                 prefix=self._prefix, failures_count=self._failures_count
@@ -302,42 +316,41 @@
         self._failures_count = 0
 
     def _is_continuous(self, message: dialect.WatchMessage) -> bool:
-        """Tells whether the stream goes on where this watch stopped.
+        """Returns whether the stream continues where this watch stopped.
 
-        It does not when the history in between was dropped. Another
-        cluster id or a lower revision means that the service came back with
-        older data: resumed as if nothing had happened, the watch would stay
-        silent until the service had caught up, and miss every change on the
-        way.
+        It does not if the service no longer has the changes in between, or if
+        it was restored: then its cluster id has changed or its revision is
+        lower. A watch resumed after a restore would miss all changes until
+        the service reached the old revision again.
         """
         if message.is_canceled:
             return False
         state = message.state
-        held = self._state
-        return held is None or (
-            state.cluster_id == held.cluster_id
-            and state.revision >= held.revision
+        position = self._position
+        return position is None or (
+            state.cluster_id == position.cluster_id
+            and state.revision >= position.revision
         )
 
-    def _take_events(self, message: dialect.WatchMessage) -> None:
+    def _handle_events(self, message: dialect.WatchMessage) -> None:
         for event in message.events:
             self._report(event)
-        # The first message shows where the service stands, not what it has
-        # sent: taken as progress it would skip the changes in between.
-        if not message.is_start:
-            self._state = message.state
+        # A confirmation contains the service's current revision, but changes
+        # before it may not have been sent yet. Resuming there would skip them.
+        if not message.is_confirmation:
+            self._position = message.state
 
     def _report(self, event: WatchEvent) -> None:
         self._changed_revision = max(
             self._changed_revision, event.key_value.mod_revision
         )
         if event.kind == "put":
-            self._known[event.key_value.key] = event.key_value
+            self._reported[event.key_value.key] = event.key_value
         else:
-            self._known.pop(event.key_value.key, None)
+            self._reported.pop(event.key_value.key, None)
         try:
             self._on_change(event)
         except Exception:
-            # A callback that fails must not end the watch: the node would
-            # go on with its last configuration and nobody would notice.
-            logger.exception("a watch callback failed on {}", self._prefix)
+            # A failing callback must not end the watch. Otherwise the node
+            # would keep its last configuration and nobody would notice.
+            logger.exception("watch callback failed on {}", self._prefix)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -51,34 +51,34 @@
 
     def test_a_later_era_is_a_restore_once(self) -> None:
         for told in ("3", "3", "4", "4"):
-            self.assertTrue(self.era.note(told))
+            self.assertTrue(self.era.observe(told))
         self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 1)
 
     def test_an_answer_of_an_older_era_counts_for_nothing(self) -> None:
-        self.era.note("4")
-        self.assertFalse(self.era.note("3"))
+        self.era.observe("4")
+        self.assertFalse(self.era.observe("3"))
         self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 0)
 
     def test_what_tells_no_era_changes_no_belief(self) -> None:
-        self.era.note("4")
+        self.era.observe("4")
         for told in (None, "", "x", "-1", "5.0", "\u0665", "1e3"):
             with self.subTest(told=told):
-                self.assertTrue(self.era.note(told))
+                self.assertTrue(self.era.observe(told))
                 self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 0)
 
     def test_a_store_that_begins_to_tell_its_era_may_be_restored(self) -> None:
-        self.era.note(None)
-        self.era.note("1")
+        self.era.observe(None)
+        self.era.observe("1")
         self.assertEqual(self.restored_count, 1)
 
     def test_who_was_closed_is_not_called(self) -> None:
-        self.era.forget(self.note)
-        self.era.forget(self.note)
-        self.era.note("1")
-        self.era.note("2")
+        self.era.remove_callback(self.note)
+        self.era.remove_callback(self.note)
+        self.era.observe("1")
+        self.era.observe("2")
         self.assertEqual(self.restored_count, 0)
 
 
