--- a/src/mulberrywharf/platform_service/gateway.py
+++ b/src/mulberrywharf/platform_service/gateway.py
@@ -89,7 +89,10 @@
             endpoint.close()
 
     def age_s(self) -> float:
-        """Returns the seconds since the last successful call, or inf."""
+        """Returns the seconds since a call last succeeded, or inf.
+
+        A watch message counts as a successful call.
+        """
         return self._clock.monotonic_s() - self._answered_s
 
     def trouble_age_s(self) -> float:
@@ -200,15 +203,15 @@
         if answer.status == 200:
             self.record_success()
             return Ok(answer.body)
-        refusal = _error_for_status(endpoint.name, call, answer)
-        if isinstance(refusal, errors.PlatformRefusedError):
+        error = _error_for_status(endpoint.name, call, answer)
+        if isinstance(error, errors.PlatformRefusedError):
             self._outage.record_answer(self._clock.monotonic_s())
         elif answer.status != _RATE_EXCEEDED_STATUS:
             # A rate-limited service still serves other callers. When this
             # status counted as an outage, a server that left just after it
-            # stayed in use for 2 s longer although the service was available.
+            # stayed in use for 2 s longer although there was no outage.
             self._outage.record_failure(sent_s)
-        return Err(refusal)
+        return Err(error)
 
     def try_charge(self, purpose: str) -> bool:
         """Charges a call to a budget; returns False if the budget is spent."""
@@ -221,20 +224,20 @@
 class Poll:
     """Long-polling calls that reuse one connection."""
 
-    def __init__(self, calls: Gateway, endpoint: http_calls.HttpCalls):
-        self._calls = calls
+    def __init__(self, gateway: Gateway, endpoint: http_calls.HttpCalls):
+        self._gateway = gateway
         self._endpoint = endpoint
 
     def send(self, call: Call) -> Result[dict[str, Any], errors.PlatformError]:
         """Sends one call, without retries."""
-        if not self._calls.try_charge(call.purpose):
+        if not self._gateway.try_charge(call.purpose):
             return Err(_budget_exceeded_error(call.purpose))
-        return self._calls.send_once(self._endpoint, call)
+        return self._gateway.send_once(self._endpoint, call)
 
     @property
     def era(self) -> int:
         """Newest era of the service seen on any connection."""
-        return self._calls.era.current
+        return self._gateway.era.current
 
     @property
     def is_receiving(self) -> bool:
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -98,7 +98,7 @@
         Successful calls and watch messages count; rejected calls don't, as a
         service that rejects everything is as good as unavailable. In a process
         that sends no calls only watches update this value, and they may be
-        silent for up to ``watch.REOPEN_S``.
+        silent for up to their silence timeout.
         """
         return self._gateway.age_s()
 
@@ -122,8 +122,9 @@
     def on_restored(self, callback: Callable[[], None]) -> None:
         """Registers a callback for restores of the service from an older copy.
 
-        A restore may lose leases and keys, replace newer values by older ones
-        and assign the same revisions again.
+        After a restore, earlier leases and their keys are gone, revisions may
+        be assigned again, and a key may have an older value than one already
+        seen.
         """
         self._gateway.era.on_restored(callback)
 
--- a/src/mulberrywharf/platform_service/lease.py
+++ b/src/mulberrywharf/platform_service/lease.py
@@ -211,9 +211,9 @@
             self._on_renewed(self._valid_until_s)
 
     def _on_restored(self) -> None:
-        # The service may have lost the lease and given its keys to another
-        # holder. It may also assign the same lease id again, so that renewing
-        # this lease would seem to succeed.
+        # The restored service no longer has the lease, and may give its keys
+        # to another holder at any moment. It may also assign the same lease id
+        # again, so that renewing this lease would seem to succeed.
         self._mark_lost("the service was restored from an older copy")
 
     def _mark_lost(self, reason: str) -> None:
--- a/src/mulberrywharf/platform_service/outage.py
+++ b/src/mulberrywharf/platform_service/outage.py
@@ -10,9 +10,9 @@
 OUTAGE_EXPIRY_S = 0.75
 """An outage is assumed to end at most this long after the last failed call was
 sent, even without a response. During an outage a gateway sends a call about
-every 0.5 s: its two watches and its lease renewals. It keeps servers for 2 s
-after an outage, and operators accept requests to a server that has left for 3 s
-after it."""
+every 0.5 s: its two watches and its lease renewals. It keeps all servers for
+2 s after an outage, and operators accept requests to a server that has left for
+3 s after it."""
 
 
 class LastOutage:
--- a/src/mulberrywharf/platform_service/watch.py
+++ b/src/mulberrywharf/platform_service/watch.py
@@ -1,6 +1,6 @@
 """A long-running watch on the keys with a prefix.
 
-A watch is billed as one call however long it waits, so it costs the service
+A waiting watch is a single call, however long it waits. So it costs the service
 nothing while no key changes.
 """
 
@@ -29,13 +29,13 @@
 """Default time without data after which a watch is reopened.
 
 If the service hangs, or a middlebox keeps the connection open after the service
-is gone, the watch looks as if no key changed. Reopening it limits for how long
+is gone, the watch looks as if no key changed. Reopening it limits how long
 changes are missed.
 """
 
 _SILENCE_SHARE_RANGE = (0.75, 1.0)
-"""Range of a random factor by which each stream's silence timeout is shortened,
-so that watches are not reopened in step."""
+"""Range of the random factor by which each stream's silence timeout is
+multiplied, so that watches are not reopened in step."""
 
 BRIEF_REOPEN_S = 2.0
 """Silence timeout for changes that must take effect within seconds.
@@ -45,7 +45,7 @@
 with 10 s, routes arrived 7 s late. Operators are promised changes within 2 s,
 counted from 3 s after such a moment. With 0.4 s for the response and a first
 backoff of up to 0.5 s, a change arrives within 2.9 s. A node that hears of
-changes from other nodes may wait longer, see ``hurry``.
+changes from other nodes may wait longer, as it then reopens its watch.
 """
 
 PROMPT_REOPEN_S = 1.2
@@ -57,10 +57,10 @@
 
 _BACKOFF_BASE_S = 0.25
 _BACKOFF_LIMIT_S = 1.0
-"""Together with the response timeout, this limits how long after an outage a
-node misses a change. Operators are promised changes within 2 s, counted from
-3 s after the outage. The two watches of each of 340 nodes, retried about once a
-second, stay under the service's limit of 2,000 reads/s."""
+"""Together with the response timeout, this limits the delay from the end of an
+outage until a node learns of a change. Operators are promised changes within
+2 s, counted from 3 s after the outage. The two watches of each of 340 nodes,
+retried about once a second, stay under the service's limit of 2,000 reads/s."""
 
 
 RESTORED_SPREAD_S = 0.5
@@ -85,8 +85,8 @@
 """Timeouts for changes that must take effect within seconds."""
 
 PROMPT = Patience(PROMPT_REOPEN_S)
-"""Timeouts for changes that must take effect within seconds at other nodes too,
-which this node notifies."""
+"""Timeouts for changes that must take effect within seconds, also at the nodes
+that this node notifies."""
 
 
 class _ReopenRequested(gevent.GreenletExit):
--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -1,4 +1,4 @@
-"""Builders of test data around the platform's services."""
+"""Test data and fixtures for the platform's services."""
 
 import base64
 import contextlib
--- a/tests/test_key_value.py
+++ b/tests/test_key_value.py
@@ -1,4 +1,4 @@
-"""The key-value client against the stand-in, in fair and foul weather."""
+"""Tests the key-value client against the stand-in, with and without faults."""
 
 import unittest
 from unittest import mock
@@ -78,11 +78,11 @@
         self.assertIsInstance(refused, errors.PlatformRefusedError)
         self.assertEqual(self.service.calls_by_kind["txn"], 0)
 
-    def test_lost_answer_leaves_a_write_unknown(self) -> None:
-        """Symptom: a write is taken for failed and done twice.
+    def test_lost_response_makes_write_outcome_unknown(self) -> None:
+        """Guards against writing twice after a lost response.
 
-        Sequence: the service writes, the connection closes before the
-        answer. Cause: a lost answer read as "nothing was written".
+        The service executes the write and the connection closes before the
+        response, which was treated as "nothing was written".
         """
         self.service.set_faults(lose_answers_count=1)
         lost = self.client.compare_and_swap(
@@ -93,11 +93,11 @@
         self.assertIsNotNone(found)
         self.assertEqual(self.service.calls_by_kind["txn"], 1)
 
-    def test_late_write_lands_after_its_author_gave_up(self) -> None:
-        """Symptom: a write that "failed" changes a key seconds later.
+    def test_timed_out_write_may_still_be_executed(self) -> None:
+        """Guards against a write that is reported as failed but takes effect.
 
-        Sequence: the service is slow, the client's timeout passes, the
-        service then writes. Cause: a timeout read as "nothing was written".
+        The service executes the write only after the client's timeout, which
+        was treated as "nothing was written".
         """
         self.service.set_faults(delay_s=0.6)
         late = self.client.compare_and_swap(
@@ -109,11 +109,11 @@
             builders.wait_until(lambda: self.service.log()["history"])
         )
 
-    def test_failures_that_wrote_nothing_say_so(self) -> None:
-        """Symptom: in an outage every write ends as "outcome unknown".
+    def test_unexecuted_write_is_reported_unavailable(self) -> None:
+        """Guards against "outcome unknown" for all writes in an outage.
 
-        Sequence: the service refuses connections, or answers that it takes
-        no writes. Cause: all failures of a call treated alike.
+        The service refuses connections, or responds that it accepts no writes.
+        All failures of a call were treated alike.
         """
         self.service.set_faults(refuse_writes=True)
         refused = self.client.compare_and_swap(
@@ -134,20 +134,20 @@
                 read = self.client.get("/a", purpose="test").unwrap_err()
                 self.assertIsInstance(read, errors.PlatformUnavailableError)
 
-    def test_age_counts_from_the_last_answer(self) -> None:
-        """An operator asks how old a node's picture of the service is.
+    def test_age_counts_from_the_last_successful_call(self) -> None:
+        """Guards against an unknown age of the data that a node has.
 
-        Symptom: the age of every node is unknown, also in an outage.
-        Sequence: calls answer, then the service goes away and comes back.
-        Cause: nobody noted when the service last did what it was asked.
+        Operators ask for this age in an outage. Calls succeed, the service
+        becomes unavailable and recovers; the time of the last successful call
+        was not recorded.
         """
-        hands = mock.Mock()
-        hands.monotonic_s.return_value = 100.0
+        mock_clock = mock.Mock()
+        mock_clock.monotonic_s.return_value = 100.0
         client = key_value.KeyValueClient(
             [builders.endpoint(self.service.port)],
             timeout_s=0.3,
             purpose_budgets={"test": builders.GENEROUS},
-            system_clock=hands,
+            system_clock=mock_clock,
         )
         self.addCleanup(client.close)
         self.assertEqual(client.age_s(), float("inf"))
@@ -159,12 +159,12 @@
         )
         for now_s, faults, age_s in steps:
             with self.subTest(now_s=now_s, faults=faults):
-                hands.monotonic_s.return_value = now_s
+                mock_clock.monotonic_s.return_value = now_s
                 self.service.set_faults(**faults)
                 client.delete("/a", purpose="test")
                 self.assertEqual(client.age_s(), age_s)
 
-    def test_next_endpoint_answers(self) -> None:
+    def test_unreachable_endpoint_falls_back_to_the_next(self) -> None:
         closed = builders.closed_port()
         client = builders.client_for(closed, self.service.port)
         self.addCleanup(client.close)
@@ -179,11 +179,11 @@
         self.assertIsInstance(refused, errors.PlatformUnavailableError)
         self.assertEqual(self.service.calls_by_kind["range"], 1)
 
-    def test_killed_callers_use_up_no_connection(self) -> None:
-        """Symptom: after days, every call of a process waits for ever.
+    def test_killed_callers_leak_no_call_slot(self) -> None:
+        """Guards against calls that block forever after days of operation.
 
-        Sequence: the service stops reading, greenlets are killed while they
-        send. Cause: the library's pool keeps their places.
+        The service stops reading and greenlets are killed while they send. The
+        library's connection pool did not release their slots.
         """
         with (
             builders.listener_that_never_reads() as port,
@@ -201,11 +201,11 @@
             self.assertTrue(last.ready())
             self.assertIsInstance(last.value, Err)
 
-    def test_spent_budget_of_one_purpose_leaves_others(self) -> None:
-        """Symptom: a lease lapses although the service is well.
+    def test_spent_budget_does_not_affect_other_purposes(self) -> None:
+        """Guards against losing a lease while the service is available.
 
-        Sequence: a loop elsewhere in the process retries at once and uses
-        up the rate that the service allows. Cause: one budget for all.
+        A loop elsewhere in the process retries without a delay and uses up the
+        call rate that the service allows, if all purposes share one budget.
         """
         client = key_value.KeyValueClient(
             [builders.endpoint(self.service.port)],
@@ -219,7 +219,7 @@
         self.assertEqual(self.service.calls_by_kind["range"], 3)
         self.assertIsInstance(client.get("/a", purpose="lease"), Ok)
 
-    def test_service_over_its_rate_wrote_nothing(self) -> None:
+    def test_rate_limited_write_is_not_executed(self) -> None:
         with builders.running_key_value(writes_per_s=1.0) as service:
             client = builders.client_for(service.port)
             self.addCleanup(client.close)
@@ -265,7 +265,7 @@
         builders.wait_until(lambda: len(self.events) >= len(expected))
         self.assertEqual(self.seen(), list(expected))
 
-    def test_reports_what_is_there_then_changes(self) -> None:
+    def test_reports_existing_keys_then_changes(self) -> None:
         revision = self.put("/a1", b"1")
         self.watch()
         self.put("/b", b"other")
@@ -275,28 +275,28 @@
             ("put", "/a1", b"1"), ("put", "/a1", b"2"), ("delete", "/a1", b"")
         )
 
-    def test_what_a_watch_brings_counts_as_an_answer(self) -> None:
-        hands = mock.Mock()
-        hands.monotonic_s.return_value = 100.0
+    def test_watch_message_resets_the_age(self) -> None:
+        mock_clock = mock.Mock()
+        mock_clock.monotonic_s.return_value = 100.0
         watching = key_value.KeyValueClient(
-            [builders.endpoint(self.service.port)], system_clock=hands
+            [builders.endpoint(self.service.port)], system_clock=mock_clock
         )
         self.addCleanup(watching.close)
         watching.watch("/a", self.events.append, purpose="test")
         revision = self.put("/a1", b"0")
         self.assert_sees(("put", "/a1", b"0"))
         self.events.clear()
-        hands.monotonic_s.return_value = 130.0
+        mock_clock.monotonic_s.return_value = 130.0
         self.assertEqual(watching.age_s(), 30.0)
         self.put("/a1", b"1", revision)
         self.assert_sees(("put", "/a1", b"1"))
         self.assertEqual(watching.age_s(), 0.0)
 
-    def test_change_during_a_cut_is_reported_once(self) -> None:
-        """Symptom: a node misses the change made while its watch was cut.
+    def test_change_during_an_interruption_is_reported_once(self) -> None:
+        """Guards against missing a change made while the watch is interrupted.
 
-        Sequence: the service ends the stream, a key changes, the watch
-        reconnects. Cause: a watch that starts again from "now".
+        The service ends the stream, a key changes, and the watch reconnects. It
+        must resume from the last seen revision, not from the current one.
         """
         self.watch()
         self.service.store.cut_watches()
@@ -308,31 +308,31 @@
         self.assert_sees(("put", "/a1", b"1"), ("put", "/a2", b"2"))
 
     def test_hung_watch_is_reopened(self) -> None:
-        """Symptom: a node misses every change and believes itself current.
+        """Guards against a node that misses all changes without noticing.
 
-        Sequence: the stream stays open and nothing comes any more. Cause:
-        silence taken for "nothing has changed", for ever.
+        The stream stays open but sends no more data, which was treated as
+        "nothing has changed" without a time limit.
         """
-        hung = watch.Watch(
+        watched = watch.Watch(
             self.client,
             "/a",
             self.events.append,
             purpose="test",
             patience=lambda: watch.Patience(0.5),
         )
-        self.addCleanup(hung.close)
-        hung.start()
+        self.addCleanup(watched.close)
+        watched.start()
         builders.wait_until(lambda: self.service.store.watchers)
         self.service.store.hang_watches()
         self.put("/a1", b"1")
         self.assert_sees(("put", "/a1", b"1"))
 
-    def test_falls_back_to_a_read_when_history_is_gone(self) -> None:
-        """Symptom: a node that was cut off for long never catches up.
+    def test_reads_all_keys_when_history_is_dropped(self) -> None:
+        """Guards against never catching up after a long interruption.
 
-        Sequence: the watch is cut, keys change, the service drops the
-        history, the watch resumes and is cancelled. Cause: resuming again
-        and again from a revision that is gone.
+        The watch is interrupted, keys change, and the service drops its
+        history, so it cancels the resumed watch. The watch kept resuming from
+        the dropped revision.
         """
         self.put("/a1", b"1")
         self.watch()
@@ -346,12 +346,12 @@
             ("put", "/a1", b"1"), ("delete", "/a1", b""), ("put", "/a2", b"2")
         )
 
-    def test_notices_a_service_that_lost_data_and_caught_up(self) -> None:
-        """Symptom: a watch stays silent about a key that has changed.
+    def test_detects_a_restore_after_revisions_caught_up(self) -> None:
+        """Guards against missing a changed key after a restore.
 
-        Sequence: the service is restored from a backup, takes writes until
-        its revision passes the watch's, the watch resumes there. Cause:
-        revisions compared across two histories.
+        The service is restored from a backup and executes writes until its
+        revision passes that of the watch, which then resumes. Revisions from
+        before and after the restore were compared with each other.
         """
         snapshot = self.service.snapshot()
         for index in range(5):
@@ -374,11 +374,11 @@
         builders.wait_until(lambda: len(self.events) >= len(expected))
         self.assertEqual(set(self.seen()), expected)
 
-    def test_reconnects_after_an_outage_without_a_storm(self) -> None:
-        """Symptom: the service falls over again as soon as it is back.
+    def test_reconnects_with_backoff_after_an_outage(self) -> None:
+        """Guards against overloading the service again after an outage.
 
-        Sequence: many watches are cut, the service stays down, all come
-        back. Cause: reconnecting at once and in step.
+        Many watches are interrupted and the service stays down. They
+        reconnected without a delay and at the same time.
         """
         clients = [builders.client_for(self.service.port) for _ in range(20)]
         for client in clients:
@@ -390,7 +390,7 @@
         self.service.set_faults(down=True)
         gevent.sleep(1.0)
         calls_count = sum(self.service.calls_by_kind.values())
-        # A loop without back-off would send thousands.
+        # A loop without backoff would send thousands of calls.
         self.assertLess(calls_count - calls_before_count, 20 * 20)
         self.service.set_faults()
         self.assertTrue(builders.wait_until(lambda: len(watchers) == 20))
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Holding a lease: until when it is sure, and how its loss is noticed."""
+"""Tests the validity of a lease and the detection of its loss."""
 
 import unittest
 
@@ -39,7 +39,7 @@
     def key_exists(self) -> bool:
         return bool(self.client.get(KEY, purpose="test").unwrap())
 
-    def test_is_kept_alive_beyond_its_length(self) -> None:
+    def test_renewals_extend_the_lease_beyond_its_ttl(self) -> None:
         holder = self.holder()
         holder.start().unwrap()
         holder.create_key(KEY, b"1").unwrap()
@@ -49,7 +49,7 @@
         self.assertEqual(self.renewed_s, sorted(self.renewed_s))
         self.assertEqual(self.lost, [])
 
-    def test_close_frees_the_key_at_once(self) -> None:
+    def test_close_deletes_the_key_immediately(self) -> None:
         holder = self.holder()
         holder.start().unwrap()
         holder.create_key(KEY, b"1").unwrap()
@@ -69,11 +69,11 @@
         new = second.create_key(KEY, b"2").unwrap()
         self.assertGreater(new.create_revision, old.create_revision)
 
-    def test_validity_counts_from_before_the_call(self) -> None:
-        """Symptom: two holders act at once for as long as a call took.
+    def test_validity_counts_from_before_the_grant_call(self) -> None:
+        """Guards against two valid holders for the duration of a call.
 
-        Sequence: the service grants, its answer is slow, the holder counts
-        the lease from the answer. Cause: the service counts from earlier.
+        The service grants the lease and responds slowly. The holder counted the
+        lease from the response, but the service counts from the grant.
         """
         self.service.set_faults(delay_s=0.4)
         before_s = clock.SystemClock().monotonic_s()
@@ -83,12 +83,12 @@
             holder.valid_until_monotonic_s, before_s + TTL_S + 0.1
         )
 
-    def test_gives_up_before_the_service_frees_the_key(self) -> None:
-        """Symptom: two controllers order one engine in an outage.
+    def test_lease_is_invalid_before_the_service_deletes_the_key(self) -> None:
+        """Guards against two controllers sending orders to one engine.
 
-        Sequence: renewals stop arriving, the lease lapses, another takes
-        the key while the first still believes itself valid. Cause: loss
-        noticed by a renewal's answer only, or not at all.
+        In an outage, renewals fail and the lease expires. Another controller
+        acquires the key while the first still considers its lease valid,
+        because it detects a loss only from the response to a renewal, or never.
         """
         for faults in ({"down": True}, {"delay_s": 30.0}):
             with self.subTest(faults=faults):
@@ -97,17 +97,17 @@
                 holder.start().unwrap()
                 holder.create_key(KEY, b"1").unwrap()
                 self.service.set_faults(**faults)
-                held = self.service.store.records
+                records = self.service.store.records
                 freed_while_valid = []
 
                 def is_over(
                     holder: lease.LeaseHolder = holder,
-                    held: dict = held,
-                    found: list = freed_while_valid,
+                    records: dict = records,
+                    violations: list = freed_while_valid,
                 ) -> bool:
-                    if KEY.encode() not in held and holder.is_valid():
-                        found.append(True)
-                    return bool(self.lost) and KEY.encode() not in held
+                    if KEY.encode() not in records and holder.is_valid():
+                        violations.append(True)
+                    return bool(self.lost) and KEY.encode() not in records
 
                 self.assertTrue(builders.wait_until(is_over))
                 self.assertEqual(freed_while_valid, [])
@@ -115,12 +115,12 @@
                 self.assertEqual(holder.lease_id, 0)
                 self.service.set_faults()
 
-    def test_loss_is_told_while_a_renewal_hangs(self) -> None:
-        """Symptom: a holder stops its work long after its lease lapsed.
+    def test_loss_is_reported_while_a_renewal_blocks(self) -> None:
+        """Guards against a holder that works long after its lease expired.
 
-        Sequence: the service accepts a renewal and does not answer; the
-        call's timeout is longer than the lease. Cause: loss noticed only
-        when the renewal returns.
+        The service accepts a renewal and does not respond, and the call's
+        timeout is longer than the lease. The loss was detected only when the
+        renewal returned.
         """
         client = builders.client_for(self.service.port, timeout_s=60.0)
         self.addCleanup(client.close)
@@ -132,7 +132,7 @@
             builders.wait_until(lambda: self.lost, limit_s=5 * TTL_S)
         )
 
-    def test_lapse_told_by_the_service_is_a_loss(self) -> None:
+    def test_expiry_reported_by_the_service_is_a_loss(self) -> None:
         holder = self.holder(ttl_s=LONG_TTL_S)
         lease_id = holder.start().unwrap()
         self.service.store.revoke(lease_id)
@@ -141,30 +141,33 @@
         )
         self.assertFalse(holder.is_valid())
 
-    def test_waking_from_a_pause_finds_the_lease_invalid(self) -> None:
-        """Symptom: a process that was paused acts on a lapsed lease.
+    def test_lease_is_invalid_after_a_process_pause(self) -> None:
+        """Guards against acting on an expired lease after a process pause.
 
-        Sequence: the process stops for longer than the lease, wakes, and
-        acts before any of its timers has run. Cause: a flag that only a
-        timer clears, where the clock should have been read.
+        The process is paused for longer than the lease, and acts before any of
+        its timers has run. Validity must be computed from the clock, not from a
+        flag that a timer clears.
         """
-        paused = _PausableClock()
+        pausable_clock = _PausableClock()
         holder = lease.LeaseHolder(
-            self.client, ttl_s=TTL_S, purpose="lease", system_clock=paused
+            self.client,
+            ttl_s=TTL_S,
+            purpose="lease",
+            system_clock=pausable_clock,
         )
         self.addCleanup(holder.close)
         holder.start().unwrap()
-        paused.skip_s(TTL_S)
+        pausable_clock.skip_s(TTL_S)
         self.assertFalse(holder.is_valid())
         refused = holder.create_key(KEY, b"1").unwrap_err()
         self.assertIsInstance(refused, errors.AuthorityLostError)
         self.assertFalse(self.key_exists())
 
-    def test_lost_answer_of_a_create_is_read_back(self) -> None:
-        """Symptom: nobody acts for a whole lease although one holder could.
+    def test_create_with_a_lost_response_is_read_back(self) -> None:
+        """Guards against no valid holder for the length of a lease.
 
-        Sequence: the key is created, the answer is lost, the holder meets
-        its own key and takes it for another's. Cause: no read-back by lease.
+        The key is created and the response is lost. Without comparing the lease
+        ids, the holder takes its own key for that of another holder.
         """
         holder = self.holder()
         holder.start().unwrap()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,8 +1,9 @@
-"""The store comes back from a copy some seconds old.
+"""Tests restores of the store from a copy that is some seconds old.
 
-What it had acknowledged since is gone, leases too, and it gives the same
-revisions out again. The operators and the servers write theirs anew; what the
-gateways believed, owned and promised must hold through it.
+A restore loses all leases and the writes that the store acknowledged since the
+copy, and assigns the same revisions again. Operators and servers write their
+records again. Meanwhile gateways must keep the state that they learned before,
+must not use leases that the restore ended, and must not miss changes.
 """
 
 import functools
@@ -30,13 +31,14 @@
 from tests import builders_routes as build
 
 KEY = documents.SERVERS_PREFIX + "i-1"
-SETTLED_S = 3.0
-"""Operators are promised the present so long behind the store's return."""
+RECOVERY_LIMIT_S = 3.0
+"""Operators are promised that gateways are up to date this long after the store
+is available again."""
 
-HOLD_S = 1.6
+MISSING_HOLD_S = 1.6
 
 
-def wait_for(condition: Any, limit_s: float = SETTLED_S) -> bool:
+def wait_for(condition: Any, limit_s: float = RECOVERY_LIMIT_S) -> bool:
     return builders_platform.wait_until(condition, limit_s)
 
 
@@ -44,39 +46,39 @@
     def setUp(self) -> None:
         self.era = era.ServiceEra()
         self.restored_count = 0
-        self.era.on_restored(self.note)
+        self.era.on_restored(self.count_restore)
 
-    def note(self) -> None:
+    def count_restore(self) -> None:
         self.restored_count += 1
 
-    def test_a_later_era_is_a_restore_once(self) -> None:
-        for told in ("3", "3", "4", "4"):
-            self.assertTrue(self.era.observe(told))
+    def test_newer_era_is_reported_as_one_restore(self) -> None:
+        for era_text in ("3", "3", "4", "4"):
+            self.assertTrue(self.era.observe(era_text))
         self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 1)
 
-    def test_an_answer_of_an_older_era_counts_for_nothing(self) -> None:
+    def test_older_era_is_rejected(self) -> None:
         self.era.observe("4")
         self.assertFalse(self.era.observe("3"))
         self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 0)
 
-    def test_what_tells_no_era_changes_no_belief(self) -> None:
+    def test_missing_or_malformed_era_changes_nothing(self) -> None:
         self.era.observe("4")
-        for told in (None, "", "x", "-1", "5.0", "\u0665", "1e3"):
-            with self.subTest(told=told):
-                self.assertTrue(self.era.observe(told))
+        for era_text in (None, "", "x", "-1", "5.0", "\u0665", "1e3"):
+            with self.subTest(era_text=era_text):
+                self.assertTrue(self.era.observe(era_text))
                 self.assertEqual(self.era.current, 4)
         self.assertEqual(self.restored_count, 0)
 
-    def test_a_store_that_begins_to_tell_its_era_may_be_restored(self) -> None:
+    def test_first_era_after_responses_without_one_is_a_restore(self) -> None:
         self.era.observe(None)
         self.era.observe("1")
         self.assertEqual(self.restored_count, 1)
 
-    def test_who_was_closed_is_not_called(self) -> None:
-        self.era.remove_callback(self.note)
-        self.era.remove_callback(self.note)
+    def test_removed_callback_is_not_called(self) -> None:
+        self.era.remove_callback(self.count_restore)
+        self.era.remove_callback(self.count_restore)
         self.era.observe("1")
         self.era.observe("2")
         self.assertEqual(self.restored_count, 0)
@@ -93,8 +95,8 @@
         self.addCleanup(made.close)
         return made
 
-    def look(self) -> None:
-        """Asks the store for anything, so that its era is noticed."""
+    def call_store(self) -> None:
+        """Calls the store so that the client sees its era."""
         self.client.get("any", purpose="test")
 
 
@@ -104,20 +106,20 @@
         self.present: dict[str, bytes] = {}
 
     def start(self) -> watch.Watch:
-        return self.client.watch("k/", self.note, purpose="test")
+        return self.client.watch("k/", self.apply_event, purpose="test")
 
-    def note(self, event: key_value_types.WatchEvent) -> None:
+    def apply_event(self, event: key_value_types.WatchEvent) -> None:
         if event.kind == "put":
             self.present[event.key_value.key] = event.key_value.value
         else:
             self.present.pop(event.key_value.key, None)
 
-    def test_revisions_that_have_caught_up_hide_no_change(self) -> None:
-        """A gateway goes on in a history that it never saw.
+    def test_no_change_is_missed_when_revisions_catch_up(self) -> None:
+        """Guards against missing changes after a restore.
 
-        Sequence: a watch has seen revision 9; the store comes back with
-        revision 7 and has given out 9 again, for other keys, when the watch
-        asks for what came after 9. Cause: a position was a revision alone.
+        A watch has seen revision 9. The store is restored at revision 7 and has
+        assigned 9 again, to other keys, when the watch requests changes after
+        9. The watch compared revisions without the era.
         """
         self.store.put("k/a", b"1")
         copy = self.store.copy()
@@ -141,7 +143,7 @@
                 started.close()
                 self.present.clear()
 
-    def test_a_second_restore_on_the_heels_of_the_first(self) -> None:
+    def test_second_restore_right_after_the_first(self) -> None:
         self.store.put("k/a", b"1")
         self.start()
         self.assertTrue(wait_for(lambda: self.present))
@@ -155,24 +157,24 @@
             wait_for(lambda: self.present == {"k/a": b"1", "k/d": b"3"})
         )
 
-    def test_a_store_that_stops_telling_its_era_is_gone_on_with(self) -> None:
+    def test_watch_continues_when_the_store_stops_sending_its_era(self) -> None:
         self.store.put("k/a", b"1")
         self.start()
         self.assertTrue(wait_for(lambda: self.present))
-        for value, told in ((b"2", "x"), (b"3", "")):
-            self.store.faults = {"era": told}
+        for value, era_text in ((b"2", "x"), (b"3", "")):
+            self.store.faults = {"era": era_text}
             self.store.put("k/a", value)
-            is_seen = functools.partial(self.holds, "k/a", value)
+            is_seen = functools.partial(self.has_value, "k/a", value)
             self.assertTrue(wait_for(is_seen))
 
-    def holds(self, key: str, value: bytes) -> bool:
+    def has_value(self, key: str, value: bytes) -> bool:
         return self.present[key] == value
 
-    def test_late_answers_of_an_older_era_are_dropped(self) -> None:
+    def test_late_responses_from_an_older_era_are_rejected(self) -> None:
         self.store.put("k/a", b"1")
-        self.look()
+        self.call_store()
         self.store.restore(self.store.copy())
-        self.look()
+        self.call_store()
         self.store.faults = {"era": "1"}
         read = self.client.get("k/a", purpose="test")
         self.assertIsInstance(read, Err)
@@ -182,12 +184,12 @@
 
 
 class RoutesTest(RestoredCase):
-    def test_the_configuration_in_force_stays(self) -> None:
-        """A dropped route is served again.
+    def test_routes_do_not_revert_to_an_older_version(self) -> None:
+        """Guards against serving a removed route again.
 
-        Sequence: version 2 is in force; the store comes back with version 1;
-        the operators write version 2 again, and then 3. Cause: what stands in
-        the store was taken for what is in force.
+        Version 2 is in force when the store is restored with version 1. The
+        operators write version 2 again, then 3. The version in the store was
+        applied even if it was older than the one in force.
         """
         self.store.put(documents.ROUTES_KEY, build.routes_value(1))
         copy = self.store.copy()
@@ -202,7 +204,7 @@
         self.store.put(documents.ROUTES_KEY, build.routes_value(2))
         self.assertTrue(wait_for(lambda: versions == [1, 2]))
         self.store.restore(copy)
-        gevent.sleep(SETTLED_S)
+        gevent.sleep(RECOVERY_LIMIT_S)
         self.store.put(documents.ROUTES_KEY, build.routes_value(2))
         self.store.put(documents.ROUTES_KEY, build.routes_value(3))
         self.assertTrue(wait_for(lambda: versions[-1] == 3))
@@ -214,7 +216,9 @@
         super().setUp()
         self.store.put(KEY, build.server_value())
         self.listed = servers.ServerList(
-            self.client, documents.StoredDocuments(), missing_hold_s=HOLD_S
+            self.client,
+            documents.StoredDocuments(),
+            missing_hold_s=MISSING_HOLD_S,
         )
         self.listed.start()
         self.addCleanup(self.listed.close)
@@ -225,15 +229,15 @@
 
     def restore(self, copy: platform_store.Copy) -> None:
         self.store.restore(copy)
-        self.look()
+        self.call_store()
         gevent.sleep(watch.RESTORED_SPREAD_S + 0.3)
 
-    def test_a_server_that_leaves_stays_leaving(self) -> None:
-        """A server that has announced that it leaves gets new work.
+    def test_leaving_server_gets_no_requests_after_a_restore(self) -> None:
+        """Guards against sending new requests to a server that is leaving.
 
-        Sequence: the store comes back from a copy in which the server was
-        ready; it announces its leaving again up to two seconds later. Cause:
-        an older record was taken for a newer word.
+        The store is restored from a copy in which the server is ready. The
+        server announces again that it leaves, up to 2 s later. The older record
+        was taken for a newer announcement.
         """
         copy = self.store.copy()
         self.store.put(KEY, build.server_value(state="draining"))
@@ -244,11 +248,12 @@
         gevent.sleep(0.3)
         self.assertEqual(self.ids(), [])
 
-    def test_a_server_that_is_gone_does_not_come_back(self) -> None:
-        """Requests wait for a server that ended long ago.
+    def test_restored_record_does_not_revive_a_server(self) -> None:
+        """Guards against requests that wait for a server that has stopped.
 
-        Sequence: a server ends and its record goes; the store comes back from
-        a copy that has it. Cause: a record was taken for a sign of life.
+        A server stops and its record is deleted; the store is restored from a
+        copy that contains the record. It was taken as proof that the server
+        runs.
         """
         copy = self.store.copy()
         self.store.delete(KEY)
@@ -258,38 +263,38 @@
         self.store.put(KEY, build.server_value(sequence=9))
         self.assertTrue(wait_for(lambda: self.ids() == ["i-1"]))
 
-    def test_a_server_that_the_copy_lacks_is_kept_for_a_while(self) -> None:
-        """Callers are refused for want of servers that are all alive.
+    def test_server_missing_from_the_copy_is_kept_temporarily(self) -> None:
+        """Guards against rejecting callers while all servers are running.
 
-        Sequence: the copy is from before the servers registered; they write
-        their records again within two seconds. Cause: a record that is missing
-        there was taken for a server that left.
+        The copy is from before the servers registered; they write their records
+        again within 2 s. A record that is missing from the copy was taken as a
+        server that has left.
         """
         copy = self.store.copy()._replace(records={})
         self.restore(copy)
         self.assertEqual(self.ids(), ["i-1"])
         self.store.put(KEY, build.server_value(sequence=9))
-        gevent.sleep(2 * HOLD_S)
+        gevent.sleep(2 * MISSING_HOLD_S)
         self.assertEqual(self.ids(), ["i-1"])
 
-    def test_one_that_does_not_write_again_is_gone(self) -> None:
+    def test_server_that_does_not_register_again_is_dropped(self) -> None:
         self.restore(self.store.copy()._replace(records={}))
-        self.assertTrue(wait_for(lambda: not self.ids(), 2 * HOLD_S))
+        self.assertTrue(wait_for(lambda: not self.ids(), 2 * MISSING_HOLD_S))
 
-    def test_what_comes_later_counts_as_before(self) -> None:
+    def test_records_written_after_a_restore_are_used(self) -> None:
         copy = self.store.copy()
         self.restore(copy)
         self.store.put(KEY, build.server_value(state="draining", sequence=9))
         self.assertTrue(wait_for(lambda: not self.ids()))
 
 
-class OwnedTest(RestoredCase):
-    def test_a_lease_is_lost_at_once(self) -> None:
-        """Two gateways hold one key.
+class OwnershipTest(RestoredCase):
+    def test_restore_ends_a_lease_immediately(self) -> None:
+        """Guards against two gateways that hold the same key.
 
-        Sequence: the store comes back without the lease and its key; another
-        gateway creates the key; the first one's lease is valid by its own
-        clock for seconds. Cause: only time and a refusal ended a lease.
+        The store is restored without the lease and its key, and another gateway
+        creates the key. By its own clock, the first gateway's lease is valid
+        for some more seconds. Only expiry or a rejected renewal ended a lease.
         """
         lost: list[object] = []
         held = lease.LeaseHolder(
@@ -300,17 +305,16 @@
         held.create_key("k", b"mine").unwrap()
         copy = self.store.copy()
         self.store.restore(copy)
-        self.look()
+        self.call_store()
         self.assertFalse(held.is_valid())
         self.assertEqual(len(lost), 1)
 
-    def test_fencing_numbers_rise_through_a_restore(self) -> None:
-        """An engine takes an order of the last holder for the newest.
+    def test_fencing_numbers_increase_across_a_restore(self) -> None:
+        """Guards against engines that prefer an order of the previous holder.
 
-        Sequence: a holder orders with the revision that created its key; the
-        store comes back and gives lower revisions out again; the next holder
-        orders with one of them. Cause: a revision was taken for a number that
-        rises for ever.
+        A holder uses the revision that created its key as its fencing number.
+        The store is restored and assigns lower revisions again, and the next
+        holder gets one of them. Revisions alone don't always increase.
         """
         timing = role_holder.HolderTiming(
             lease_ttl_s=2.0, first_look_s=0.0, look_interval_s=0.1
@@ -327,11 +331,12 @@
         self.assertIsInstance(holder.record(b"order"), Ok)
         restored_s = time.monotonic()
         self.store.restore(copy)
-        self.look()
+        self.call_store()
         self.assertIsInstance(holder.authority(), Err)
         after = self.number(holder)
         self.assertGreater(after, before)
-        # The record of the order is lost; it may still be on its way.
+        # The restore lost the record of the order, but the order may still be
+        # in transit.
         quiet_s = time.monotonic() - restored_s
         self.assertGreater(quiet_s, timing.lease_ttl_s)
 
@@ -339,12 +344,12 @@
         self.assertTrue(wait_for(lambda: holder.authority().is_ok(), 8.0))
         return holder.authority().unwrap().number
 
-    def test_other_gateways_stay_known(self) -> None:
-        """A gateway takes itself for the only one, and repeats for all.
+    def test_other_gateways_stay_known_after_a_restore(self) -> None:
+        """Guards against a gateway that considers itself the only one.
 
-        Sequence: the store comes back without the gateways' keys; one of them
-        reads it before the others have registered again. Cause: a key that is
-        missing there was taken for a gateway that is gone.
+        It would then use the retry budget of all. The store is restored without
+        the gateways' keys, and one gateway reads it before the others have
+        registered again. A missing key was taken for a gateway that is gone.
         """
         self.store.put(
             f"{directory.KEY_PREFIX}vm-2/1-1", b"10.0.0.2:7660/zone-a"
@@ -381,10 +386,10 @@
     is_reader = False
 
     def tell_seen(self, *_: object) -> None:
-        """Needs neither: the tests call them."""
+        """Does nothing; the tests call ``seen`` and ``on_seen`` themselves."""
 
     def tell_now(self) -> None:
-        """Sends nothing."""
+        """Does nothing."""
 
 
 class PeersTest(unittest.TestCase):
@@ -394,12 +399,12 @@
             _Notices(), lambda: {"routes_revision": self.watched}, lambda: 2
         )
 
-    def test_a_reader_of_an_older_era_is_not_counted_on(self) -> None:
-        """Changes come half a minute late.
+    def test_reader_from_an_older_era_is_ignored(self) -> None:
+        """Guards against changes that arrive 30 s late.
 
-        Sequence: the store comes back from an older copy while a reader is
-        frozen; it wakes and tells that it reads, and high revisions of the
-        past. Cause: revisions of two histories were compared.
+        The store is restored from an older copy while a reader is paused. When
+        it resumes, it announces that it is reading, with the high revisions of
+        the older era. Revisions of different eras were compared.
         """
         seen = codec.Seen(90, 90, is_reading=True, era=1)
         self.news.on_seen(seen)
@@ -411,7 +416,7 @@
         self.news._look()
         self.assertEqual(self.news.patience(), store_news.LONG)
 
-    def test_a_peer_of_a_newer_era_makes_it_ask_the_store(self) -> None:
+    def test_peer_with_a_newer_era_triggers_a_store_read(self) -> None:
         for _ in range(3):
             self.news.on_seen(codec.Seen(1, 1, era=3))
         self.assertEqual(self.watched.hurries_count, 1)
