--- a/src/mulberrywharf/programs/__init__.py
+++ b/src/mulberrywharf/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The binaries: arguments, start and close."""
+"""Entry points of the executables: arguments, startup and shutdown."""
--- a/src/mulberrywharf/programs/_controller_config.py
+++ b/src/mulberrywharf/programs/_controller_config.py
@@ -1,4 +1,4 @@
-"""Makes sure that an active controller obeys the newest configuration."""
+"""Keeps the configuration of an active controller up to date."""
 
 from loguru import logger
 from result import Err
@@ -11,16 +11,16 @@
 )
 from mulberrywharf.programs import _controller_lease
 
-_REFRESH_S = 3.0
+_REFRESH_INTERVAL_S = 3.0
 
 
 class ConfigRefresh:
-    """Reads the configuration itself now and then, beside the watch.
+    """Polls the configuration in addition to the watch.
 
-    A cut that drops bytes without telling either side leaves the watch open
-    and silent. A controller that won the lease after it went on ordering by
-    rules that had been replaced half a minute before, until the watch was
-    opened anew. Only active controllers read, one for each zone.
+    A network fault that drops packets without closing the connection leaves
+    the watch open but silent. A controller that won the lease after such a
+    fault applied rules that had been replaced half a minute before, until the
+    watch was reopened. Only active controllers poll, one in each zone.
     """
 
     def __init__(
@@ -35,25 +35,28 @@
         self._clock = clock
         self._key = configuration.config_key(deployment)
         self._held: _controller_lease.HeldLease | None = None
-        self._read_s = 0.0
+        self._last_read_s = 0.0
 
     def refresh(self, held: _controller_lease.HeldLease) -> bool:
-        """Reads the configuration if it is time to.
+        """Reads the configuration if a read is due.
 
         Args:
-            held: The lease that the caller acts under.
+            held: The lease that the caller holds.
 
         Returns:
-            False while it could not be read since the lease was won.
+            False if no read has succeeded since this lease was acquired.
         """
         now_s = self._clock.monotonic_s()
-        if self._held is held and now_s < self._read_s + _REFRESH_S:
+        if (
+            self._held is held
+            and now_s < self._last_read_s + _REFRESH_INTERVAL_S
+        ):
             return True
         found = self._key_value.get(self._key, purpose=config_follower.PURPOSE)
         if isinstance(found, Err):
             return self._held is held
         self._held = held
-        self._read_s = now_s
+        self._last_read_s = now_s
         if found.ok_value is not None:
             taken = self._follower.offer(found.ok_value.value)
             if isinstance(taken, Err):
--- a/src/mulberrywharf/programs/_controller_lease.py
+++ b/src/mulberrywharf/programs/_controller_lease.py
@@ -1,4 +1,4 @@
-"""Keeps the zone's controller lease, or waits for it."""
+"""Acquires, renews and releases the zone's controller lease."""
 
 import ipaddress
 import json
@@ -17,8 +17,8 @@
 from mulberrywharf.platform_service import key_value, lease, watch
 
 _PURPOSE = "lease"
-_CHECK_SHARE = 0.02
-_SPREAD_SHARE = 0.1
+_CHECK_INTERVAL_TTL_SHARE = 0.02
+_JITTER_TTL_SHARE = 0.1
 
 _transitions = metrics.counter(
     "mulberry_controller_lease_transitions_total",
@@ -30,13 +30,13 @@
 
 
 class HeldLease(NamedTuple):
-    """The lease that entitles this process to order the zone's engines.
+    """The lease under which this process may send orders to engines.
 
     Attributes:
-        holder: Renews it.
-        fencing_number: Rises with every change of holder.
+        holder: Renews the lease.
+        fencing_number: Increases with every change of holder.
         key: The zone's controller key.
-        acquired_s: Monotonic clock when it was known to be held.
+        acquired_s: Monotonic time at which the lease was known to be held.
     """
 
     holder: lease.LeaseHolder
@@ -44,8 +44,8 @@
     key: str
     acquired_s: float
 
-    def proof(self) -> record_store.LeaseKey:
-        """Returns what guarded writes compare with."""
+    def lease_key(self) -> record_store.LeaseKey:
+        """Returns the lease key that conditional writes compare."""
         return record_store.LeaseKey(self.key, self.fencing_number)
 
 
@@ -59,24 +59,24 @@
     config: settings.Settings, port: int
 ) -> fleet.Address | None:
     ip = config["operators"]["listen"]["ip"]
-    # A listener on every address of the VM is reached at none of this name.
+    # A wildcard address such as 0.0.0.0 is valid for listening only.
     if ipaddress.ip_address(ip).is_unspecified:
         return None
     return fleet.Address(ip, port)
 
 
 def _do_nothing() -> None:
-    """Stands in until someone wants to know."""
+    """Default of ``LeaseKeeper.on_step_down``."""
 
 
 class LeaseKeeper:
-    """One greenlet that acquires the lease, keeps it, and steps down.
+    """Competes for the lease, renews it and steps down when it ends.
 
     Attributes:
         held: The lease while this process is active, else None.
-        changed: Set whenever ``held`` changes.
-        on_step_down: Called when the authority ends, before anything else
-            runs; drops the orders that are being sent.
+        changed: Event that is set whenever ``held`` changes.
+        on_step_down: Called when this process steps down, before any other
+            greenlet runs; cancels the orders that are being sent.
     """
 
     def __init__(
@@ -98,8 +98,8 @@
         self._vm_id = vm_id
         self._key = key
         self._operators_address = operators_address
-        # The service counts in whole seconds. Rounded up, this process
-        # would believe in a longer lease than it was given.
+        # The key-value service counts leases in whole seconds. Rounding up
+        # would make this process assume a longer lease than it was granted.
         self._ttl_s = float(max(1, int(ttl_s)))
         self._key_changed = gevent.event.Event()
         self._greenlet: gevent.Greenlet | None = None
@@ -119,16 +119,16 @@
         *,
         operators_port: int,
     ) -> "LeaseKeeper":
-        """Builds the keeper of the settings' zone.
+        """Makes the keeper for the zone that the settings name.
 
         Args:
             config: Settings of the process.
-            key_value_client: Keeps the lease.
-            fuse: Ends the process at the end of the lease.
+            key_value_client: Client of the service that stores the lease.
+            fuse: Timer that kills the process before the lease ends.
             clock: Monotonic and wall clock.
-            audit_log: Where leases taken and lost are recorded.
-            operators_port: Where the admin listener listens; the settings
-                may leave the choice to the kernel.
+            audit_log: Receives an entry for each lease acquired or lost.
+            operators_port: TCP port of the admin listener, which the settings
+                may leave to the kernel.
         """
         controller = config.get("controller", {})
         return cls(
@@ -144,38 +144,38 @@
 
     @property
     def ttl_s(self) -> float:
-        """Length of the lease as the service knows it."""
+        """Length of the lease in seconds, as the service counts it."""
         return self._ttl_s
 
     def start(self) -> None:
-        """Begins to compete for the lease."""
+        """Starts to compete for the lease."""
         self._watch = self._key_value.watch(
             self._key, self._on_key_change, purpose=_PURPOSE
         )
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Stops competing and gives the lease back, if it is held."""
+        """Stops competing and releases the lease if it is held."""
         if self._greenlet is not None:
             self._greenlet.kill()
         if self._watch is not None:
             self._watch.close()
         held = self.held
         if held is not None:
-            self._end(held, "stopping")
+            self._become_standby(held, "stopping")
             held.holder.close()
 
     def step_down(self, why: str) -> None:
-        """Ends the authority now; no order leaves from here on."""
+        """Gives up the lease; no order is sent after this call."""
         held = self.held
         if held is None:
             return
-        self._end(held, why)
-        # In a greenlet of its own: it calls the service, and it ends the
-        # greenlets of the lease, one of which may have led here.
+        self._become_standby(held, why)
+        # Uses a separate greenlet because the call waits for the service and
+        # kills the lease's greenlets, one of which may be the current one.
         gevent.spawn(held.holder.close)
 
-    def _end(self, held: HeldLease, why: str) -> None:
+    def _become_standby(self, held: HeldLease, why: str) -> None:
         self._fuse.step_down()
         self.held = None
         self.on_step_down()
@@ -189,12 +189,12 @@
         held = self.held
         if held is None or event.key_value.key != self._key:
             return
-        # An operator who deletes the key takes the authority away. Without
-        # this the holder would go on until its next write was refused. A
-        # watch may lag: what is older than the lease says nothing about it.
+        # An operator may delete the key to revoke the lease. Without this
+        # check the holder would continue until its next write is refused.
+        # A watch may lag; events older than the lease are ignored.
         if event.key_value.mod_revision <= held.fencing_number:
             return
-        self.step_down("the lease key was taken away")
+        self.step_down("the lease key was deleted or replaced")
 
     def _run(self) -> None:
         while True:
@@ -209,17 +209,17 @@
                 holder.close()
                 self._wait_for_change()
                 continue
-            self._step_down_in_time()
-            # Whoever was active competes again last, so that a holder with
-            # a poor connection doesn't win the lease back and lose it anew.
+            self._step_down_before_expiry()
+            # Lets the standbys compete first. Otherwise a holder with a poor
+            # connection could acquire the lease again and lose it again.
             gevent.sleep(self._ttl_s * random.uniform(0.5, 1.0))
 
     def _wait_for_change(self) -> None:
-        """Waits until the key may be free, spread over all standbys."""
+        """Waits until the key may be free, with jitter."""
         self._key_changed.wait(timeout=self._ttl_s * random.uniform(1.0, 2.0))
         self._key_changed.clear()
-        # Every standby sees the deletion at the same instant.
-        gevent.sleep(random.uniform(0.0, _SPREAD_SHARE * self._ttl_s))
+        # Jitter, because all standbys see the deletion at the same time.
+        gevent.sleep(random.uniform(0.0, _JITTER_TTL_SHARE * self._ttl_s))
 
     def _acquire(self, holder: lease.LeaseHolder) -> bool:
         found = self._key_value.get(self._key, purpose=_PURPOSE)
@@ -249,11 +249,11 @@
         return True
 
     def _value(self, lease_id: int) -> bytes:
-        """Returns the key's value: who holds it, and where to ask it.
+        """Returns the key's value: the holder and its admin address.
 
-        The VM list names one admin listener a VM, which is the router's.
-        Without these fields ``mulberryctl`` would not find a controller that
-        nobody names to it.
+        The VM list contains one admin listener per VM, the router's. Without
+        the address in this value, ``mulberryctl`` would only find controllers
+        that are named on its command line.
         """
         value: dict[str, Any] = {"vm_id": self._vm_id, "lease_id": lease_id}
         address = self._operators_address
@@ -266,19 +266,20 @@
         if self.held is None:
             return
         if not self._fuse.renewed(valid_until_monotonic_s):
-            self.step_down("the renewal's answer came too late")
+            self.step_down("the response to the lease renewal arrived too late")
 
     def _on_lost(self, error: errors.AuthorityLostError) -> None:
         self.step_down(error.message)
 
-    def _step_down_in_time(self) -> None:
-        """Waits while the lease is held, and ends it before it is spent.
+    def _step_down_before_expiry(self) -> None:
+        """Waits while the lease is held; steps down before it expires.
 
-        A renewal may hang for longer than the lease lasts while the service
-        is away; the timer would then end a process that only has to wait.
+        While the service is unavailable, a renewal may block for longer than
+        the lease lasts. The kernel timer would then kill the process, although
+        it only has to return to standby.
         """
         while self.held is not None:
             if not self._fuse.holds():
                 self.step_down("the lease could not be renewed in time")
                 return
-            gevent.sleep(self._ttl_s * _CHECK_SHARE)
+            gevent.sleep(self._ttl_s * _CHECK_INTERVAL_TTL_SHARE)
--- a/src/mulberrywharf/programs/_controller_observer.py
+++ b/src/mulberrywharf/programs/_controller_observer.py
@@ -1,4 +1,4 @@
-"""Looks at the zone: engines' reports, the rule in force, what it wants."""
+"""Reads the state of a zone's engines and evaluates the rules on it."""
 
 import math
 from collections.abc import Callable, Mapping, Sequence
@@ -22,7 +22,7 @@
 from mulberrywharf.rules.explain import reason as rule_reason
 
 _CONCURRENT_READS_COUNT = 64
-_READS_PER_ROUND_COUNT = 16
+_MIN_READS_PER_ROUND_COUNT = 16
 _ROUNDS_PER_CYCLE_COUNT = 15
 _READ_TIMEOUT_S = 1.0
 
@@ -30,16 +30,16 @@
 
 
 class ZoneView(NamedTuple):
-    """What one round saw and decided.
+    """Observations and decisions of one round.
 
     Attributes:
-        vms: Live engines of the zone, by id.
-        facts: What is known and wanted of each.
-        match: The rule in force, or None before a configuration was seen.
-        config_version: Version of the configuration that holds it, or 0.
-        situation: What the rules were evaluated on, or None.
-        plan: What the role planner decided, in words.
-        seen_unix_s: Wall clock of the round.
+        vms: Live engines of the zone, by VM id.
+        facts: Observed and wanted state of each engine, by engine id.
+        match: The rule in force, or None before the first configuration.
+        config_version: Version of the configuration with the rule, or 0.
+        situation: Measurements that the rules were evaluated on, or None.
+        plan: Decision of the role planner, as text.
+        seen_unix_s: Wall-clock time of the round.
     """
 
     vms: Mapping[str, fleet.VmRecord]
@@ -51,15 +51,15 @@
     seen_unix_s: float = 0.0
 
 
-NOTHING_SEEN = ZoneView({}, {})
+EMPTY_VIEW = ZoneView({}, {})
 
 
 class VmSource(NamedTuple):
-    """The VM list.
+    """Access to the VM list.
 
     Attributes:
         vms: Returns all VMs.
-        age_s: Returns the list's age.
+        age_s: Returns the age of the list, in seconds.
     """
 
     vms: Callable[[], list[fleet.VmRecord]]
@@ -67,7 +67,7 @@
 
 
 class ZoneObserver:
-    """Reads the engines and evaluates the rules, once each round."""
+    """Reads the engines and evaluates the rules once per round."""
 
     def __init__(
         self,
@@ -87,22 +87,24 @@
         self._reads = gevent.pool.Pool(_CONCURRENT_READS_COUNT)
         self._reports: dict[str, fleet.LoadReport] = {}
 
-    def forget(self) -> None:
-        """Forgets all reports, so that the next look reads every engine."""
+    def clear_reports(self) -> None:
+        """Discards all reports, so that the next round reads every engine."""
         self._reports.clear()
 
-    def look(
+    def observe(
         self,
         records: Mapping[str, order_records.OrderRecord],
         accepted_unix_s: Mapping[str, float],
         change_ends_unix_s: tuple[float, ...],
     ) -> ZoneView:
-        """Reads engines and says what is wanted of each.
+        """Reads the engines that are due; returns each one's wanted state.
 
         Args:
             records: The latest order record of each engine that has one.
-            accepted_unix_s: When engines accepted orders, by order id.
-            change_ends_unix_s: When recent role changes ended.
+            accepted_unix_s: Wall-clock time at which an engine accepted an
+                order, by order id.
+            change_ends_unix_s: Wall-clock times at which recent role changes
+                ended.
         """
         vms = self._zone_engines()
         reports = self._read_reports(vms, records)
@@ -142,7 +144,7 @@
         records: Mapping[str, order_records.OrderRecord],
     ) -> dict[str, situation_builder.SeenReport]:
         due = engines_to_read(list(vms), self._reports, records)
-        results = self._reads.map(_read_one, [vms[e] for e in due])
+        results = self._reads.map(_read_engine, [vms[e] for e in due])
         for engine_id, result in zip(due, results, strict=True):
             self._reports.pop(engine_id, None)
             if isinstance(result, Ok):
@@ -199,15 +201,16 @@
     reports: Mapping[str, fleet.LoadReport],
     records: Mapping[str, order_records.OrderRecord],
 ) -> list[str]:
-    """Picks the engines whose loads this round reads.
+    """Selects the engines whose loads are read in this round.
 
-    Those that are unknown, not ready or have an order in flight are always
-    read; of the others only the longest unread, so many that each is read
-    before the rules take its report for stale. A read costs some 0.6 ms of
-    a core: all of a zone of 425 in each round would take a quarter of one.
+    Engines that have no report, are not ready or have an order in flight are
+    read in every round. Of the others, those with the oldest reports are read,
+    as many per round as it takes to read each one before the rules consider
+    its report stale. A read takes about 0.6 ms of CPU time, so reading all
+    engines of a zone of 425 in each round would use a quarter of a core.
 
     Args:
-        engine_ids: Of the zone.
+        engine_ids: Engines of the zone.
         reports: The last report of each engine that answered its last read.
         records: The latest order of each engine that has one.
     """
@@ -220,10 +223,10 @@
         return record is not None and record.in_flight()
 
     urgent = [e for e in engine_ids if is_urgent(e)]
-    calm = [e for e in engine_ids if not is_urgent(e)]
-    calm.sort(key=lambda e: reports[e].reported_unix_s)
+    routine = [e for e in engine_ids if not is_urgent(e)]
+    routine.sort(key=lambda e: reports[e].reported_unix_s)
     cycle_count = math.ceil(len(engine_ids) / _ROUNDS_PER_CYCLE_COUNT)
-    return urgent + calm[: max(_READS_PER_ROUND_COUNT, cycle_count)]
+    return urgent + routine[: max(_MIN_READS_PER_ROUND_COUNT, cycle_count)]
 
 
 def _facts(
@@ -249,7 +252,7 @@
     return facts
 
 
-def _read_one(
+def _read_engine(
     vm: fleet.VmRecord,
 ) -> Result[fleet.LoadReport, errors.EngineError]:
     return state.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
--- a/src/mulberrywharf/programs/_controller_options.py
+++ b/src/mulberrywharf/programs/_controller_options.py
@@ -1,4 +1,4 @@
-"""What the settings say about a controller's rounds."""
+"""Settings of a controller's evaluation rounds."""
 
 from typing import NamedTuple
 
@@ -10,16 +10,17 @@
 
 
 class ZoneOptions(NamedTuple):
-    """What the settings say about the rounds.
+    """Settings of the evaluation rounds.
 
     Attributes:
-        vm_id: This entry VM.
-        availability_zone: Whose engines are ruled.
-        evaluate_interval_s: Between rounds while all is calm.
-        clock_margin_s: Allowed error between clocks.
-        user_timeout_s: How long order bytes may live.
-        quiet: When a new holder may order which engine.
-        planner: What the role planner weighs.
+        vm_id: Id of this entry VM.
+        availability_zone: Zone whose engines are controlled.
+        evaluate_interval_s: Time between rounds while no order is in flight.
+        clock_margin_s: Allowed difference between clocks, in seconds.
+        user_timeout_s: How long sent order bytes may stay unacknowledged, in
+            seconds.
+        quiet: From when a new lease holder may send orders to an engine.
+        planner: Settings of the role planner.
     """
 
     vm_id: str
@@ -34,11 +35,11 @@
     def from_config(
         cls, config: settings.Settings, ttl_s: float
     ) -> "ZoneOptions":
-        """Reads what the rounds need.
+        """Makes the options from the settings of the process.
 
         Args:
             config: Settings of the process.
-            ttl_s: Length of the lease as the service knows it.
+            ttl_s: Length of the lease in seconds, as the service counts it.
         """
         controller = config.get("controller", {})
         margin_s = clock_margin_s(config)
@@ -60,13 +61,13 @@
 
 
 def clock_margin_s(config: settings.Settings) -> float:
-    """Returns the allowed error between clocks."""
+    """Returns the allowed difference between clocks, in seconds."""
     controller = config.get("controller", {})
     return controller.get("clock_margin_s", settings.DEFAULT_CLOCK_MARGIN_S)
 
 
 def user_timeout_s(config: settings.Settings) -> float:
-    """Returns how long unacknowledged order bytes may live."""
+    """Returns how long sent order bytes may stay unacknowledged."""
     controller = config.get("controller", {})
     return controller.get(
         "order_user_timeout_s", settings.DEFAULT_ORDER_USER_TIMEOUT_S
--- a/src/mulberrywharf/programs/_controller_rates.py
+++ b/src/mulberrywharf/programs/_controller_rates.py
@@ -1,7 +1,7 @@
-"""Asks the routers of the zone for the rates that the rules in force name.
+"""Polls the zone's routers for the request rates that the rules refer to.
 
-Nothing is asked while no rule names a customer or a model, nor by a
-controller that waits for the lease.
+Only an active controller polls, and only while a rule names a customer or a
+model.
 """
 
 import random
@@ -16,32 +16,32 @@
 from mulberrywharf.programs import _interval_task
 from mulberrywharf.rules import Document, Situation
 
-_SHORTEST_CYCLE_S = 3.0
-_LONGEST_CYCLE_S = 10.0
-_CYCLE_PER_ROUTER_S = 0.25
+_MIN_POLL_INTERVAL_S = 3.0
+_MAX_POLL_INTERVAL_S = 10.0
+_POLL_INTERVAL_PER_ROUTER_S = 0.25
 _RETRY_S = 2.0
 _TICK_S = 0.25
-_ANSWER_TIMEOUT_S = 2.0
+_POLL_TIMEOUT_S = 2.0
 _IDLE_AFTER_S = 10.0
-_ASKED_AT_ONCE_COUNT = 64
+_CONCURRENT_POLLS_COUNT = 64
 
 
-def cycle_s(routers_count: int) -> float:
-    """Returns the time between two questions to one router.
+def poll_interval_s(routers_count: int) -> float:
+    """Returns the time between two polls of one router, in seconds.
 
-    It grows with the zone, so that a controller sends no more than four
-    questions a second; the longest leaves a lost answer time to be asked for
-    again before the one before it is too old.
+    The interval grows with the number of routers, so that a controller sends
+    no more than four polls per second. Its maximum leaves time to repeat a
+    lost poll before the previous answer is too old.
     """
-    wanted_s = _CYCLE_PER_ROUTER_S * routers_count
-    return min(_LONGEST_CYCLE_S, max(_SHORTEST_CYCLE_S, wanted_s))
+    wanted_s = _POLL_INTERVAL_PER_ROUTER_S * routers_count
+    return min(_MAX_POLL_INTERVAL_S, max(_MIN_POLL_INTERVAL_S, wanted_s))
 
 
 def wanted_rates(document: Document) -> rates.WantedRates:
     """Returns the customers and models that the rules' conditions name.
 
-    At most ``NAMES_LIMIT_COUNT`` of either, in the order of the rules: the
-    first rule that matches counts, so those in front matter most.
+    Contains at most ``NAMES_LIMIT_COUNT`` of each, in the order of the rules:
+    the first rule that matches applies, so earlier rules matter more.
     """
     conditions = [rule["when"] for rule in document["rules"]]
     customers = [when["customer"] for when in conditions if "customer" in when]
@@ -53,7 +53,7 @@
 
 
 class ZoneRates:
-    """Keeps the rates of one zone as long as somebody reads them."""
+    """Request rates of one zone, polled only while they are being read."""
 
     def __init__(
         self,
@@ -71,12 +71,12 @@
         self._router_rates = rates.RouterRates(give_up_s)
         self._wanted = rates.WantedRates()
         self._read_s = float("-inf")
-        self._due_s: dict[str, float] = {}
-        self._questions = gevent.pool.Pool(_ASKED_AT_ONCE_COUNT)
+        self._next_poll_s: dict[str, float] = {}
+        self._polls = gevent.pool.Pool(_CONCURRENT_POLLS_COUNT)
         self._task = _interval_task.IntervalTask(
-            (self._ask_due,),
+            (self._poll_due_routers,),
             interval_s=_TICK_S,
-            failure_message="an interval of asking for rates failed",
+            failure_message="polling the routers for rates failed",
         )
 
     @classmethod
@@ -86,7 +86,7 @@
         vms: Callable[[], list[fleet.VmRecord]],
         clock: clocks.Clock,
     ) -> "ZoneRates":
-        """Makes it for the zone that the settings name."""
+        """Makes the poller for the zone that the settings name."""
         return cls(
             config["availability_zone"],
             node_links=links.Links.from_config(config),
@@ -95,20 +95,20 @@
         )
 
     def start(self) -> None:
-        """Begins to ask, once ``add_to`` has said what is wanted."""
+        """Starts polling; nothing is sent before ``add_to`` is called."""
         self._task.start()
 
     def close(self) -> None:
-        """Ends all questions and connections."""
+        """Cancels all polls and closes the connections."""
         self._task.close()
-        self._questions.kill()
+        self._polls.kill()
         self._links.close()
 
     def add_to(self, situation: Situation, document: Document) -> Situation:
-        """Adds what is known of the rates that a configuration names.
+        """Adds the known rates that a configuration names to a situation.
 
         Args:
-            situation: What else the rules are evaluated on.
+            situation: The other measurements that the rules are evaluated on.
             document: The configuration in force.
         """
         seen = self._read(document)
@@ -126,7 +126,7 @@
         self._read_s = now_s
         if wanted != self._wanted:
             self._wanted = wanted
-            self._due_s.clear()
+            self._next_poll_s.clear()
         vm_ids = {vm.vm_id for vm in self._routers()}
         return self._router_rates.read(wanted, vm_ids, now_s)
 
@@ -139,31 +139,34 @@
             and vm.availability_zone == self._zone
         ]
 
-    def _ask_due(self) -> None:
+    def _poll_due_routers(self) -> None:
         now_s = self._clock.monotonic_s()
         is_read = now_s - self._read_s <= _IDLE_AFTER_S
         if not is_read or not any(self._wanted):
-            self._due_s.clear()
+            self._next_poll_s.clear()
             self._links.keep_only(set())
             return
         routers = self._routers()
         self._links.keep_only({vm.address for vm in routers})
         listed = {vm.vm_id for vm in routers}
-        self._due_s = {v: s for v, s in self._due_s.items() if v in listed}
-        between_s = cycle_s(len(routers))
+        self._next_poll_s = {
+            v: s for v, s in self._next_poll_s.items() if v in listed
+        }
+        interval_s = poll_interval_s(len(routers))
         for vm in routers:
-            if self._due_s.get(vm.vm_id, 0.0) <= now_s:
-                # Without jitter all would answer in the same instant for ever.
-                spread_s = between_s * random.uniform(0.8, 1.0)
-                self._due_s[vm.vm_id] = now_s + spread_s
-                self._questions.spawn(self._ask, vm, self._wanted, now_s)
-
-    def _ask(
+            if self._next_poll_s.get(vm.vm_id, 0.0) <= now_s:
+                # Without jitter all routers would keep answering at the same
+                # time.
+                jittered_s = interval_s * random.uniform(0.8, 1.0)
+                self._next_poll_s[vm.vm_id] = now_s + jittered_s
+                self._polls.spawn(self._poll, vm, self._wanted, now_s)
+
+    def _poll(
         self, vm: fleet.VmRecord, wanted: rates.WantedRates, now_s: float
     ) -> None:
         router = self._links.to(vm.address)
-        answered = rates.ask(router, wanted, _ANSWER_TIMEOUT_S)
+        answered = rates.ask(router, wanted, _POLL_TIMEOUT_S)
         if isinstance(answered, Ok):
             self._router_rates.note(vm.vm_id, wanted, answered.ok_value, now_s)
-        elif vm.vm_id in self._due_s:
-            self._due_s[vm.vm_id] = self._clock.monotonic_s() + _RETRY_S
+        elif vm.vm_id in self._next_poll_s:
+            self._next_poll_s[vm.vm_id] = self._clock.monotonic_s() + _RETRY_S
--- a/src/mulberrywharf/programs/_controller_records.py
+++ b/src/mulberrywharf/programs/_controller_records.py
@@ -1,4 +1,4 @@
-"""The order records as one controller keeps them under its lease."""
+"""Reads and writes the zone's order records under the lease."""
 
 from collections.abc import Collection, Mapping
 
@@ -10,7 +10,7 @@
 from mulberrywharf.operators import audit
 from mulberrywharf.programs import _controller_lease, _controller_options
 
-_CHANGES_KEPT_COUNT = 200
+_ROLE_CHANGES_KEPT_COUNT = 200
 
 _role_changes = metrics.counter(
     "mulberry_controller_role_changes_total",
@@ -19,11 +19,13 @@
 
 
 class ZoneRecords:
-    """Claims the zone's records for a lease, then writes them.
+    """Takes over the zone's order records for a lease, then updates them.
 
     Attributes:
-        takeover: How the lease was won.
-        change_ends_unix_s: When recent role changes ended.
+        takeover: When the lease was acquired, and whether orders of the
+            predecessor may still arrive.
+        change_ends_unix_s: Wall-clock times at which recent role changes
+            ended.
     """
 
     def __init__(
@@ -49,10 +51,11 @@
     def claim(
         self, held: _controller_lease.HeldLease
     ) -> Result[None, record_store.StoreError]:
-        """Makes the records this process's own, once for each lease.
+        """Takes over the records, once for each lease.
 
-        The first write of a lease changes the records' revision. From then
-        on a write that an earlier holder still has under way is refused.
+        The first write under a lease changes the revision of the records. From
+        then on the service refuses a write that an earlier holder still has in
+        flight.
         """
         if self._held is held and not self._store.must_load:
             return Ok(None)
@@ -74,7 +77,7 @@
         )
         return Ok(None)
 
-    def change(
+    def store_changes(
         self,
         held: _controller_lease.HeldLease,
         changed: Mapping[str, order_records.OrderRecord],
@@ -84,8 +87,8 @@
 
         Args:
             held: The lease under which they were changed.
-            changed: By engine id.
-            engine_ids: Engines that the VM list names.
+            changed: The changed records, by engine id.
+            engine_ids: Engines in the VM list.
         """
         if not changed:
             return Ok(None)
@@ -95,27 +98,29 @@
         written = self._write(held, {**before, **changed}, settled=False)
         if isinstance(written, Ok):
             for engine_id, record in changed.items():
-                self._note(engine_id, before.get(engine_id), record)
+                self._report_change(engine_id, before.get(engine_id), record)
         return written
 
-    def fail(
+    def mark_failed(
         self,
         held: _controller_lease.HeldLease,
         engine_id: str,
         order_id: str,
         reason: str,
     ) -> Result[None, record_store.StoreError]:
-        """Settles an order that the engine will never carry out."""
+        """Marks an order as failed that the engine will never carry out."""
         record = self.by_engine.get(engine_id)
         if record is None or record.order_id != order_id:
             return Ok(None)
         failed = record._replace(phase="failed", reason=reason)
-        return self.change(held, {engine_id: failed}, self.by_engine.keys())
+        return self.store_changes(
+            held, {engine_id: failed}, self.by_engine.keys()
+        )
 
     def mark_settled(self, held: _controller_lease.HeldLease) -> None:
-        """Tells the next holder that no order can still be on its way.
+        """Records for the next holder that no order can still arrive.
 
-        The caller knows that of its own orders. Those of its predecessor
+        The caller ensures this for its own orders. Those of its predecessor
         may still arrive until the quiet time is over.
         """
         if self._held is not held:
@@ -136,9 +141,9 @@
             self._options.vm_id, held.fencing_number, settled
         )
         zone_records = order_records.ZoneRecords(holder, dict(records))
-        return self._store.write(zone_records, held.proof())
+        return self._store.write(zone_records, held.lease_key())
 
-    def _note(
+    def _report_change(
         self,
         engine_id: str,
         before: order_records.OrderRecord | None,
@@ -160,4 +165,4 @@
             return
         _role_changes.inc({"role": record.role})
         ends = (*self.change_ends_unix_s, record.recorded_unix_s)
-        self.change_ends_unix_s = ends[-_CHANGES_KEPT_COUNT:]
+        self.change_ends_unix_s = ends[-_ROLE_CHANGES_KEPT_COUNT:]
--- a/src/mulberrywharf/programs/_controller_sending.py
+++ b/src/mulberrywharf/programs/_controller_sending.py
@@ -1,4 +1,4 @@
-"""Sends recorded orders to engines, several at once."""
+"""Sends recorded orders to engines, several at a time."""
 
 import functools
 from collections.abc import Callable, Sequence
@@ -19,13 +19,13 @@
 )
 
 
-class Sending(NamedTuple):
-    """One order that is to leave.
+class OutgoingOrder(NamedTuple):
+    """An order to send.
 
     Attributes:
-        engine_id: The engine.
-        address: Where it takes orders.
-        order: The order, which is recorded already.
+        engine_id: The engine that receives it.
+        address: The engine's address for orders.
+        order: The order, already recorded.
     """
 
     engine_id: str
@@ -33,15 +33,15 @@
     order: orders.Order
 
 
-class Sent(NamedTuple):
-    """What became of it."""
+class SentOrder(NamedTuple):
+    """An order that was sent, with the result."""
 
-    sending: Sending
+    outgoing: OutgoingOrder
     result: orders.OrderResult
 
 
 class OrderSender:
-    """Sends orders under a fuse, and drops them when authority ends."""
+    """Sends orders while the lease is held, and cancels them when it ends."""
 
     def __init__(self, fuse: lease_fuse.LeaseFuse, *, user_timeout_s: float):
         self._fuse = fuse
@@ -49,44 +49,47 @@
         self._pool = gevent.pool.Pool(_CONCURRENT_ORDERS_COUNT)
 
     def send_all(
-        self, sendings: Sequence[Sending], check: Callable[[], None]
-    ) -> list[Sent]:
+        self, outgoing: Sequence[OutgoingOrder], check: Callable[[], None]
+    ) -> list[SentOrder]:
         """Sends orders to different engines and waits for all outcomes.
 
         Args:
-            sendings: At most one for each engine.
-            check: Raises AuthorityLostError when the orders' own lease is
-                gone; asked, with the fuse, right before the first byte.
+            outgoing: At most one for each engine.
+            check: Raises AuthorityLostError if the lease of the orders was
+                lost. Called right before the first byte is sent, together
+                with the check of the lease's remaining time.
         """
-        greenlets = [self._pool.spawn(self._send, s, check) for s in sendings]
+        greenlets = [self._pool.spawn(self._send, s, check) for s in outgoing]
         gevent.joinall(greenlets)
-        return [g.value for g in greenlets if isinstance(g.value, Sent)]
+        return [g.value for g in greenlets if isinstance(g.value, SentOrder)]
 
-    def drop_all(self) -> None:
-        """Ends every exchange; what the kernel still holds is dropped."""
+    def cancel_all(self) -> None:
+        """Cancels every exchange; the kernel discards unsent bytes."""
         self._pool.kill(block=False)
 
-    def _send(self, sending: Sending, check: Callable[[], None]) -> Sent:
+    def _send(
+        self, outgoing: OutgoingOrder, check: Callable[[], None]
+    ) -> SentOrder:
         def before_send() -> None:
             check()
             self._fuse.check()
 
         result = orders.send_order(
-            sending.address,
-            sending.order,
+            outgoing.address,
+            outgoing.order,
             user_timeout_s=self._user_timeout_s,
             before_send=before_send,
         )
         outcome = outcome_name(result.value)
         _orders_counter.inc(
-            {"action": sending.order.action, "outcome": outcome}
+            {"action": outgoing.order.action, "outcome": outcome}
         )
-        return Sent(sending, result)
+        return SentOrder(outgoing, result)
 
 
 @functools.singledispatch
 def outcome_name(outcome: object) -> str:
-    """Returns the short name of an order's outcome, for the metrics."""
+    """Returns the label of an order's outcome in the metrics."""
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
--- a/src/mulberrywharf/programs/_controller_status.py
+++ b/src/mulberrywharf/programs/_controller_status.py
@@ -1,4 +1,4 @@
-"""What the controller's ``GET /status`` says."""
+"""Builds the controller's response to ``GET /status``."""
 
 from mulberrywharf import settings
 from mulberrywharf.authority import findings
@@ -17,18 +17,18 @@
     vm_list_age_s: float,
     now_unix_s: float,
 ) -> status.StatusReport:
-    """Puts the last round into the form that operators read.
+    """Returns the status report for operators.
 
     Args:
         config: Settings of the process.
-        view: What the last round saw.
+        view: Observations and decisions of the last round.
         held: The lease, or None on standby.
-        config_version: Version in force here, 0 when there is none.
-        ready: Whether the process takes part.
-        key_value_age_s: Since the key-value service last answered; inf
-            before.
-        vm_list_age_s: Age of the VM list; inf before the first.
-        now_unix_s: Wall clock.
+        config_version: Version of the configuration in force here, 0 for none.
+        ready: Whether the process reports itself as ready.
+        key_value_age_s: Time since the key-value service last answered; inf
+            before the first answer.
+        vm_list_age_s: Age of the VM list; inf before the first list.
+        now_unix_s: Wall-clock time.
     """
     report = status.StatusReport(
         vm_id=config["vm_id"],
@@ -41,8 +41,8 @@
             for _, fact in sorted(view.facts.items())
         ],
         platform=status.PlatformStatus(
-            key_value_age_s=_finite(key_value_age_s),
-            vm_list_age_s=_finite(vm_list_age_s),
+            key_value_age_s=_age_or_none(key_value_age_s),
+            vm_list_age_s=_age_or_none(vm_list_age_s),
         ),
         lease=status.LeaseStatus(
             held=held is not None,
@@ -73,11 +73,11 @@
     if fact.report is not None:
         engine["seen_role"] = fact.report.role
         engine["seen_state"] = fact.report.state
-        engine["report_age_s"] = _finite(
+        engine["report_age_s"] = _age_or_none(
             now_unix_s - fact.report.reported_unix_s
         )
     return engine
 
 
-def _finite(age_s: float) -> float | None:
+def _age_or_none(age_s: float) -> float | None:
     return None if age_s == float("inf") else round(age_s, 3)
--- a/src/mulberrywharf/programs/_router.py
+++ b/src/mulberrywharf/programs/_router.py
@@ -1,4 +1,4 @@
-"""A router, put together from its settings."""
+"""Builds a router from its settings, starts it and stops it."""
 
 import random
 
@@ -32,10 +32,10 @@
 
 
 class Router:
-    """One router: every part of it, started and closed in order.
+    """One router process, with all of its parts.
 
     Attributes:
-        stopping: Set it to begin the graceful stop.
+        stopping: Event that is set to begin the graceful stop.
     """
 
     def __init__(
@@ -63,15 +63,15 @@
             fleet.Address(callers["listen"]["ip"], caller_listener.port),
         )
         self._background = in_flight.InFlight()
-        self._add_requests(callers, caller_listener)
+        self._build_request_pipelines(callers, caller_listener)
         self._readiness: gevent.Greenlet | None = None
 
     @classmethod
     def from_config(cls, config: settings.Settings) -> "Router":
-        """Binds every listener; nothing is served before ``start``."""
+        """Binds all listeners; nothing is served before ``start``."""
         return cls(config, config["callers"])
 
-    def _add_requests(
+    def _build_request_pipelines(
         self,
         callers: settings.CallersSettings,
         caller_listener: listener.CallerListener,
@@ -101,7 +101,7 @@
         retries = retry_budget.RetryBudget.from_config(now_s)
         rates = demand_rates.DemandRates()
         crashes = crash_watch.CrashWatch.of_node_alone(self._clock)
-        self._nodes.share_rates(rates)
+        self._nodes.serve_rates(rates)
         self._configuration = _router_configuration.RouterConfiguration(
             self._platform.follower, customer_limits, self._audit, self._clock
         )
@@ -112,7 +112,7 @@
             vms=self._platform.vm_list,
             node_mesh=self._nodes.mesh,
             rates=rates,
-            on_actions=self._configuration.act,
+            on_actions=self._configuration.apply_actions,
             system_clock=self._clock,
         )
         generations = generation.GenerationPipeline(
@@ -163,7 +163,7 @@
         }
 
     def start(self) -> None:
-        """Begins to serve; ready once there is something to serve by."""
+        """Starts all parts; ready once a configuration and VM list exist."""
         self._operators.start()
         self._platform.start()
         self._configuration.start()
@@ -172,14 +172,15 @@
         self._sharing.start()
         self._rules.start()
         self._callers.start()
-        self._readiness = gevent.spawn(self._keep_ready)
+        self._readiness = gevent.spawn(self._update_readiness)
 
     def stop(self) -> None:
-        """Stops gracefully: nothing that was accepted is cut.
+        """Stops gracefully: every accepted request is finished.
 
-        It lasts as long as the longest request. The balancer is told first,
-        then no more is accepted, and only when every answer is out do the
-        other nodes take over what this one looked after.
+        This takes as long as the longest request. Readiness is turned off
+        first, so that the load balancer sends no more requests; then the
+        listener closes. The other nodes take over this node's claim shards
+        only after all responses have been sent.
         """
         logger.info("stopping: no longer ready")
         if self._readiness is not None:
@@ -195,7 +196,7 @@
         logger.info("stopped")
 
     def close(self) -> None:
-        """Ends every part at once."""
+        """Stops all parts immediately."""
         self._rules.close()
         self._sharing.close()
         self._nodes.close()
@@ -203,7 +204,7 @@
         self._platform.close()
         self._operators.close()
 
-    def _keep_ready(self) -> None:
+    def _update_readiness(self) -> None:
         while True:
             self._operators.set_ready(self._is_ready())
             gevent.sleep(_READINESS_INTERVAL_S)
--- a/src/mulberrywharf/programs/_router_backends.py
+++ b/src/mulberrywharf/programs/_router_backends.py
@@ -1,4 +1,4 @@
-"""The router's side of engines and backend servers."""
+"""The engines and backend servers that a router sends requests to."""
 
 import random
 
@@ -15,13 +15,13 @@
 
 
 class Backends:
-    """Engines and backend servers, kept in step with the VM list.
+    """Engines and backend servers, kept up to date with the VM list.
 
     Attributes:
-        loads: What is known of the engines' loads.
-        places: Gives out places at engines.
-        servers: Chooses backend servers.
-        client: Speaks to backend servers.
+        loads: Reads the engines' loads.
+        places: Allocates request slots at engines.
+        servers: Selects backend servers.
+        client: Sends requests to backend servers.
     """
 
     def __init__(
@@ -46,23 +46,23 @@
         self._drains = _router_drains.DrainWatch(
             platform.key_value, config["deployment"], self.loads.set_drained
         )
-        self._version = 0
-        self._backends: frozenset[fleet.Address] = frozenset()
+        self._vm_list_version = 0
+        self._backend_addresses: frozenset[fleet.Address] = frozenset()
         self._greenlet: gevent.Greenlet | None = None
 
     def knows_vms(self) -> bool:
-        """Whether a VM list was taken, so that there is somewhere to send."""
-        return self._version > 0
+        """Tells whether a VM list was received, so that targets are known."""
+        return self._vm_list_version > 0
 
     def start(self) -> None:
-        """Begins to read loads and to follow the VM list."""
+        """Starts to read loads and to follow the VM list."""
         self.loads.start()
         self.places.start()
         self._drains.start()
-        self._greenlet = gevent.spawn(self._follow)
+        self._greenlet = gevent.spawn(self._follow_vm_list)
 
     def close(self) -> None:
-        """Ends all that."""
+        """Stops all of this and closes the connections."""
         if self._greenlet is not None:
             self._greenlet.kill()
         self._drains.close()
@@ -70,22 +70,22 @@
         self.loads.close()
         self.client.close()
 
-    def _follow(self) -> None:
+    def _follow_vm_list(self) -> None:
         while True:
-            if self._vm_list.version() != self._version:
-                self._take_vms()
+            if self._vm_list.version() != self._vm_list_version:
+                self._apply_vm_list()
             gevent.sleep(_INTERVAL_S)
 
-    def _take_vms(self) -> None:
-        self._version = self._vm_list.version()
+    def _apply_vm_list(self) -> None:
+        self._vm_list_version = self._vm_list.version()
         vms = self._vm_list.vms()
         self.loads.set_vms(vms)
         self.servers.set_vms(vms)
-        backends = frozenset(
+        addresses = frozenset(
             vm.address
             for vm in vms
             if vm.kind == "backend" and vm.state == "live"
         )
-        for address in self._backends - backends:
+        for address in self._backend_addresses - addresses:
             self.client.forget(address)
-        self._backends = backends
+        self._backend_addresses = addresses
--- a/src/mulberrywharf/programs/_router_configuration.py
+++ b/src/mulberrywharf/programs/_router_configuration.py
@@ -1,4 +1,4 @@
-"""What a router takes from the configuration in force."""
+"""Applies the configuration in force to a router."""
 
 from mulberrywharf import clock, rules
 from mulberrywharf.callers import server
@@ -9,7 +9,7 @@
 
 
 class RouterConfiguration:
-    """Hands each new configuration to the parts that live by it."""
+    """Passes each new configuration to the parts that depend on it."""
 
     def __init__(
         self,
@@ -27,24 +27,24 @@
         self._actions: rules.Actions = {}
 
     def start(self) -> None:
-        """Takes the configuration in force and each later one."""
-        self._follower.on_change(self._take)
+        """Applies the configuration in force and each later one."""
+        self._follower.on_change(self._on_configuration)
 
     def catalogue(self) -> server.Catalogue | None:
-        """Returns who may call for what; None before any configuration."""
+        """Returns who may call what; None before the first configuration."""
         return self._catalogue
 
     def standings(self) -> standing.Standings:
-        """Returns the customers' standing."""
+        """Returns the customers' weights and priorities."""
         return self._standings
 
-    def act(self, actions: rules.Actions) -> None:
-        """Takes what the rule in force asks of a router."""
+    def apply_actions(self, actions: rules.Actions) -> None:
+        """Applies the actions of the rule in force that concern a router."""
         if actions != self._actions:
             self._actions = actions
             self._apply()
 
-    def _take(self, taken: configuration.Configuration) -> None:
+    def _on_configuration(self, taken: configuration.Configuration) -> None:
         self._catalogue = server.Catalogue.from_config(taken.document)
         self._apply()
         self._audit.record(
--- a/src/mulberrywharf/programs/_router_drains.py
+++ b/src/mulberrywharf/programs/_router_drains.py
@@ -1,4 +1,4 @@
-"""Which engines the controllers' orders keep new work away from."""
+"""Determines which engines are drained by the controllers' orders."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,11 @@
 
 
 class DrainWatch:
-    """Follows the order records of every availability zone.
+    """Watches the order records of every availability zone.
 
-    While the key-value service is away the last records hold: an engine that
-    was being drained stays drained, which costs capacity but cuts nothing.
+    While the key-value service is unavailable, the last known records apply:
+    a drained engine stays drained, which costs capacity but interrupts no
+    request.
     """
 
     def __init__(
@@ -31,7 +32,7 @@
         self._watch: watch.Watch | None = None
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the watch."""
         self._watch = self._client.watch(
             self._prefix, self._on_event, purpose=PURPOSE
         )
--- a/src/mulberrywharf/programs/_router_nodes.py
+++ b/src/mulberrywharf/programs/_router_nodes.py
@@ -1,4 +1,4 @@
-"""The router's side of the other entry VMs."""
+"""A router's communication with the other entry VMs."""
 
 import time
 
@@ -18,12 +18,12 @@
 
 
 class Nodes:
-    """Claims, and whatever else the entry VMs settle among themselves.
+    """Claims, heartbeats and the data exchanged among entry VMs.
 
     Attributes:
-        port: Where other entry VMs connect.
-        claims: Asks for the right to run a request once.
-        mesh: Heartbeats, membership, loads and demands.
+        port: TCP port that other entry VMs connect to.
+        claims: Requests claims, each the exclusive right to run a request.
+        mesh: Exchanges heartbeats, membership, loads and demand.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         callers_address: fleet.Address,
     ):
         self._vm_list = platform.vm_list
-        self._starting: gevent.Greenlet | None = None
+        self._claim_owner_start: gevent.Greenlet | None = None
         self._links = links.Links.from_config(config)
         self._server = server.NodeServer.from_config(config)
-        # It listens from here on, because the claims name its port.
+        # Starts listening now because the claim owner needs the port.
         self._server.start()
         self.port = self._server.port
         self.mesh = mesh.NodeMesh.from_config(
@@ -61,36 +61,37 @@
             callers_address,
         )
 
-    def share_rates(self, rates: demand_rates.DemandRates) -> None:
-        """Lets the zone's controller ask how many requests come here."""
+    def serve_rates(self, rates: demand_rates.DemandRates) -> None:
+        """Answers the zone's controller with the rates of this router."""
         node_rates.answer_from(
             self._server, lambda: rates.read(time.monotonic())
         )
 
     def start(self) -> None:
-        """Begins to send heartbeats and to look after shards of claims."""
+        """Starts to send heartbeats and to acquire claim shards."""
         self.mesh.start()
-        self._starting = gevent.spawn(self._start_owner)
+        self._claim_owner_start = gevent.spawn(self._start_claim_owner)
 
-    def _start_owner(self) -> None:
-        # Without the list this node would take itself for the only one and
-        # every shard for its own; one VM's end would then stop all claims.
+    def _start_claim_owner(self) -> None:
+        # Without the VM list this node would assume that it is the only one
+        # and acquire all shards. The failure of its VM would then make every
+        # claim unavailable.
         self._vm_list.wait()
         self._owner.start()
 
     def owned_shards_count(self) -> int:
-        """Returns how many shards of claims this node answers for."""
+        """Returns how many claim shards this node owns."""
         return len(self._owner.owned_shards())
 
     def leave(self) -> None:
-        """Hands over what others go on with, and says that we leave."""
-        if self._starting is not None:
-            self._starting.kill()
+        """Tells the other nodes that this one leaves; hands over its shards."""
+        if self._claim_owner_start is not None:
+            self._claim_owner_start.kill()
         self.mesh.announce_leaving()
         self._owner.hand_over()
 
     def close(self) -> None:
-        """Ends every exchange."""
+        """Closes all connections."""
         self.mesh.close()
         self.claims.close()
         self._owner.close()
--- a/src/mulberrywharf/programs/_router_platform.py
+++ b/src/mulberrywharf/programs/_router_platform.py
@@ -1,4 +1,4 @@
-"""The router's side of the platform's services."""
+"""A router's clients of the platform's services."""
 
 from mulberrywharf import settings
 from mulberrywharf.nodes import claim_owner
@@ -15,9 +15,9 @@
     """Clients of the platform's services.
 
     Attributes:
-        key_value: The key-value service.
-        vm_list: The VM list.
-        follower: The configuration in force.
+        key_value: Client of the key-value service.
+        vm_list: Reads the VM list.
+        follower: Follows the configuration in force.
     """
 
     def __init__(self, config: settings.Settings):
@@ -30,20 +30,20 @@
         )
 
     def start(self) -> None:
-        """Begins to read the VM list and to follow the configuration."""
+        """Starts to read the VM list and to follow the configuration."""
         self.key_value.start()
         self.vm_list.start()
         self.follower.start()
 
     def close(self) -> None:
-        """Ends every call."""
+        """Cancels all calls."""
         self.follower.close()
         self.vm_list.close()
         self.key_value.close()
 
     def status(self) -> status.PlatformStatus:
-        """Returns how old this picture is."""
+        """Returns the ages of the data from the platform."""
         return status.PlatformStatus(
-            key_value_age_s=_router_status.finite(self.key_value.age_s()),
-            vm_list_age_s=_router_status.finite(self.vm_list.age_s()),
+            key_value_age_s=_router_status.age_or_none(self.key_value.age_s()),
+            vm_list_age_s=_router_status.age_or_none(self.vm_list.age_s()),
         )
--- a/src/mulberrywharf/programs/_router_rules.py
+++ b/src/mulberrywharf/programs/_router_rules.py
@@ -1,9 +1,9 @@
-"""What the operators' rules ask of a router: limits and a preferred zone.
+"""Evaluates the rules' actions for a router: limits and a preferred zone.
 
-Roles, loads and drains are the controller's; ``limit`` and ``prefer_zone``
-act on requests, so each router evaluates the rules for them by itself, on
-what it sees of its zone. Two routers may differ for a moment, as their
-views do; nothing that they order can conflict.
+The controller carries out changes of roles, model loads and drains. The actions
+``limit`` and ``prefer_zone`` affect requests, so each router evaluates the
+rules for them itself, on its own measurements of the zone. Two routers may
+briefly differ because their measurements do; these actions cannot conflict.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class RouterRules:
-    """Evaluates the rules at intervals."""
+    """Evaluates the rules periodically."""
 
     def __init__(
         self,
@@ -48,19 +48,19 @@
         self._task = _interval_task.IntervalTask(
             (self.tick,),
             interval_s=_INTERVAL_S,
-            failure_message="an evaluation of the rules failed",
+            failure_message="evaluating the rules failed",
         )
 
     def start(self) -> None:
-        """Begins to evaluate."""
+        """Starts the evaluations."""
         self._task.start()
 
     def close(self) -> None:
-        """Ends it; the last actions hold."""
+        """Stops the evaluations; the last actions stay in force."""
         self._task.close()
 
     def tick(self) -> None:
-        """Evaluates once; an undecided match leaves things as they are."""
+        """Evaluates the rules once; an undecided match changes nothing."""
         configuration = self._follower.current()
         if configuration is None:
             return
@@ -95,12 +95,12 @@
             vm_list_age_s=self._vms.age_s(),
         )
         rates = self._rates.read(self._clock.monotonic_s())
-        # The balancer spreads requests, so the zone gets about as many times
-        # this router's part as it has routers.
+        # The load balancer distributes requests over the routers, so the
+        # zone's rate is about this router's rate times their number.
         routers_count = max(1, len(self._mesh.membership().live))
         return built._replace(
-            customer_requests_per_s=_times(rates.customers, routers_count),
-            model_requests_per_s=_times(rates.models, routers_count),
+            customer_requests_per_s=_scaled(rates.customers, routers_count),
+            model_requests_per_s=_scaled(rates.models, routers_count),
             absent_requests_per_s=0.0,
             rates_age_s=0.0,
         )
@@ -116,5 +116,5 @@
     return [view.vm.vm_id for view in views if view.vm.state == "live"]
 
 
-def _times(rates: dict[str, float], factor: int) -> dict[str, float]:
+def _scaled(rates: dict[str, float], factor: int) -> dict[str, float]:
     return {name: rate * factor for name, rate in rates.items()}
--- a/src/mulberrywharf/programs/_router_sharing.py
+++ b/src/mulberrywharf/programs/_router_sharing.py
@@ -1,9 +1,10 @@
-"""What a router shares with the others: engines' loads, customers' demand.
+"""Shares engines' loads and customers' demand among routers.
 
-At the size of the target nobody can read every engine each second. Each
-router reads its slice in full and learns of the others by one byte each, from
-heartbeats. A small fleet is read in full by everybody: that costs little, and
-every router then sees all cache events.
+At the fleet size that the system is designed for, a router cannot read every
+engine each second. Each router reads one slice of the engines in full; for the
+other engines, heartbeats bring it one byte each. In a small fleet every router
+reads all engines: this costs little, and every router then receives all cache
+events.
 """
 
 import collections
@@ -22,17 +23,18 @@
 from mulberrywharf.programs import _interval_task
 
 WHOLE_FLEET_LIMIT_COUNT = 8
-"""Up to so many engines, every router reads them all."""
+"""Largest number of engines at which every router reads all of them."""
 
 FULL_READ_INTERVAL_S = 300.0
-"""Between full reads of an engine outside the slice; its role, models and
-speeds change seldom, and one that comes back from a change is read at once."""
+"""Time between full reads of an engine outside the slice. Its role, models and
+speeds rarely change; an engine that serves again after a change is read
+immediately."""
 
 _INTERVAL_S = 0.5
-_SEEN_S = 10.0
-_READS_AT_ONCE_COUNT = 4
+_RECENT_REPORT_S = 10.0
+_CONCURRENT_READS_COUNT = 4
 _READ_TIMEOUT_S = 2.0
-_LEAST_ROUND_S = 3.0
+_MIN_ROUND_S = 3.0
 _ROTATIONS_PER_ROUND = 1.5
 
 _engines_seen = metrics.gauge(
@@ -45,23 +47,23 @@
 )
 
 
-class _Known:
-    """An engine outside the slice.
+class _OutsideEngine:
+    """An engine outside this router's slice.
 
     Attributes:
         report: Its last full report.
-        read_again_s: When to read it in full again.
-        was_serving: What its last byte said.
+        next_read_s: Monotonic time of the next full read.
+        was_serving: Whether it was serving by its last heartbeat byte.
     """
 
-    def __init__(self, report: fleet.LoadReport, read_again_s: float):
+    def __init__(self, report: fleet.LoadReport, next_read_s: float):
         self.report = report
-        self.read_again_s = read_again_s
+        self.next_read_s = next_read_s
         self.was_serving = True
 
 
 class LoadSharing:
-    """Reads a slice of the engines and takes the rest from neighbours."""
+    """Reads a slice of the engines; other nodes report the rest."""
 
     def __init__(
         self,
@@ -74,10 +76,10 @@
         self._mesh = node_mesh
         self._clock = system_clock
         self._rng = rng
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _OutsideEngine] = {}
 
     def tick(self) -> None:
-        """Does the work of one interval."""
+        """Publishes and updates loads; called at each interval."""
         views = self._reader.views()
         own = frozenset(vm.vm_id for vm in self._mesh.engine_slice())
         self._publish(views, own)
@@ -86,8 +88,8 @@
             return
         self._reader.set_slice(own)
         others = [view for view in views if view.vm.vm_id not in own]
-        self._read_some(others)
-        self._refresh(others, self._mesh.coarse_loads())
+        self._read_due(others)
+        self._apply_coarse_loads(others, self._mesh.coarse_loads())
 
     def _publish(
         self, views: Collection[fleet.EngineView], own: frozenset[str]
@@ -96,11 +98,11 @@
             if view.vm.vm_id in own and view.report is not None:
                 self._mesh.publish_load(view.report)
 
-    def _read_some(self, others: Collection[fleet.EngineView]) -> None:
+    def _read_due(self, others: Collection[fleet.EngineView]) -> None:
         now_s = self._clock.monotonic_s()
         due = [view.vm for view in others if self._is_due(view.vm, now_s)]
         reads = [
-            gevent.spawn(self._read, vm) for vm in due[:_READS_AT_ONCE_COUNT]
+            gevent.spawn(self._read, vm) for vm in due[:_CONCURRENT_READS_COUNT]
         ]
         gevent.joinall(reads)
         present = {view.vm.vm_id for view in others}
@@ -109,18 +111,18 @@
 
     def _is_due(self, vm: fleet.VmRecord, now_s: float) -> bool:
         known = self._known.get(vm.vm_id)
-        return known is None or known.read_again_s <= now_s
+        return known is None or known.next_read_s <= now_s
 
     def _read(self, vm: fleet.VmRecord) -> None:
         read = state.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
         if not isinstance(read, Ok) or read.ok_value.engine_id != vm.vm_id:
             return
-        spread_s = FULL_READ_INTERVAL_S * self._rng.uniform(0.5, 1.0)
-        again_s = self._clock.monotonic_s() + spread_s
-        self._known[vm.vm_id] = _Known(read.ok_value, again_s)
+        jittered_s = FULL_READ_INTERVAL_S * self._rng.uniform(0.5, 1.0)
+        next_read_s = self._clock.monotonic_s() + jittered_s
+        self._known[vm.vm_id] = _OutsideEngine(read.ok_value, next_read_s)
         self._reader.accept(read.ok_value, 0.0)
 
-    def _refresh(
+    def _apply_coarse_loads(
         self,
         others: Collection[fleet.EngineView],
         coarse: Mapping[str, slices.AgedLoad],
@@ -131,7 +133,7 @@
             if known is None or aged is None:
                 continue
             if aged.load.is_serving and not known.was_serving:
-                known.read_again_s = 0.0
+                known.next_read_s = 0.0
             known.was_serving = aged.load.is_serving
             report = slices.refresh(known.report, aged.load)
             self._reader.accept(report, aged.age_s)
@@ -156,9 +158,9 @@
         self._round_number = 0
 
     def tick(self) -> None:
-        """Begins the next round once it is time."""
+        """Starts the next round if it is due."""
         round_s = max(
-            _LEAST_ROUND_S, self._mesh.rotation_s() * _ROTATIONS_PER_ROUND
+            _MIN_ROUND_S, self._mesh.rotation_s() * _ROTATIONS_PER_ROUND
         )
         number = shares.round_number(self._clock.unix_s(), round_s)
         if number == self._round_number:
@@ -186,10 +188,10 @@
 
 
 class FleetGauges:
-    """Shows in the metrics how much of the fleet this router can see.
+    """Exports metrics of the part of the fleet that this router can reach.
 
-    A zone that is cut off goes on serving; its routers show no engine of
-    another zone and an ageing VM list.
+    A partitioned zone continues to serve. Its routers then report no engine of
+    another zone, and a growing age of the VM list.
     """
 
     def __init__(self, reader: loads.LoadReader, vms: vm_list.VmListReader):
@@ -202,7 +204,7 @@
         seen = collections.Counter(
             view.vm.availability_zone
             for view in self._reader.views()
-            if view.report is not None and view.report_age_s < _SEEN_S
+            if view.report is not None and view.report_age_s < _RECENT_REPORT_S
         )
         self._zones |= {
             view.vm.availability_zone for view in self._reader.views()
@@ -214,7 +216,7 @@
 
 
 class Sharing:
-    """Runs the parts at intervals."""
+    """Runs the parts of this module periodically."""
 
     def __init__(
         self,
@@ -225,13 +227,13 @@
         self._task = _interval_task.IntervalTask(
             (load_sharing.tick, limit_sharing.tick, fleet_gauges.tick),
             interval_s=_INTERVAL_S,
-            failure_message="an interval of sharing failed",
+            failure_message="sharing loads or demand failed",
         )
 
     def start(self) -> None:
-        """Begins to share."""
+        """Starts the periodic task."""
         self._task.start()
 
     def close(self) -> None:
-        """Ends sharing."""
+        """Stops the periodic task."""
         self._task.close()
--- a/src/mulberrywharf/programs/_router_status.py
+++ b/src/mulberrywharf/programs/_router_status.py
@@ -1,4 +1,4 @@
-"""What a router tells operators about itself."""
+"""Builds the parts of a router's status report for operators."""
 
 import math
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 def engine_statuses(
     views: Iterable[fleet.EngineView],
 ) -> list[status.EngineStatus]:
-    """Returns the engines as this router sees them."""
+    """Returns the status of each engine as this router sees it."""
     return [_engine_status(view) for view in views]
 
 
@@ -22,10 +22,10 @@
         availability_zone=view.vm.availability_zone,
         seen_role="unknown" if report is None else report.role,
         seen_state="draining" if view.drained else state,
-        report_age_s=finite(view.report_age_s),
+        report_age_s=age_or_none(view.report_age_s),
     )
 
 
-def finite(age_s: float) -> float | None:
-    """Returns an age, or None for one that is not known yet."""
+def age_or_none(age_s: float) -> float | None:
+    """Returns an age rounded to milliseconds, or None if not yet known."""
     return round(age_s, 3) if math.isfinite(age_s) else None
--- a/src/mulberrywharf/programs/controller.py
+++ b/src/mulberrywharf/programs/controller.py
@@ -1,8 +1,9 @@
-"""``mulberry-controller``: keeps a zone's engines as the rules say.
+"""``mulberry-controller``: applies the operators' rules to a zone's engines.
 
-One controller of each availability zone is active, by a lease; the others
-wait. A controller that loses its lease goes back to waiting; one that was
-frozen past it is ended by the kernel, see ``authority.lease_fuse``.
+In each availability zone, the controller that holds the zone's lease is
+active and the others are on standby. A controller that loses its lease returns
+to standby. If a process was suspended past the end of its lease, a kernel
+timer kills it before it runs any further instruction.
 """
 
 # ruff: noqa: E402
@@ -41,16 +42,19 @@
     _startup,
 )
 
-_FINISH_S = 20.0
+_CLOSE_TIMEOUT_S = 20.0
 
 
 class Mechanisms(NamedTuple):
-    """What guards the authority; tests turn one off to see why it is there.
+    """Protects against two controllers that order the same engines.
+
+    Tests turn one mechanism off to show which failure it prevents.
 
     Attributes:
-        fuse: The kernel ends a process that was frozen past its lease.
-        guard: Writes of records compare the lease key.
-        quiet: A new holder waits until old orders can't arrive any more.
+        fuse: The kernel kills a process that was suspended past its lease.
+        guard: Each write of order records is conditional on the lease key.
+        quiet: A new lease holder sends no order until none of its
+            predecessor's can arrive any more.
     """
 
     fuse: bool = True
@@ -62,7 +66,7 @@
     """The controller of one entry VM.
 
     Attributes:
-        stopping: Set when the process is to stop.
+        stopping: Event that is set to stop the process.
     """
 
     def __init__(
@@ -80,7 +84,7 @@
             config, self._key_value
         )
         self._vm_list = vm_list.VmListReader.from_config(config)
-        self._weights = _controller_weights.WeightLoads(
+        self._load_permissions = _controller_weights.LoadPermissions(
             weight_store.WeightStoreClient.from_config(config)
         )
         fuse = lease_fuse.LeaseFuse(
@@ -92,7 +96,7 @@
         self._operators = server.OperatorsServer.from_config(
             config, self._status, self.stopping.set, audit=self._audit
         )
-        self._keeper = _controller_lease.LeaseKeeper.from_config(
+        self._lease_keeper = _controller_lease.LeaseKeeper.from_config(
             config,
             self._key_value,
             fuse,
@@ -106,7 +110,7 @@
         sender = _controller_sending.OrderSender(
             fuse, user_timeout_s=_controller_options.user_timeout_s(config)
         )
-        self._keeper.on_step_down = sender.drop_all
+        self._lease_keeper.on_step_down = sender.cancel_all
         self._zone = self._make_zone(sender, mechanisms)
 
     @classmethod
@@ -115,18 +119,18 @@
         config: settings.Settings,
         mechanisms: Mechanisms | None = None,
     ) -> "ControllerProgram":
-        """Builds the program; nothing is opened before ``start``."""
+        """Binds the admin listener; no work begins before ``start``."""
         return cls(config, clocks.SystemClock(), mechanisms or Mechanisms())
 
     def start(self) -> None:
-        """Begins to follow the platform and to compete for the lease."""
+        """Starts all parts and competes for the lease."""
         self._key_value.start()
         self._configuration.start()
         self._vm_list.start()
-        self._weights.start()
+        self._load_permissions.start()
         self._rates.start()
         self._operators.start()
-        self._keeper.start()
+        self._lease_keeper.start()
         self._zone.start()
         self._operators.set_ready(True)
         _wsgi.announce_ready(
@@ -134,12 +138,12 @@
         )
 
     def close(self) -> None:
-        """Finishes or hands over the orders, then releases the lease."""
+        """Finishes orders or leaves them to the next holder; ends the lease."""
         self._operators.set_ready(False)
-        self._zone.close(_FINISH_S)
-        self._keeper.close()
+        self._zone.close(_CLOSE_TIMEOUT_S)
+        self._lease_keeper.close()
         self._rates.close()
-        self._weights.close()
+        self._load_permissions.close()
         self._vm_list.close()
         self._configuration.close()
         self._key_value.close()
@@ -153,7 +157,7 @@
         deployment = self._config["deployment"]
         zone = self._config["availability_zone"]
         options = _controller_options.ZoneOptions.from_config(
-            self._config, self._keeper.ttl_s
+            self._config, self._lease_keeper.ttl_s
         )
         if not mechanisms.quiet:
             options = options._replace(quiet=options.quiet._replace(off=True))
@@ -168,7 +172,7 @@
         return _controller_zone.ZoneController(
             options,
             self._clock,
-            keeper=self._keeper,
+            keeper=self._lease_keeper,
             config_refresh=_controller_config.ConfigRefresh(
                 self._key_value, self._configuration, self._clock, deployment
             ),
@@ -183,14 +187,14 @@
                 options, store, self._clock, self._audit
             ),
             sender=sender,
-            weights=self._weights,
+            load_permissions=self._load_permissions,
         )
 
     def _status(self) -> status.StatusReport:
         return _controller_status.build(
             self._config,
             self._zone.view,
-            self._keeper.held,
+            self._lease_keeper.held,
             config_version=self._configuration.version(),
             ready=self._operators.ready,
             key_value_age_s=self._key_value.age_s(),
@@ -215,7 +219,7 @@
     """Runs ``mulberry-controller``."""
     config = _startup.read_settings(
         prog="mulberry-controller",
-        description="Keeps a zone's engines as the rules say.",
+        description="Applies the operators' rules to a zone's engines.",
         load=settings.load,
     )
     if isinstance(config, int):
--- a/src/mulberrywharf/programs/router.py
+++ b/src/mulberrywharf/programs/router.py
@@ -1,4 +1,4 @@
-"""``mulberry-router``: serves callers from engines and backend servers."""
+"""``mulberry-router``: relays requests to engines and backend servers."""
 
 # ruff: noqa: E402
 from gevent import monkey
@@ -19,10 +19,10 @@
 
 
 def main() -> int:
-    """Runs a router until SIGTERM, SIGINT or an operator's drain."""
+    """Runs a router until SIGTERM, SIGINT or an operator's drain request."""
     config = _startup.read_settings(
         prog="mulberry-router",
-        description="Serves callers from engines and backend servers.",
+        description="Relays requests to engines and backend servers.",
         load=_load,
     )
     if isinstance(config, int):
@@ -44,17 +44,18 @@
     loaded = settings.load(path)
     if isinstance(loaded, Ok) and "callers" not in loaded.ok_value:
         fault = errors.Fault(
-            "callers", "a router needs it", "say where callers connect"
+            "callers", "required for a router", "set callers.listen"
         )
         return Err(errors.SettingsError(path, [fault]))
     return loaded
 
 
 def _handle_signals(router: _router.Router) -> None:
-    """SIGTERM stops gracefully however often it comes.
+    """Installs the handlers for SIGTERM and SIGINT.
 
-    An impatient supervisor that sends it twice must not cut requests. Whoever
-    really wants that has SIGKILL, or SIGINT a second time at a terminal.
+    SIGTERM always stops gracefully, even if repeated: a supervisor that sends
+    it twice must not interrupt requests. SIGKILL, or a second SIGINT at a
+    terminal, ends the process immediately.
     """
 
     def interrupt() -> None:
--- a/tests/controller_without.py
+++ b/tests/controller_without.py
@@ -23,25 +23,25 @@
     """
     check = orders._OrderConnection.after_connect
 
-    def check_then_linger(connection: Any, sock: Any) -> None:
+    def check_then_wait(connection: Any, sock: Any) -> None:
         check(connection, sock)
         end_s = time.monotonic() + gap_s
         while time.monotonic() < end_s:
             pass
 
     orders._OrderConnection.after_connect = (  # type: ignore[method-assign]
-        check_then_linger
+        check_then_wait
     )
 
 
-def _give_up_rates_after(give_up_s: float) -> None:
+def _shorten_rates_give_up(give_up_s: float) -> None:
     """Shortens the minute after which rules on rates are passed over."""
     make = rates.RouterRates.__init__
 
-    def make_hasty(router_rates: Any, *_: Any) -> None:
+    def make_with_timeout(router_rates: Any, *_: Any) -> None:
         make(router_rates, give_up_s)
 
-    rates.RouterRates.__init__ = make_hasty  # type: ignore[method-assign]
+    rates.RouterRates.__init__ = make_with_timeout  # type: ignore[method-assign]
 
 
 def main() -> None:
@@ -58,7 +58,7 @@
     if arguments.gap_s:
         _widen_gap(arguments.gap_s)
     if arguments.rates_give_up_s:
-        _give_up_rates_after(arguments.rates_give_up_s)
+        _shorten_rates_give_up(arguments.rates_give_up_s)
     controller.run(settings.load(arguments.settings).unwrap(), mechanisms)
 
 
--- a/tests/router_without.py
+++ b/tests/router_without.py
@@ -35,14 +35,14 @@
     header = _answers.Answer.header
     check = streams.EngineStream._checked_token
 
-    def header_but_id(answer: Any, name: str) -> str | None:
+    def header_without_id(answer: Any, name: str) -> str | None:
         return None if name == "x-request-id" else header(answer, name)
 
-    def check_but_id(stream: Any, document: Any, event: bytes) -> Any:
+    def check_without_id(stream: Any, document: Any, event: bytes) -> Any:
         return check(stream, {**document, "id": stream._request_id}, event)
 
-    _patch(_answers.Answer, "header", header_but_id)
-    _patch(streams.EngineStream, "_checked_token", check_but_id)
+    _patch(_answers.Answer, "header", header_without_id)
+    _patch(streams.EngineStream, "_checked_token", check_without_id)
 
 
 def _run_without_claims() -> None:
@@ -60,7 +60,7 @@
     _patch(claim_log.ClaimLog, "append", append)
 
 
-def _write_claims_unguarded() -> None:
+def _write_claims_without_guards() -> None:
     def write_once(log: Any, wanted: Any) -> Any:
         return log._store.compare_and_swap(
             wanted.key,
@@ -72,30 +72,30 @@
     _patch(claim_log.ClaimLog, "_write_once", write_once)
 
 
-def _take_every_failure_for_not_run() -> None:
+def _report_failures_as_not_run() -> None:
     judge = outcome.judge
 
-    def judge_lightly(progress: Any, *, is_idempotent: bool) -> Any:
+    def judge_as_not_run(progress: Any, *, is_idempotent: bool) -> Any:
         verdict = judge(progress, is_idempotent=is_idempotent)
         return verdict._replace(outcome="not-run")
 
-    retry_budget.outcome.judge = judge_lightly
+    retry_budget.outcome.judge = judge_as_not_run
 
 
-def _send_again_whatever_it_is() -> None:
+def _retry_as_idempotent() -> None:
     judge = outcome.judge
 
-    def judge_lightly(progress: Any, *, is_idempotent: bool) -> Any:
+    def judge_as_idempotent(progress: Any, *, is_idempotent: bool) -> Any:
         del is_idempotent
         return judge(progress, is_idempotent=True)
 
-    retry_budget.outcome.judge = judge_lightly
+    retry_budget.outcome.judge = judge_as_idempotent
 
 
-def _take_any_end_for_the_end() -> None:
+def _accept_truncated_streams() -> None:
     read = streams.EngineStream._read_events
 
-    def read_to_any_end(stream: Any) -> list[bytes]:
+    def read_truncated(stream: Any) -> list[bytes]:
         try:
             return read(stream)
         except errors.StreamBrokenError as error:
@@ -108,18 +108,18 @@
     def end(stream: Any) -> None:
         stream._done = True
 
-    _patch(streams.EngineStream, "_read_events", read_to_any_end)
+    _patch(streams.EngineStream, "_read_events", read_truncated)
     _patch(streams.EngineStream, "_end", end)
 
 
-def _stop_at_once() -> None:
+def _stop_immediately() -> None:
     def stop(running: _router.Router) -> None:
         running._operators.set_ready(False)
 
     _patch(_router.Router, "stop", stop)
 
 
-def _take_leaving_for_live() -> None:
+def _treat_leaving_as_live() -> None:
     set_vms = directory.ServiceDirectory.set_vms
 
     def set_all_live(servers: Any, vms: Any) -> None:
@@ -132,12 +132,12 @@
     "request-ids": _ignore_request_ids,
     "claims": _run_without_claims,
     "claim-log": _claim_in_memory_only,
-    "claim-guard": _write_claims_unguarded,
-    "outcome": _take_every_failure_for_not_run,
-    "sent-once": _send_again_whatever_it_is,
-    "stream-end": _take_any_end_for_the_end,
-    "graceful-stop": _stop_at_once,
-    "leaving": _take_leaving_for_live,
+    "claim-guard": _write_claims_without_guards,
+    "outcome": _report_failures_as_not_run,
+    "sent-once": _retry_as_idempotent,
+    "stream-end": _accept_truncated_streams,
+    "graceful-stop": _stop_immediately,
+    "leaving": _treat_leaving_as_live,
 }
 """What each mechanism's name takes out of the router."""
 
