--- a/tests/controller_without.py
+++ b/tests/controller_without.py
@@ -1,4 +1,4 @@
-"""A controller with a mechanism off or a gap widened, to see tests go red."""
+"""A controller with a mechanism off or a delay added, to make tests fail."""
 
 # ruff: noqa: E402
 from gevent import monkey
@@ -16,10 +16,10 @@
 
 
 def _widen_gap(gap_s: float) -> None:
-    """Lets time pass between the last check of an order and its first byte.
+    """Adds a delay between the last check of an order and its first byte.
 
-    There are microseconds in between, too few for a test to stop a process
-    there; a page fault or a busy host can make them longer.
+    Normally this gap takes microseconds, too short for a test to stop the
+    process in it. A page fault or a busy host can make it longer.
     """
     check = orders._OrderConnection.after_connect
 
@@ -35,7 +35,7 @@
 
 
 def _shorten_rates_give_up(give_up_s: float) -> None:
-    """Shortens the minute after which rules on rates are passed over."""
+    """Shortens the time (60 s) after which rules on rates are skipped."""
     make = rates.RouterRates.__init__
 
     def make_with_timeout(router_rates: Any, *_: Any) -> None:
@@ -45,7 +45,7 @@
 
 
 def main() -> None:
-    """Runs it until SIGTERM."""
+    """Runs the controller until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True)
     parser.add_argument("--off", choices=controller.Mechanisms._fields)
--- a/tests/router_without.py
+++ b/tests/router_without.py
@@ -1,7 +1,7 @@
-"""A router with a mechanism off, to see the seeded runs go red.
+"""A router with a mechanism off, to show that the seeded runs then fail.
 
-``--claim-lease-s`` shortens the lease on claim shards, so that a run of a few
-seconds sees owners lapse and change; it takes nothing away.
+``--claim-lease-s`` shortens the lease on claim shards, so that owners expire
+and change within a run of a few seconds; it turns no mechanism off.
 """
 
 # ruff: noqa: E402
@@ -139,7 +139,7 @@
     "graceful-stop": _stop_immediately,
     "leaving": _treat_leaving_as_live,
 }
-"""What each mechanism's name takes out of the router."""
+"""Functions that turn off one mechanism of the router, by its name."""
 
 
 def _shorten_claim_lease(lease_s: float) -> None:
@@ -154,7 +154,7 @@
 
 
 def main() -> int:
-    """Runs it until SIGTERM."""
+    """Runs the router until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True)
     parser.add_argument("--off", choices=sorted(OFF))
--- a/tests/test_controller_rates.py
+++ b/tests/test_controller_rates.py
@@ -1,4 +1,4 @@
-"""Rules on a customer's rate, in real controllers beside real routers."""
+"""Rules on a customer's request rate, with real controllers and routers."""
 
 import unittest
 
@@ -46,13 +46,13 @@
 
         cluster.wait_until(is_in_force, f"{wanted} in force", 60.0)
 
-    def test_a_rule_follows_the_load_of_a_customer(self) -> None:
-        """A customer's load rises and the rule on it does not match.
+    def test_rule_follows_the_rate_summed_over_routers(self) -> None:
+        """A rule on a customer's rate stays undecided when the rate rises.
 
-        Symptom: the rule stays undecided and holds the zone, whatever the
-        customer sends. Sequence: requests come to two routers, each gets less
-        than the bound. Cause: only routers count requests, and a controller
-        that asks none, or only one, does not know the zone's rate.
+        While it is undecided, no role or load in the zone changes. The
+        requests arrive at two routers, at each of them below the bound. Only
+        routers count requests, so a controller that polls none or only one of
+        them does not know the rate of the zone.
         """
         running = self.start(_SHAPE._replace(controllers=True))
         self.wait_for_rule(running, "behind")
@@ -65,12 +65,12 @@
             gevent.killall(senders)
         self.wait_for_rule(running, "behind")
 
-    def test_rules_behind_count_when_no_router_answers(self) -> None:
-        """No router tells its rates, and the whole zone stands still.
+    def test_later_rules_apply_when_no_router_answers(self) -> None:
+        """No router reports its rates, and no rule of the zone acts any more.
 
-        Symptom: no rule acts any more, also those on engines' reports.
-        Sequence: the routers are gone while the VM list shows them. Cause: a
-        condition that stays unknown holds every rule behind it.
+        The routers have ended while the VM list still shows them. A condition
+        that stays unknown blocks all later rules, also those on engines'
+        reports.
         """
         running = self.start(_SHAPE)
         settings = running.node_settings("controller-1", _ZONE)
--- a/tests/test_controller_status.py
+++ b/tests/test_controller_status.py
@@ -1,4 +1,4 @@
-"""What an active controller tells mulberryctl, with real processes."""
+"""Status of an active controller in mulberryctl, with real processes."""
 
 import json
 import unittest
@@ -9,7 +9,7 @@
 from tests import builders_operators, builders_settings, cluster
 
 
-class FoundByLeaseTest(unittest.TestCase):
+class ControllerStatusTest(unittest.TestCase):
     def setUp(self) -> None:
         shape = cluster.Shape(routers_per_zone=1, controllers=True)
         self.cluster = cluster.Cluster(shape).start()
@@ -31,12 +31,11 @@
         return builders_operators.run_ctl(*options, *arguments)
 
     def test_status_lists_the_active_controller(self) -> None:
-        """Operators ask for the fleet and see routers only.
+        """Operators do not find a controller that ``--node`` does not name.
 
-        Symptom: ``status`` shows no controller, ``explain`` says that none
-        holds a lease, ``apply`` does not wait for any. Sequence: a
-        controller takes its zone's lease; nobody names it with ``--node``.
-        Cause: the lease did not say where its holder is asked.
+        The lease key did not contain the admin address of its holder. So
+        ``status`` showed routers only, ``explain`` reported that no controller
+        holds a lease, and ``apply`` waited for none.
         """
         controller = self.cluster.controllers[0]
         cluster.wait_until(
@@ -52,10 +51,10 @@
             with self.subTest(program=program):
                 self.assertLess(node["platform"]["key_value_age_s"], 60.0)
         cluster.wait_until(
-            lambda: self.ctl("explain").exit_code == 0, "a rule that counts"
+            lambda: self.ctl("explain").exit_code == 0, "a rule in force"
         )
 
-    def test_the_age_of_the_service_grows_while_it_is_away(self) -> None:
+    def test_key_value_age_grows_during_an_outage(self) -> None:
         members = self.cluster.routers + self.cluster.controllers
         self.cluster.set_key_value_down(True)
         for member in members:
@@ -78,7 +77,7 @@
 
 
 class LeaseValueTest(unittest.TestCase):
-    def test_it_names_an_address_that_can_be_reached(self) -> None:
+    def test_value_contains_only_a_reachable_address(self) -> None:
         cases = (
             ("10.20.1.1", {"operators_ip": "10.20.1.1", "operators_port": 81}),
             ("fd00::1", {"operators_ip": "fd00::1", "operators_port": 81}),
--- a/tests/test_graceful_stop.py
+++ b/tests/test_graceful_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops of a router: nothing that was accepted is cut."""
+"""Planned stops of a router: every accepted request is finished."""
 
 import json
 import signal
@@ -25,7 +25,7 @@
     processes,
 )
 
-_JOIN_S = 60.0
+_TIMEOUT_S = 60.0
 _LONG_TOKENS = 200
 
 
@@ -48,19 +48,19 @@
         self.addCleanup(greenlet.kill)
         return greenlet
 
-    def streaming(self, prompt: str) -> Any:
-        """Begins a long stream and waits until it is under way.
+    def start_stream(self, prompt: str) -> Any:
+        """Starts a long stream and waits until it has produced tokens.
 
-        The greenlet's value is the answer, or None if the stream broke.
+        The greenlet's value is the answer, or None if the connection broke.
         """
-        asking = self.spawn(self._complete, prompt)
+        stream = self.spawn(self._complete, prompt)
 
         def is_under_way() -> bool:
             logs = [engine.log()["runs"] for engine in self.cluster.engines]
             return any(run["token_count"] > 3 for log in logs for run in log)
 
-        cluster.wait_until(is_under_way, "a stream under way")
-        return asking
+        cluster.wait_until(is_under_way, "a stream that has produced tokens")
+        return stream
 
     def _complete(self, prompt: str) -> cluster.Answer | None:
         try:
@@ -68,45 +68,47 @@
         except (OSError, HTTPParseError):
             return None
 
-    def stop_as_planned(self, *, listed: bool = True) -> None:
-        """Stops the router; the platform lists it as leaving before."""
+    def stop_gracefully(self, *, listed: bool = True) -> None:
+        """Stops the router; if ``listed``, the VM list shows it as leaving."""
         if listed:
             self.cluster.publish(leaving=[self.router.vm_id])
         self.router.process.signal(signal.SIGTERM)
-        self.assertEqual(self.wait_end(), 0)
+        self.assertEqual(self.wait_for_exit(), 0)
 
-    def wait_end(self) -> int:
+    def wait_for_exit(self) -> int:
         process = self.router.process
-        cluster.wait_until(lambda: process.poll() is not None, "the end")
+        cluster.wait_until(
+            lambda: process.poll() is not None, "exit of the router"
+        )
         return process.wait()
 
-    def assert_whole(self, answer: cluster.Answer | None, prompt: str) -> None:
+    def assert_complete(
+        self, answer: cluster.Answer | None, prompt: str
+    ) -> None:
         assert answer is not None, "the stream broke"
         self.assertTrue(answer.is_whole())
         wanted = engine_tokens.answer_text(cluster.MODEL, prompt, _LONG_TOKENS)
         self.assertEqual(answer.text(), wanted)
 
-    def test_stream_in_flight_ends_whole(self) -> None:
-        """A verdict is cut by a planned replacement.
+    def test_stream_in_flight_is_completed(self) -> None:
+        """A planned replacement of an entry VM interrupts a caller's stream.
 
-        Symptom: a caller's stream breaks off when an entry VM is replaced.
-        Sequence: SIGTERM comes in mid-stream, and once more as an impatient
-        supervisor sends it.
-        Cause: a stop that waits for a fixed time, or a second signal that
-        ends the process.
+        SIGTERM arrives during the stream, and a second time from an impatient
+        supervisor. The stream breaks if the stop only waits for a fixed time,
+        or if the second signal ends the process.
         """
-        asking = self.streaming("planned stop")
+        stream = self.start_stream("planned stop")
         self.router.process.signal(signal.SIGTERM)
         cluster.wait_until(
             lambda: not self.cluster.is_ready(self.router), "readiness off"
         )
         self.assertIsNone(self.router.process.poll())
         self.router.process.signal(signal.SIGTERM)
-        self.assert_whole(asking.get(timeout=_JOIN_S), "planned stop")
-        self.assertEqual(self.wait_end(), 0)
+        self.assert_complete(stream.get(timeout=_TIMEOUT_S), "planned stop")
+        self.assertEqual(self.wait_for_exit(), 0)
 
-    def test_operators_drain_stops_as_the_signal_does(self) -> None:
-        asking = self.streaming("drained")
+    def test_drain_request_stops_gracefully(self) -> None:
+        stream = self.start_stream("drained")
         client = HTTPClient(
             cluster.LOOPBACK, self.router.process.ready["operators"]
         )
@@ -114,54 +116,54 @@
         token = f"Bearer {cluster.OPERATOR_TOKEN}"
         response = client.post("/drain", b"", {"authorization": token})
         self.assertEqual(response.status_code, 202)
-        self.assert_whole(asking.get(timeout=_JOIN_S), "drained")
-        self.assertEqual(self.wait_end(), 0)
+        self.assert_complete(stream.get(timeout=_TIMEOUT_S), "drained")
+        self.assertEqual(self.wait_for_exit(), 0)
 
-    def test_second_interrupt_ends_at_once(self) -> None:
-        asking = self.streaming("interrupted")
+    def test_second_sigint_ends_immediately(self) -> None:
+        stream = self.start_stream("interrupted")
         self.router.process.signal(signal.SIGINT)
         cluster.wait_until(
             lambda: not self.cluster.is_ready(self.router), "readiness off"
         )
         self.assertIsNone(self.router.process.poll())
         self.router.process.signal(signal.SIGINT)
-        self.assertEqual(self.wait_end(), 130)
-        self.assertIsNone(asking.get(timeout=_JOIN_S))
+        self.assertEqual(self.wait_for_exit(), 130)
+        self.assertIsNone(stream.get(timeout=_TIMEOUT_S))
 
-    def test_stop_under_load_cuts_nothing(self) -> None:
-        """Requests are lost while a router stops.
+    def test_stop_under_load_loses_no_request(self) -> None:
+        """Some callers get no answer during a rollout.
 
-        Symptom: some callers get no answer during each rollout.
-        Sequence: callers on kept connections go on while the router stops,
-        and go to another one once theirs accepts no more.
-        Cause: connections that the kernel had accepted are closed unread,
-        or kept connections are closed just when a request comes.
+        Callers on persistent connections continue while the router stops, and
+        use another router once theirs refuses connections. Requests are lost
+        if the router closes connections that the kernel has accepted but the
+        process has not read, or closes a persistent connection just as a
+        request arrives.
         """
         ended = gevent.event.Event()
         records: list[histories.CallerRecord] = []
         callers = [
-            self.spawn(self._ask_on, number, ended, records)
+            self.spawn(self._send_completions, number, ended, records)
             for number in range(6)
         ]
         callers += [
-            self.spawn(self._press_on, number, ended, records)
+            self.spawn(self._send_payments, number, ended, records)
             for number in range(3)
         ]
         cluster.wait_until(lambda: len(records) > 20, "load")
-        self.stop_as_planned()
+        self.stop_gracefully()
         ended.set()
-        gevent.joinall(callers, timeout=_JOIN_S, raise_error=True)
+        gevent.joinall(callers, timeout=_TIMEOUT_S, raise_error=True)
         outcomes = {record["outcome"] for record in records}
         self.assertEqual(outcomes, {"answered"})
         self.assertEqual(caller_records.violations(self.cluster, records), [])
 
-    def _ask_on(
+    def _send_completions(
         self,
         number: int,
         ended: gevent.event.Event,
         records: list[histories.CallerRecord],
     ) -> None:
-        callers = self._kept_callers()
+        callers = self._persistent_callers()
         count = 0
         while not ended.is_set():
             count += 1
@@ -173,7 +175,7 @@
                 "stream": True,
             }
             request_id = f"ask-{number}-{count}"
-            answer = self._first_to_accept(
+            answer = self._post_to_first_accepting(
                 callers,
                 "/v1/completions",
                 json.dumps(body).encode(),
@@ -183,36 +185,39 @@
                 caller_records.completion(request_id, prompt, 10, answer)
             )
 
-    def _press_on(
+    def _send_payments(
         self,
         number: int,
         ended: gevent.event.Event,
         records: list[histories.CallerRecord],
     ) -> None:
-        callers = self._kept_callers()
+        callers = self._persistent_callers()
         count = 0
         while not ended.is_set():
             count += 1
-            press_id = f"press-{number}-{count}"
-            headers = {"x-request-id": press_id, "idempotency-key": press_id}
-            answer = self._first_to_accept(
+            payment_id = f"press-{number}-{count}"
+            headers = {
+                "x-request-id": payment_id,
+                "idempotency-key": payment_id,
+            }
+            answer = self._post_to_first_accepting(
                 callers, "/services/desk/payment", b"fee", headers
             )
             records.append(
                 caller_records.press(
-                    press_id, "/payment", b"fee", press_id, answer
+                    payment_id, "/payment", b"fee", payment_id, answer
                 )
             )
 
-    def _kept_callers(self) -> "list[_KeptCaller]":
-        callers = [_KeptCaller(router) for router in self.cluster.routers]
+    def _persistent_callers(self) -> "list[_PersistentCaller]":
+        callers = [_PersistentCaller(router) for router in self.cluster.routers]
         for caller in callers:
             self.addCleanup(caller.client.close)
         return callers
 
-    def _first_to_accept(
+    def _post_to_first_accepting(
         self,
-        callers: "list[_KeptCaller]",
+        callers: "list[_PersistentCaller]",
         path: str,
         body: bytes,
         headers: dict[str, str],
@@ -221,59 +226,59 @@
             try:
                 return caller.post(path, body, headers)
             except ConnectionRefusedError:
-                # Nothing was sent; the balancer would go to the next as well.
+                # Nothing was sent; a load balancer would also try the next.
                 continue
-        raise AssertionError("no router accepts")
+        raise AssertionError("no router accepts connections")
 
-    def test_claims_pass_on_at_once(self) -> None:
+    def test_claim_shards_are_handed_over_at_a_stop(self) -> None:
         """Keyed payments are refused for seconds after each planned stop.
 
-        Symptom: ``claim-unavailable`` after a router stopped.
-        Sequence: the router that owned shards of claims ends.
-        Cause: the shards stay without an owner until its lease lapses.
+        The stopped router owned claim shards. Without a handover they have no
+        owner until its lease expires, and requests that need a claim in them
+        get ``claim-unavailable``.
         """
         self._check_claims_after_stop(listed=True)
 
-    def test_claims_pass_on_though_the_list_does_not_know(self) -> None:
+    def test_claim_shards_are_handed_over_if_stop_is_unlisted(self) -> None:
         self._check_claims_after_stop(listed=False)
 
-    def _shards_counts(self) -> list[float]:
+    def _owned_shard_counts(self) -> list[float]:
         statuses = [self.cluster.status(r) for r in self.cluster.routers]
         return [status["counts"]["claim_shards_count"] for status in statuses]
 
     def _check_claims_after_stop(self, *, listed: bool) -> None:
         cluster.wait_until(
-            lambda: sum(self._shards_counts()) == claims.SHARD_COUNT,
+            lambda: sum(self._owned_shard_counts()) == claims.SHARD_COUNT,
             "owners of all shards",
         )
-        self.assertGreater(self._shards_counts()[0], 0)
+        self.assertGreater(self._owned_shard_counts()[0], 0)
         for index in (0, 1):
             first = self.cluster.caller(index).call(
                 "/payment", b"fee", idempotency_key=f"before-{index}"
             )
             self.assertEqual(first.status, 200)
-        self.stop_as_planned(listed=listed)
+        self.stop_gracefully(listed=listed)
         other = self.cluster.caller(1)
         for number in range(10):
-            press = other.call(
+            payment = other.call(
                 "/payment", b"fee", idempotency_key=f"after-{number}"
             )
-            self.assertEqual(press.status, 200, press.body)
+            self.assertEqual(payment.status, 200, payment.body)
         again = other.call("/payment", b"fee", idempotency_key="before-0")
         self.assertEqual(again.status, 200)
         keys = [run["idempotency_key"] for run in self.cluster.runs()]
         self.assertEqual(keys.count("before-0"), 1)
 
 
-class _KeptCaller:
-    """A caller that keeps its connection while it may."""
+class _PersistentCaller:
+    """A caller that reuses its connection until the router closes it."""
 
     def __init__(self, router: cluster.Member):
         self.client = HTTPClient(
             cluster.LOOPBACK,
             router.process.ready["callers"],
-            connection_timeout=_JOIN_S,
-            network_timeout=_JOIN_S,
+            connection_timeout=_TIMEOUT_S,
+            network_timeout=_TIMEOUT_S,
         )
 
     def post(
@@ -306,7 +311,7 @@
             cwd=processes.ROOT,
             capture_output=True,
             text=True,
-            timeout=_JOIN_S,
+            timeout=_TIMEOUT_S,
             check=False,
         )
 
@@ -319,7 +324,7 @@
 
 
 class InFlightTest(unittest.TestCase):
-    def test_waits_for_work_beside_the_answers(self) -> None:
+    def test_wait_idle_waits_for_background_tasks(self) -> None:
         tracker = in_flight.InFlight()
         may_end = gevent.event.Event()
         tracker.spawn(may_end.wait)
@@ -327,7 +332,7 @@
         gevent.idle()
         self.assertFalse(waiting.ready())
         may_end.set()
-        waiting.get(timeout=_JOIN_S)
+        waiting.get(timeout=_TIMEOUT_S)
         self.assertEqual(tracker.count, 0)
 
 
--- a/tests/test_router_sharing.py
+++ b/tests/test_router_sharing.py
@@ -1,4 +1,4 @@
-"""Routers that share the reading of a larger fleet's loads."""
+"""Routers that divide the reading of a larger fleet's loads."""
 
 import time
 import unittest
@@ -8,23 +8,23 @@
 from tests import cluster
 
 _FRESH_S = 4.0
-_WATCH_S = 6.0
-"""Longer than what was read once stays fresh."""
+_OBSERVATION_S = 6.0
+"""Longer than a load that is read only once stays fresh."""
 
 
 class LoadSharingTest(unittest.TestCase):
-    def test_every_router_knows_all_engines(self) -> None:
-        """A router learns nothing of the engines that others read.
+    def test_every_router_has_fresh_loads_of_all_engines(self) -> None:
+        """Requests pile up at a few engines of a large fleet.
 
-        Symptom: requests pile up at a few engines of a large fleet.
-        Sequence: the fleet outgrows what one router reads by itself.
-        Cause: each router knows its slice only.
+        The fleet has more engines than one router reads itself. If a router
+        does not receive the loads of the engines that other routers read, it
+        knows only its own slice.
         """
         count = _router_sharing.WHOLE_FLEET_LIMIT_COUNT + 1
         shape = cluster.Shape(engines_per_zone=count, routers_per_zone=2)
         running = cluster.Cluster(shape).start()
         self.addCleanup(running.close)
-        until_s = time.monotonic() + _WATCH_S
+        until_s = time.monotonic() + _OBSERVATION_S
         while time.monotonic() < until_s:
             for router in running.routers:
                 cluster.wait_until(
