--- a/src/mulberrywharf/programs/_controller_config.py
+++ b/src/mulberrywharf/programs/_controller_config.py
@@ -58,7 +58,7 @@
         self._held = held
         self._last_read_s = now_s
         if found.ok_value is not None:
-            taken = self._follower.offer(found.ok_value.value)
-            if isinstance(taken, Err):
-                logger.warning("configuration: {}", taken.err_value.message)
+            offered = self._follower.offer(found.ok_value.value)
+            if isinstance(offered, Err):
+                logger.warning("configuration: {}", offered.err_value.message)
         return True
--- a/src/mulberrywharf/programs/_controller_lease.py
+++ b/src/mulberrywharf/programs/_controller_lease.py
@@ -190,8 +190,8 @@
         if held is None or event.key_value.key != self._key:
             return
         # An operator may delete the key to revoke the lease. Without this
-        # check the holder would continue until its next write is refused.
-        # A watch may lag; events older than the lease are ignored.
+        # step the holder would continue until its next write is refused.
+        # The watch may lag, so events older than the lease are ignored.
         if event.key_value.mod_revision <= held.fencing_number:
             return
         self.step_down("the lease key was deleted or replaced")
--- a/src/mulberrywharf/programs/_controller_rates.py
+++ b/src/mulberrywharf/programs/_controller_rates.py
@@ -141,8 +141,8 @@
 
     def _poll_due_routers(self) -> None:
         now_s = self._clock.monotonic_s()
-        is_read = now_s - self._read_s <= _IDLE_AFTER_S
-        if not is_read or not any(self._wanted):
+        is_in_use = now_s - self._read_s <= _IDLE_AFTER_S
+        if not is_in_use or not any(self._wanted):
             self._next_poll_s.clear()
             self._links.keep_only(set())
             return
@@ -157,8 +157,8 @@
             if self._next_poll_s.get(vm.vm_id, 0.0) <= now_s:
                 # Without jitter all routers would keep answering at the same
                 # time.
-                jittered_s = interval_s * random.uniform(0.8, 1.0)
-                self._next_poll_s[vm.vm_id] = now_s + jittered_s
+                delay_s = interval_s * random.uniform(0.8, 1.0)
+                self._next_poll_s[vm.vm_id] = now_s + delay_s
                 self._polls.spawn(self._poll, vm, self._wanted, now_s)
 
     def _poll(
--- a/src/mulberrywharf/programs/_controller_weights.py
+++ b/src/mulberrywharf/programs/_controller_weights.py
@@ -41,14 +41,16 @@
         if self._client is None or request in self._allowed:
             return True
         if request not in self._pending:
-            self._pending[request] = gevent.spawn(self._ask, request)
+            self._pending[request] = gevent.spawn(
+                self._request_permission, request
+            )
         return False
 
     def forget(self, engine_id: str) -> None:
         """Discards the engine's permissions, after its load was ordered."""
         self._allowed = {r for r in self._allowed if r.engine_id != engine_id}
 
-    def _ask(self, request: weight_store.LoadRequest) -> None:
+    def _request_permission(self, request: weight_store.LoadRequest) -> None:
         assert self._client is not None
         try:
             answer = self._client.ask(request, timeout_s=_PERMISSION_TIMEOUT_S)
--- a/src/mulberrywharf/programs/_controller_zone.py
+++ b/src/mulberrywharf/programs/_controller_zone.py
@@ -1,8 +1,8 @@
 """Applies the rules to the zone's engines while the lease is held.
 
-Each round derives its decisions from the order records, the engines' reports
-and the rules only. A process that takes over the lease can therefore continue
-from any point at which the previous holder stopped.
+Each round computes its decisions anew from the order records, the engines'
+reports and the rules. A process that takes over the lease can therefore
+continue from any point at which the previous holder stopped.
 """
 
 import random
--- a/src/mulberrywharf/programs/_router_configuration.py
+++ b/src/mulberrywharf/programs/_router_configuration.py
@@ -44,12 +44,18 @@
             self._actions = actions
             self._apply()
 
-    def _on_configuration(self, taken: configuration.Configuration) -> None:
-        self._catalogue = server.Catalogue.from_config(taken.document)
+    def _on_configuration(
+        self, new_configuration: configuration.Configuration
+    ) -> None:
+        self._catalogue = server.Catalogue.from_config(
+            new_configuration.document
+        )
         self._apply()
         self._audit.record(
             audit.ConfigurationInForce(
-                taken.version, taken.author, taken.change_id
+                new_configuration.version,
+                new_configuration.author,
+                new_configuration.change_id,
             )
         )
 
--- a/src/mulberrywharf/programs/_router_sharing.py
+++ b/src/mulberrywharf/programs/_router_sharing.py
@@ -117,8 +117,8 @@
         read = state.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
         if not isinstance(read, Ok) or read.ok_value.engine_id != vm.vm_id:
             return
-        jittered_s = FULL_READ_INTERVAL_S * self._rng.uniform(0.5, 1.0)
-        next_read_s = self._clock.monotonic_s() + jittered_s
+        delay_s = FULL_READ_INTERVAL_S * self._rng.uniform(0.5, 1.0)
+        next_read_s = self._clock.monotonic_s() + delay_s
         self._known[vm.vm_id] = _OutsideEngine(read.ok_value, next_read_s)
         self._reader.accept(read.ok_value, 0.0)
 
--- a/src/mulberrywharf/programs/controller.py
+++ b/src/mulberrywharf/programs/controller.py
@@ -46,7 +46,7 @@
 
 
 class Mechanisms(NamedTuple):
-    """Protects against two controllers that order the same engines.
+    """Mechanisms that keep two controllers from ordering the same engines.
 
     Tests turn one mechanism off to show which failure it prevents.
 
--- a/tests/controller_without.py
+++ b/tests/controller_without.py
@@ -15,7 +15,7 @@
 from mulberrywharf.programs import controller
 
 
-def _widen_gap(gap_s: float) -> None:
+def _delay_first_byte(gap_s: float) -> None:
     """Adds a delay between the last check of an order and its first byte.
 
     Normally this gap takes microseconds, too short for a test to stop the
@@ -56,7 +56,7 @@
     if arguments.off:
         mechanisms = mechanisms._replace(**{arguments.off: False})
     if arguments.gap_s:
-        _widen_gap(arguments.gap_s)
+        _delay_first_byte(arguments.gap_s)
     if arguments.rates_give_up_s:
         _shorten_rates_give_up(arguments.rates_give_up_s)
     controller.run(settings.load(arguments.settings).unwrap(), mechanisms)
--- a/tests/test_controller_rates.py
+++ b/tests/test_controller_rates.py
@@ -49,7 +49,7 @@
     def test_rule_follows_the_rate_summed_over_routers(self) -> None:
         """A rule on a customer's rate stays undecided when the rate rises.
 
-        While it is undecided, no role or load in the zone changes. The
+        An undecided rule holds the zone's engines in their current state. The
         requests arrive at two routers, at each of them below the bound. Only
         routers count requests, so a controller that polls none or only one of
         them does not know the rate of the zone.
