--- a/src/mulberrywharf/programs/_ctl_apply.py
+++ b/src/mulberrywharf/programs/_ctl_apply.py
@@ -1,4 +1,4 @@
-"""``mulberryctl apply``: change the configuration and see it in force."""
+"""``mulberryctl apply``: changes the configuration and waits for the nodes."""
 
 import re
 import time
@@ -40,7 +40,7 @@
 
 
 def run(context: Context) -> CommandResult:
-    """Puts a document in force."""
+    """Puts a document in force and waits until all nodes run it."""
     checked = load_and_check(context)
     if isinstance(checked, Err):
         return fault_result(checked.err_value)
@@ -48,18 +48,17 @@
     if isinstance(base, Err):
         return error_result(base.err_value)
     change_id = context.arguments.change_id or str(uuid.uuid4())
-    changed = _change(context, checked.ok_value, base.ok_value, change_id)
+    changed = _apply_change(context, checked.ok_value, base.ok_value, change_id)
     if isinstance(changed, Err):
-        return _failure(changed.err_value, change_id)
-    return _wait(context, changed.ok_value, checked.ok_value)
+        return _failure_result(changed.err_value, change_id)
+    return _wait_until_in_force(context, changed.ok_value, checked.ok_value)
 
 
 def _base_version(
     context: Context, checked: CheckedDocument
 ) -> Result[int, UsageError]:
-    # Without the version that was edited, an operator who took the rules an
-    # hour ago would overwrite what another shift applied since, and nobody
-    # would see a conflict.
+    # Using the current version as base instead would hide a conflict: rules
+    # saved an hour ago would overwrite what another shift applied since.
     if context.arguments.base_version is not None:
         return Ok(context.arguments.base_version)
     found = _BASE_VERSION.search(checked.text)
@@ -67,14 +66,14 @@
         return Ok(int(found.group(1)))
     return Err(
         UsageError(
-            "which version did you edit?",
+            "the version that the document was edited from is not given",
             advice="Keep the '// base-version: N' line that show writes, or "
-            "name --base-version; 0 if there is no configuration yet.",
+            "pass --base-version; 0 if there is no configuration yet.",
         )
     )
 
 
-def _change(
+def _apply_change(
     context: Context,
     checked: CheckedDocument,
     base_version: int,
@@ -83,10 +82,10 @@
     store = context.config_store()
     if isinstance(store, Err):
         return store
-    # A key-value service that came back from a backup holds less than nodes
-    # run. Accepted there, a change would get a version that nodes have
-    # passed, and none would ever take it.
-    seen = [report["config_version"] for report in _known_reports(context)]
+    # A key-value service restored from a backup may hold an older version
+    # than the nodes run. A change accepted there would get a version number
+    # that the nodes already have, and no node would ever apply it.
+    seen = [report["config_version"] for report in _reachable_reports(context)]
     return store.ok_value.change(
         checked.document,
         author=context.arguments.author,
@@ -97,14 +96,14 @@
     )
 
 
-def _known_reports(context: Context) -> list[StatusReport]:
+def _reachable_reports(context: Context) -> list[StatusReport]:
     addresses = context.node_addresses()
     if isinstance(addresses, Err):
         return []
     return reports(context.statuses(addresses.ok_value))
 
 
-def _failure(error: MulberryError, change_id: str) -> CommandResult:
+def _failure_result(error: MulberryError, change_id: str) -> CommandResult:
     if isinstance(error, WriteOutcomeUnknownError):
         error.advice = (
             f"Run the same command again with --change-id {change_id}; it "
@@ -114,9 +113,9 @@
     if not isinstance(error, ConfigConflictError):
         return result
     lines = [*result.lines, "  nothing of your change was applied"]
-    lines.append("changed by others meanwhile:")
+    lines.append("changed by other operators since your base version:")
     lines += [f"  {x}" for entry in error.others for x in entry_lines(entry)]
-    lines.append("yours against the version in force:")
+    lines.append("your document compared with the version in force:")
     lines += diff_lines(error.diff)
     value = {
         "error": {
@@ -131,14 +130,15 @@
     return result._replace(value=value, lines=lines)
 
 
-def _wait(
+def _wait_until_in_force(
     context: Context,
     configuration: Configuration,
     checked: CheckedDocument,
 ) -> CommandResult:
-    """Waits until every node reports the version, or time is up.
+    """Waits until every node reports the version or the time is up.
 
-    A node's version proves the change only while the service holds it.
+    A node's version shows that the change is in force only if the key-value
+    service still holds the change; see ``_is_kept``.
     """
     version = configuration.version
     accepted = (
@@ -146,34 +146,40 @@
     )
     addresses = context.node_addresses()
     if isinstance(addresses, Err):
-        lines = [accepted, f"nodes not known: {addresses.err_value}"]
+        lines = [
+            accepted,
+            f"the nodes to wait for are not known: {addresses.err_value}",
+        ]
         lines.append("  next: run mulberryctl status until all report it")
         value = {"version": version, "nodes": [], "in_force": False}
-        return CommandResult(ExitCode.NOT_EVERYWHERE, value, lines)
+        return CommandResult(ExitCode.INCOMPLETE, value, lines)
     end_s = time.monotonic() + context.arguments.wait_s
-    answers = _poll(context, version, addresses.ok_value, end_s)
-    missing = [answer for answer in answers if not _runs(answer, version)]
-    kept = _is_kept(context, configuration, answers, end_s)
+    answers = _poll_until_in_force(context, version, addresses.ok_value, end_s)
+    missing = [
+        answer for answer in answers if not _has_version(answer, version)
+    ]
+    confirmed = _is_kept(context, configuration, answers, end_s)
     value = {
         "version": version,
         "change_id": configuration.change_id,
-        "in_force": bool(answers) and not missing and isinstance(kept, Ok),
+        "in_force": bool(answers) and not missing and isinstance(confirmed, Ok),
         "nodes": [_node_value(answer) for answer in answers],
         "warnings": [warning._asdict() for warning in checked.warnings],
     }
     lines = [accepted, *warning_lines(checked)]
     lines += [_node_line(answer, version) for answer in answers]
-    if isinstance(kept, Err):
-        return _not_kept(kept.err_value, value, lines)
+    if isinstance(confirmed, Err):
+        return _unconfirmed_result(confirmed.err_value, value, lines)
     if value["in_force"]:
         lines.append(f"in force on all {len(answers)} nodes asked")
         return CommandResult(ExitCode.OK, value, lines)
     lines.append(
         f"in force on {len(answers) - len(missing)} of {len(answers)} nodes; "
-        "it stays accepted and the others take it when they can"
+        "the change stays accepted, and the other nodes apply it once they "
+        "receive it"
     )
     lines.append("  next: run mulberryctl status until all report it")
-    return CommandResult(ExitCode.NOT_EVERYWHERE, value, lines)
+    return CommandResult(ExitCode.INCOMPLETE, value, lines)
 
 
 def _is_kept(
@@ -182,19 +188,23 @@
     answers: list[NodeAnswer],
     end_s: float,
 ) -> Result[None, MulberryError]:
-    """Asks the service whether it still holds the change.
+    """Confirms that the key-value service still holds the change.
 
-    A change that was accepted on data that the service had lost is replaced
-    once a node puts the newer configuration back. Nodes then report a higher
-    version, and the operator would read "in force on all nodes" of a change
-    that none of them ever ran. While the service is behind a node, the
-    answer is not final: it is about to be replaced, so this waits.
+    If the service had lost data when it accepted the change, a node puts the
+    newer configuration back and the change is replaced. The nodes then report
+    a higher version, and without this check the operator would read "in force
+    on all nodes" for a change that no node ever ran. While the service holds
+    an older version than a node, it is about to be replaced, so this waits.
 
     Args:
-        context: Of this run.
-        accepted: What the service accepted.
-        answers: The last of each node.
+        context: Context of this run.
+        accepted: The configuration that the service accepted.
+        answers: The latest answer of each node.
         end_s: When to stop waiting, on the monotonic clock.
+
+    Returns:
+        ``ChangeReplacedError`` if the change was replaced; another error if
+        that could not be determined in time.
     """
     store = context.config_store()
     if isinstance(store, Err):
@@ -204,7 +214,7 @@
     ]
     newest_version = max([accepted.version, *reported])
     while True:
-        found = _look_for(store.ok_value, accepted, newest_version)
+        found = _check_still_stored(store.ok_value, accepted, newest_version)
         is_final = isinstance(found, Ok) or isinstance(
             found.err_value, ChangeReplacedError
         )
@@ -213,7 +223,7 @@
         gevent.sleep(_POLL_INTERVAL_S)
 
 
-def _look_for(
+def _check_still_stored(
     store: ConfigStore, accepted: Configuration, newest_version: int
 ) -> Result[None, MulberryError]:
     read = store.read()
@@ -240,22 +250,25 @@
     )
 
 
-def _not_kept(
+def _unconfirmed_result(
     error: MulberryError, value: dict[str, object], lines: list[str]
 ) -> CommandResult:
-    """Says that an accepted change was replaced, or may have been."""
+    """Reports that an accepted change was replaced, or may have been."""
     failure = error_result(error)
     assert isinstance(failure.value, dict)
     value = {**value, **failure.value}
     if isinstance(error, ChangeReplacedError):
         lines = [*lines, *failure.lines]
         return CommandResult(ExitCode.CONFLICT, value, lines)
-    lines = [*lines, "not known whether the service still holds it"]
+    lines = [
+        *lines,
+        "it is not known whether the key-value service still holds the change",
+    ]
     lines += failure.lines
-    return CommandResult(ExitCode.NOT_EVERYWHERE, value, lines)
+    return CommandResult(ExitCode.INCOMPLETE, value, lines)
 
 
-def _poll(
+def _poll_until_in_force(
     context: Context, version: int, addresses: list[Address], end_s: float
 ) -> list[NodeAnswer]:
     latest = {answer.address: answer for answer in context.statuses(addresses)}
@@ -263,7 +276,7 @@
         behind = [
             address
             for address in addresses
-            if not _runs(latest[address], version)
+            if not _has_version(latest[address], version)
         ]
         if not behind:
             break
@@ -273,7 +286,7 @@
     return [latest[address] for address in addresses]
 
 
-def _runs(answer: NodeAnswer, version: int) -> bool:
+def _has_version(answer: NodeAnswer, version: int) -> bool:
     return (
         answer.report is not None and answer.report["config_version"] >= version
     )
@@ -295,6 +308,6 @@
     if report is None:
         return f"  {answer.address}: not reached: {answer.error}"
     name = f"{report['vm_id']} {report['program']} ({answer.address})"
-    if _runs(answer, version):
+    if _has_version(answer, version):
         return f"  {name}: runs version {report['config_version']}"
     return f"  {name}: still runs version {report['config_version']}"
--- a/src/mulberrywharf/programs/_ctl_check.py
+++ b/src/mulberrywharf/programs/_ctl_check.py
@@ -1,4 +1,4 @@
-"""``mulberryctl check``: faults and doubtful rules of a document."""
+"""``mulberryctl check``: lists faults and warnings in a document."""
 
 from typing import NamedTuple
 
@@ -15,13 +15,13 @@
 
 
 class CheckedDocument(NamedTuple):
-    """A document that may be applied.
+    """A document without faults.
 
     Attributes:
-        text: As the operator wrote it.
-        document: What it says.
-        warnings: What is doubtful in it.
-        notes: What could not be checked, and why.
+        text: The text of the file.
+        document: The parsed document.
+        warnings: Rules that are valid but probably wrong.
+        notes: Checks that were not possible, with the reason.
     """
 
     text: str
@@ -33,20 +33,20 @@
 def load_and_check(
     context: Context,
 ) -> Result[CheckedDocument, MulberryError]:
-    """Reads the file of the command line and checks it in full."""
+    """Reads the file given on the command line and runs all checks."""
     path = context.arguments.file
     read = read_document(path)
     if isinstance(read, Err):
         return read
     text, document = read.ok_value
-    size, notes = None, []
+    fleet_size, notes = None, []
     if context.arguments.vm_list or context.arguments.platform:
         found = context.fleet_size()
         if isinstance(found, Ok):
-            size = found.ok_value
+            fleet_size = found.ok_value
         else:
             notes.append(f"not checked against the fleet: {found.err_value}")
-    warnings = check(document, size)
+    warnings = check(document, fleet_size)
     if warnings and context.arguments.strict:
         return Err(RulesError(path, warnings))
     return Ok(CheckedDocument(text, document, warnings, notes))
@@ -72,7 +72,7 @@
 
 
 def warning_lines(checked: CheckedDocument) -> list[str]:
-    """Lists warnings and notes for an operator."""
+    """Formats the warnings and notes for an operator."""
     lines = [
         f"warning: {path}: {message}\n  next: {advice}"
         for path, message, advice in checked.warnings
@@ -81,7 +81,7 @@
 
 
 def fault_result(error: MulberryError) -> CommandResult:
-    """Lists the faults of a document, or says what else failed."""
+    """Builds the result of a failure, with all faults of a document."""
     result = error_result(error)
     if not isinstance(error, RulesError):
         return result
--- a/src/mulberrywharf/programs/_ctl_context.py
+++ b/src/mulberrywharf/programs/_ctl_context.py
@@ -1,4 +1,4 @@
-"""What the commands of mulberryctl work with: platform, nodes, token."""
+"""Gives the commands of mulberryctl access to the platform and the nodes."""
 
 import argparse
 import json
@@ -20,17 +20,17 @@
 _PURPOSE = "mulberryctl"
 _GLOBAL_ADVICE = (
     "Put --deployment NAME --platform IP:PORT --vm-list IP:PORT before the "
-    "command; mulberryctl --help explains them."
+    "command; see mulberryctl --help."
 )
 _FILE_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 class Context:
-    """Connections and arguments of one run.
+    """Holds the arguments and the connections of one run.
 
     Attributes:
         arguments: The parsed command line.
-        token: The operator's token, empty when there is none.
+        token: The operator's token, empty if there is none.
     """
 
     def __init__(self, arguments: argparse.Namespace, token: str):
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_arguments(cls, arguments: argparse.Namespace) -> "Context":
-        """Takes the token from the environment."""
+        """Creates a context with the token from the environment."""
         token = os.environ.get(arguments.operator_token_env, "")
         return cls(arguments, token)
 
@@ -52,7 +52,7 @@
     def config_store(
         self,
     ) -> Result[config_store.ConfigStore, errors.UsageError]:
-        """Opens the store of the deployment's configuration."""
+        """Returns the store of the deployment's configuration."""
         opened = self._open_key_value()
         if isinstance(opened, Err):
             return opened
@@ -65,7 +65,7 @@
     def configuration(
         self,
     ) -> Result[Configuration | None, errors.MulberryError]:
-        """Reads the configuration in force; None when there is none yet."""
+        """Reads the configuration in force; None if there is none yet."""
         store = self.config_store()
         if isinstance(store, Err):
             return store
@@ -79,7 +79,8 @@
         if address is None:
             return Err(
                 errors.UsageError(
-                    "name --vm-list or --platform", advice=_GLOBAL_ADVICE
+                    "--vm-list or --platform is required",
+                    advice=_GLOBAL_ADVICE,
                 )
             )
         reader = vm_list.VmListReader(
@@ -92,10 +93,11 @@
         finally:
             reader.close()
         read.err_value.advice = (
-            "Name the VM list's address with --vm-list; it was asked for at "
+            "Pass the VM list's address with --vm-list; the request went to "
             f"--platform, {address}."
             if self.arguments.vm_list is None
-            else "Name the nodes' admin listeners with --node meanwhile."
+            else "Pass the nodes' admin listeners with --node until the VM "
+            "list can be read."
         )
         return read
 
@@ -110,10 +112,11 @@
         )
 
     def node_addresses(self) -> Result[list[Address], errors.MulberryError]:
-        """Returns the admin listeners that --node names, or all known.
+        """Returns the admin listeners given with --node, or all known ones.
 
-        The VM list lags; a node that it does not show yet is not asked, and
-        one that it still shows counts as not reached.
+        The VM list lags behind the fleet. A new node that it does not contain
+        yet is left out; a stopped node that it still contains is later
+        reported as not reached.
         """
         if self.arguments.node:
             return Ok(list(self.arguments.node))
@@ -125,17 +128,17 @@
             for vm in found.ok_value
             if vm.kind == "entry" and vm.operators_address is not None
         ]
-        # A node may be both a VM of the list and a holder of a lease.
+        # An address may be both in the VM list and in a controller's lease.
         return Ok(list(dict.fromkeys([*routers, *self._controllers()])))
 
     def statuses(self, addresses: Sequence[Address]) -> list[client.NodeAnswer]:
-        """Reads the status of nodes."""
+        """Reads the status of several nodes."""
         return client.read_all(addresses, self.token, self.arguments.timeout_s)
 
     def order_records(
         self,
     ) -> Result[dict[str, order_records.OrderRecord], errors.MulberryError]:
-        """Reads the latest order of every engine, in all zones."""
+        """Reads the latest order of every engine in all zones, by engine."""
         found = self._read_prefix("orders")
         if isinstance(found, Err):
             return found
@@ -174,7 +177,8 @@
         if not self.arguments.platform or not self.arguments.deployment:
             return Err(
                 errors.UsageError(
-                    "name --platform and --deployment", advice=_GLOBAL_ADVICE
+                    "--platform and --deployment are required",
+                    advice=_GLOBAL_ADVICE,
                 )
             )
         self._key_value = key_value.KeyValueClient(
@@ -188,16 +192,16 @@
 def read_document(
     path: str,
 ) -> Result[tuple[str, Document], errors.RulesError]:
-    """Reads and checks the file that the operator wrote.
+    """Reads and checks a file with a rules document.
 
     Returns:
-        Its text and the document.
+        The text of the file and the document.
     """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read(_FILE_LIMIT_BYTES)
     except (OSError, UnicodeDecodeError) as error:
-        fault = errors.Fault("file", str(error), "name a readable UTF-8 file")
+        fault = errors.Fault("file", str(error), "pass a readable UTF-8 file")
         return Err(errors.RulesError(path, [fault]))
     return parse(text, path).map(lambda document: (text, document))
 
@@ -208,7 +212,7 @@
 
 
 def _holder_address(stored: bytes) -> Address | None:
-    """Reads where the holder of a controller lease listens, if it says so."""
+    """Returns the admin listener in a stored controller lease, if present."""
     try:
         value = json.loads(stored)
         return Address(str(value["operators_ip"]), int(value["operators_port"]))
--- a/src/mulberrywharf/programs/_ctl_engines.py
+++ b/src/mulberrywharf/programs/_ctl_engines.py
@@ -1,4 +1,4 @@
-"""Joins what is wanted of each engine with what is seen of it."""
+"""Joins the wanted and the reported state of each engine."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -13,15 +13,16 @@
 
 
 class EngineLine(NamedTuple):
-    """One engine: what is wanted of it, what is seen, and its order.
+    """One engine: its wanted state, its reported state, and its latest order.
 
     Attributes:
-        engine_id: Its VM.
-        availability_zone: Empty when no node told.
-        wanted: Role, or empty when nothing is asked.
-        seen: Role, with the state unless it is ready; or ``unknown``.
+        engine_id: The engine's VM.
+        availability_zone: Empty if no node reported the engine.
+        wanted: The wanted role, or empty if none is wanted.
+        seen: The reported role, followed by the state unless the engine is
+            ready; ``unknown`` if no node reported the engine.
         seen_age_s: Age of the engine's report, or None.
-        order: Its latest order, or None.
+        order: The latest order to the engine, or None.
     """
 
     engine_id: str
@@ -32,7 +33,7 @@
     order: OrderStatus | None
 
     def differs(self) -> bool:
-        """Tells whether what is seen is known not to be what is wanted."""
+        """Returns whether a state is wanted and the reported one differs."""
         return self.wanted not in ("", self.seen)
 
 
@@ -42,9 +43,9 @@
     """Joins the newest report of each engine with its latest order.
 
     Args:
-        reports: Of the nodes.
-        records: From the key-value service; empty when it is away. The
-            orders that nodes tell of then take their place.
+        reports: Status reports of the nodes.
+        records: Latest order by engine, from the key-value service. Engines
+            missing here get the order in the nodes' reports, if any.
     """
     seen: dict[str, EngineStatus] = {}
     wanted: dict[str, str] = {}
--- a/src/mulberrywharf/programs/_ctl_handover.py
+++ b/src/mulberrywharf/programs/_ctl_handover.py
@@ -1,8 +1,9 @@
 """``mulberryctl handover``: all that the next shift must know.
 
-Its three sources fail apart: the configuration and the order records in the
-key-value service, and the nodes. A shift also changes during an outage, so
-whatever can be read is shown, and what cannot is named.
+It has three sources that can fail independently: the configuration and the
+order records, both in the key-value service, and the nodes. Shifts also change
+during an outage, so the command shows what it could read and lists what it
+could not.
 """
 
 import time
@@ -19,9 +20,9 @@
 from mulberrywharf.programs._ctl_nodes import (
     NO_CONTROLLER_ADVICE,
     active_controllers,
-    ask_nodes,
     explanation_lines,
     missing_lines,
+    query_nodes,
     reports,
 )
 from mulberrywharf.programs._ctl_result import (
@@ -36,14 +37,16 @@
 
 
 class _Overview(NamedTuple):
-    """What could be read.
+    """The data that could be read.
 
     Attributes:
-        configuration: In the key-value service, or None.
-        is_configured: False if the service was read and holds none.
-        answers: Of the nodes.
-        engines: Wanted and seen, with their orders.
-        failures: Sources that could not be read, by their name.
+        configuration: The configuration in force, or None if there is none
+            or it could not be read.
+        is_configured: False if the key-value service holds no configuration;
+            True also if it could not be read.
+        answers: Answers of the nodes.
+        engines: Wanted and reported state of each engine, with its order.
+        failures: Errors of the sources that could not be read, by source.
     """
 
     configuration: Configuration | None
@@ -55,8 +58,8 @@
 
 def run(context: Context) -> CommandResult:
     """Shows the rules, the engines and the orders in flight."""
-    overview = _read(context)
-    # A wrong command line or token is the operator's to correct, at once.
+    overview = _read_sources(context)
+    # The operator can correct these at once, so no partial result is shown.
     for error in overview.failures.values():
         if isinstance(error, (UsageError, NotAuthorisedError)):
             return error_result(error)
@@ -75,11 +78,11 @@
         or missing_lines(overview.answers)
         or _zones_without_controller(overview.answers)
     )
-    code = ExitCode.NOT_EVERYWHERE if is_partial else ExitCode.OK
+    code = ExitCode.INCOMPLETE if is_partial else ExitCode.OK
     return CommandResult(code, _value(overview), lines)
 
 
-def _read(context: Context) -> _Overview:
+def _read_sources(context: Context) -> _Overview:
     failures: dict[str, MulberryError] = {}
     current = context.configuration()
     if isinstance(current, Err):
@@ -87,10 +90,10 @@
     orders = context.order_records()
     if isinstance(orders, Err):
         failures["the orders"] = orders.err_value
-    asked = ask_nodes(context)
-    if isinstance(asked, Err):
-        failures["the nodes"] = asked.err_value
-    answers = asked.unwrap_or([])
+    queried = query_nodes(context)
+    if isinstance(queried, Err):
+        failures["the nodes"] = queried.err_value
+    answers = queried.unwrap_or([])
     return _Overview(
         configuration=current.unwrap_or(None),
         is_configured=isinstance(current, Err) or current.ok_value is not None,
@@ -170,7 +173,8 @@
 def _node_lines(overview: _Overview) -> list[str]:
     found = reports(overview.answers)
     configuration = overview.configuration
-    # Without the service, the highest version that a node runs is accepted.
+    # Without a configuration from the key-value service, the nodes are compared
+    # with the highest version that any of them runs.
     versions = [report["config_version"] for report in found]
     version = configuration.version if configuration else max([0, *versions])
     behind = [
@@ -180,8 +184,8 @@
         if report["config_version"] < version
     ]
     missing = [f"  {line}" for line in missing_lines(overview.answers)]
-    everything = f"  all {len(found)} that answer run version {version}"
-    return ["NODES:", *(behind or [everything]), *missing]
+    up_to_date = f"  all {len(found)} that answer run version {version}"
+    return ["NODES:", *(behind or [up_to_date]), *missing]
 
 
 def _failure_lines(failures: dict[str, MulberryError]) -> list[str]:
--- a/src/mulberrywharf/programs/_ctl_nodes.py
+++ b/src/mulberrywharf/programs/_ctl_nodes.py
@@ -1,4 +1,4 @@
-"""``mulberryctl status`` and ``explain``: what the nodes say."""
+"""``mulberryctl status`` and ``explain``: show what the nodes report."""
 
 from result import Err, Ok, Result
 
@@ -13,15 +13,15 @@
 )
 
 NO_CONTROLLER_ADVICE = (
-    "Name the controllers' admin listeners with --node; if none holds a "
-    "lease, the key-value service may be away."
+    "Pass the controllers' admin listeners with --node; if no controller "
+    "holds a lease, the key-value service may be unreachable."
 )
 
 
-def ask_nodes(
+def query_nodes(
     context: Context,
 ) -> Result[list[NodeAnswer], errors.MulberryError]:
-    """Reads every node's status; fails only when none answers."""
+    """Reads the status of every node; fails only if no node answers."""
     addresses = context.node_addresses()
     if isinstance(addresses, Err):
         return addresses
@@ -38,13 +38,13 @@
     reasons = "; ".join(str(answer.error) for answer in answers)
     return Err(
         errors.AdminListenerError(
-            f"no node answers: {reasons or 'the VM list names none'}"
+            f"no node answers: {reasons or 'the VM list contains no nodes'}"
         )
     )
 
 
 def reports(answers: list[NodeAnswer]) -> list[StatusReport]:
-    """Returns what was reported, by zone and VM."""
+    """Returns the reports, ordered by zone, VM and program."""
     found = [answer.report for answer in answers if answer.report is not None]
     return sorted(
         found,
@@ -57,7 +57,7 @@
 
 
 def missing_lines(answers: list[NodeAnswer]) -> list[str]:
-    """Names the nodes that could not be read."""
+    """Formats the nodes that could not be read, with the reason."""
     return [
         f"not reached: {answer.address}: {answer.error}"
         for answer in answers
@@ -66,7 +66,7 @@
 
 
 def active_controllers(answers: list[NodeAnswer]) -> dict[str, StatusReport]:
-    """Returns each zone's controller that holds the lease, by zone."""
+    """Returns the report of each zone's lease holder, by zone."""
     found: dict[str, StatusReport] = {}
     for report in reports(answers):
         lease = report.get("lease")
@@ -77,10 +77,10 @@
 
 def run_status(context: Context) -> CommandResult:
     """Shows every node."""
-    asked = ask_nodes(context)
-    if isinstance(asked, Err):
-        return error_result(asked.err_value)
-    answers = asked.ok_value
+    queried = query_nodes(context)
+    if isinstance(queried, Err):
+        return error_result(queried.err_value)
+    answers = queried.ok_value
     lines = [_status_line(report) for report in reports(answers)]
     lines += missing_lines(answers)
     value = {
@@ -95,11 +95,11 @@
 
 
 def run_explain(context: Context) -> CommandResult:
-    """Says which rule counts in each zone."""
-    asked = ask_nodes(context)
-    if isinstance(asked, Err):
-        return error_result(asked.err_value)
-    found = active_controllers(asked.ok_value)
+    """Shows which rule applies in each zone."""
+    queried = query_nodes(context)
+    if isinstance(queried, Err):
+        return error_result(queried.err_value)
+    found = active_controllers(queried.ok_value)
     zone = context.arguments.zone
     if zone is not None:
         found = {name: rep for name, rep in found.items() if name == zone}
@@ -115,17 +115,17 @@
 
 
 def explanation_lines(report: StatusReport) -> list[str]:
-    """Returns a controller's own words about the rule that counts."""
+    """Formats a controller's explanation of the rule that applies."""
     rule = report.get("rule")
     if rule is None:
-        return ["  it has not evaluated the rules yet"]
+        return ["  the controller has not evaluated the rules yet"]
     return [f"  {line}" for line in rule["explanation"].splitlines()]
 
 
 def _no_controller(zone: str | None) -> errors.MulberryError:
     where = f"in {zone}" if zone else "in any zone"
     return errors.AdminListenerError(
-        f"no controller that answers holds a lease {where}",
+        f"no reachable controller holds a lease {where}",
         advice=NO_CONTROLLER_ADVICE,
     )
 
--- a/src/mulberrywharf/programs/_ctl_plan.py
+++ b/src/mulberrywharf/programs/_ctl_plan.py
@@ -1,4 +1,4 @@
-"""``mulberryctl plan``: what a document would change, and why."""
+"""``mulberryctl plan``: shows what a document would change, and why."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -16,8 +16,8 @@
 from mulberrywharf.programs._ctl_nodes import (
     NO_CONTROLLER_ADVICE,
     active_controllers,
-    ask_nodes,
     missing_lines,
+    query_nodes,
 )
 from mulberrywharf.programs._ctl_result import (
     CommandResult,
@@ -35,12 +35,14 @@
     """What would change in one zone.
 
     Attributes:
-        zone: Its name.
-        before: Rule that counts now on what is seen, or None.
-        after: Rule that would count.
-        seen: Engines by the role that they report.
-        wanted: Split that would be asked for, or None to leave it.
-        changes_count: Engines that would change their role at least.
+        zone: The availability zone.
+        before: The rule in force that matches now, or None if no
+            configuration is in force.
+        after: The rule of the new document that would match now.
+        seen: Number of usable engines by the role that they report.
+        wanted: Number of engines wanted in each role, or None if the rule
+            leaves the roles as they are.
+        changes_count: Minimum number of engines that would change their role.
     """
 
     zone: str
@@ -52,7 +54,7 @@
 
 
 def run(context: Context) -> CommandResult:
-    """Compares a document with the rules in force and the live fleet."""
+    """Compares a document with the rules in force, for the current fleet."""
     checked = load_and_check(context)
     if isinstance(checked, Err):
         return fault_result(checked.err_value)
@@ -85,18 +87,24 @@
 def _zone_plans(
     context: Context, before: Document | None, after: Document
 ) -> tuple[list[_ZonePlan], list[str]]:
-    asked = ask_nodes(context)
-    if not isinstance(asked, Ok):
-        error = asked.err_value
-        return [], [f"the live fleet is not known: {error}", error.advice]
+    queried = query_nodes(context)
+    if not isinstance(queried, Ok):
+        error = queried.err_value
+        return [], [
+            f"the state of the fleet could not be read: {error}",
+            error.advice,
+        ]
     plans = [
         plan
-        for report in active_controllers(asked.ok_value).values()
+        for report in active_controllers(queried.ok_value).values()
         if (plan := _zone_plan(report, before, after)) is not None
     ]
-    notes = missing_lines(asked.ok_value)
+    notes = missing_lines(queried.ok_value)
     if not plans:
-        notes += ["no controller told what it sees", NO_CONTROLLER_ADVICE]
+        notes += [
+            "no active controller reported what it sees",
+            NO_CONTROLLER_ADVICE,
+        ]
     return plans, notes
 
 
@@ -130,12 +138,14 @@
 def _changes_count(seen: Counter[str], wanted: WantedRoles | None) -> int:
     if wanted is None:
         return 0
-    asked = {
+    wanted_counts = {
         "prefill": wanted.prefill_count,
         "decode": wanted.decode_count,
         "mixed": wanted.mixed_count,
     }
-    return sum(max(0, asked[role] - seen[role]) for role in asked)
+    return sum(
+        max(0, wanted_counts[role] - seen[role]) for role in wanted_counts
+    )
 
 
 def _plan_lines(plan: _ZonePlan, version: int) -> list[str]:
--- a/src/mulberrywharf/programs/_ctl_result.py
+++ b/src/mulberrywharf/programs/_ctl_result.py
@@ -1,4 +1,4 @@
-"""What a command of mulberryctl returns, and its exit codes."""
+"""Results and exit codes of the commands of mulberryctl."""
 
 import json
 from enum import IntEnum
@@ -9,14 +9,27 @@
 
 
 class ExitCode(IntEnum):
-    """What scripts may rely on; docs/operators/mulberryctl.md lists them."""
+    """Exit codes of mulberryctl, documented in docs/operators/mulberryctl.md.
+
+    Scripts rely on the numbers.
+
+    Attributes:
+        OK: The command succeeded.
+        FAULTS: The document has faults.
+        USAGE: The command line or a repeated change id is invalid.
+        CONFLICT: Another operator's change came first.
+        UNAVAILABLE: The platform or the nodes cannot be reached.
+        INCOMPLETE: The change is not known to be in force on all nodes, or
+            part of the state could not be read.
+        NOT_AUTHORISED: A node rejects the operator's token.
+    """
 
     OK = 0
     FAULTS = 1
     USAGE = 2
     CONFLICT = 3
     UNAVAILABLE = 4
-    NOT_EVERYWHERE = 5
+    INCOMPLETE = 5
     NOT_AUTHORISED = 6
 
 
@@ -24,9 +37,9 @@
     """The outcome of a command.
 
     Attributes:
-        exit_code: Of the process.
-        value: For ``--output json``; JSON can hold it.
-        lines: For ``--output text``.
+        exit_code: Exit code of the process.
+        value: JSON value that ``--output json`` prints.
+        lines: Lines that ``--output text`` prints.
     """
 
     exit_code: ExitCode
@@ -35,7 +48,7 @@
 
 
 def error_result(error: errors.MulberryError) -> CommandResult:
-    """Says what failed and what to do next."""
+    """Builds the result of a failure, with advice on what to do next."""
     value = {
         "error": {
             "code": error.code,
@@ -87,9 +100,9 @@
     """Prints a result.
 
     Args:
-        result: Of the command.
+        result: The outcome of the command.
         output: ``text`` or ``json``.
-        stream: Where to.
+        stream: Receives the output.
     """
     if output == "json":
         print(json.dumps(result.value, indent=2, sort_keys=True), file=stream)
--- a/src/mulberrywharf/programs/_ctl_run.py
+++ b/src/mulberrywharf/programs/_ctl_run.py
@@ -31,9 +31,10 @@
     """Runs one command.
 
     Args:
-        arguments: Without the program's name; None takes the process's own.
-        stdout: For results.
-        stderr: For failures, unless JSON is asked for.
+        arguments: Arguments after the program name; None for those of this
+            process.
+        stdout: Receives results.
+        stderr: Receives failures if the output format is text.
 
     Returns:
         The exit code.
@@ -44,9 +45,9 @@
         result = _COMMANDS[parsed.command](context)
     finally:
         context.close()
-    failed = result.exit_code not in (ExitCode.OK, ExitCode.NOT_EVERYWHERE)
+    failed = result.exit_code not in (ExitCode.OK, ExitCode.INCOMPLETE)
     as_text = parsed.output == "text"
-    # JSON always goes to standard output, so that scripts read one stream.
+    # JSON always goes to standard output, so that scripts read only one stream.
     stream = stderr if failed and as_text else stdout
     write(result, parsed.output, stream)
     return int(result.exit_code)
--- a/src/mulberrywharf/programs/_ctl_show.py
+++ b/src/mulberrywharf/programs/_ctl_show.py
@@ -1,4 +1,4 @@
-"""``mulberryctl show`` and ``history``: the rules and how they came to be."""
+"""``mulberryctl show`` and ``history``: the rules and their past changes."""
 
 import json
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 def run_show(context: Context) -> CommandResult:
-    """Prints the rules in force, ready to be edited and applied."""
+    """Prints the rules in force, in the form that ``apply`` accepts."""
     found = _configuration(context)
     if isinstance(found, CommandResult):
         return found
@@ -45,7 +45,7 @@
 
 
 def entry_lines(entry: AuditEntry) -> list[str]:
-    """Describes one change of the configuration."""
+    """Formats one change of the configuration."""
     lines = [
         f"version {entry['version']}  {time_text(entry['changed_unix_s'])}  "
         f"{entry['author']}: {entry['note']}  (change {entry['change_id']})"
@@ -54,7 +54,7 @@
 
 
 def diff_lines(changes: Sequence[DiffLine]) -> list[str]:
-    """Describes each place that a change touched."""
+    """Formats each changed value, with its path in the document."""
     return [
         f"  {change['path']}: {change['before'] or 'none'} -> "
         f"{change['after'] or 'none'}"
@@ -63,7 +63,7 @@
 
 
 def time_text(unix_s: float) -> str:
-    """Writes an instant in UTC, as all shifts read it."""
+    """Formats a time in UTC, so that all shifts read the same."""
     return datetime.fromtimestamp(unix_s, UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
@@ -77,8 +77,9 @@
 
 
 def no_configuration() -> MulberryError:
-    """Says that nobody has applied rules yet."""
+    """Returns the error for a deployment without applied rules."""
     return OperatorError(
         "no configuration is in force",
-        advice="Write one and run: mulberryctl apply FILE --base-version 0",
+        advice="Write a rules document and run: mulberryctl apply FILE "
+        "--base-version 0",
     )
--- a/src/mulberrywharf/programs/ctl.py
+++ b/src/mulberrywharf/programs/ctl.py
@@ -17,7 +17,8 @@
     """Runs one command and returns its exit code.
 
     Args:
-        arguments: Without the program's name; None takes the process's own.
+        arguments: Arguments after the program name; None for those of this
+            process.
     """
     logger.remove()
     logger.add(sys.stderr, level="WARNING", format="{level}: {message}")
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""mulberryctl: its exit codes and what each command tells."""
+"""Tests the exit codes and the output of mulberryctl."""
 
 import json
 import pathlib
@@ -42,7 +42,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    def test_exit_codes(self):
+    def test_check_exit_code_depends_on_faults_and_warnings(self):
         cases = [
             (PLAIN, [], 0, "no fault, 0 warnings"),
             (FLAPPING, [], 0, "warning: rules.0"),
@@ -57,15 +57,15 @@
                 self.assertEqual(found.exit_code, exit_code)
                 self.assertIn(text, found.stdout + found.stderr)
 
-    def test_faults_as_json(self):
+    def test_json_output_lists_faults(self):
         path = _write({"rules": []}, self)
         found = build.run_ctl("--output", "json", "check", path)
         self.assertEqual(found.value()["faults"][0]["path"], "default")
 
-    def test_a_file_that_is_not_there(self):
+    def test_missing_file_exits_with_1(self):
         self.assertEqual(build.run_ctl("check", "/no/such").exit_code, 1)
 
-    def test_as_a_process(self):
+    def test_check_runs_as_a_process(self):
         path = _write(PLAIN, self)
         command = [sys.executable, "-m", "mulberrywharf.programs.ctl"]
         done = subprocess.run(
@@ -75,7 +75,7 @@
 
 
 class UsageTest(unittest.TestCase):
-    def test_arguments_that_cannot_be_used(self):
+    def test_invalid_arguments_exit_with_2(self):
         cases = [
             [],
             ["unknown"],
@@ -97,7 +97,7 @@
                 build.run_ctl(*arguments)
             self.assertEqual(raised.exception.code, 2)
 
-    def test_no_platform(self):
+    def test_commands_without_platform_options_give_advice(self):
         for command in ("show", "history", "status", "explain", "handover"):
             with self.subTest(command=command):
                 found = build.run_ctl(command)
@@ -106,7 +106,7 @@
 
 
 class SituationStatusTest(unittest.TestCase):
-    def test_a_dry_run_sees_what_the_controller_saw(self):
+    def test_reported_situation_matches_the_same_rule(self):
         views = (
             builders_rules.situation(0.7, customer_requests_per_s={"a": 2.0}),
             builders_rules.situation(None, rates_age_s=float("inf")),
@@ -130,7 +130,7 @@
 
 
 class LiveTest(unittest.TestCase):
-    """With a key-value service and nodes that follow it."""
+    """Runs commands against a key-value service and nodes."""
 
     def setUp(self):
         patched = mock.patch.dict(
@@ -162,7 +162,12 @@
         return self.ctl("apply", path, *common, *options, nodes=nodes)
 
     def node(self, **changes: Any) -> int:
-        """Starts a node that follows the configuration, unless told."""
+        """Starts a node that reports the stored configuration version.
+
+        Args:
+            changes: Fields of the status report to replace; with
+                ``config_version``, the node reports that version instead.
+        """
 
         def report() -> Any:
             if "config_version" in changes:
@@ -175,14 +180,14 @@
         self.addCleanup(server.close)
         return server.port
 
-    def test_apply_waits_until_all_run_it(self):
+    def test_apply_waits_until_all_nodes_run_the_version(self):
         nodes = (self.node(), self.node(vm_id="entry-2"))
         found = self.apply(PLAIN, "--base-version", "0", nodes=nodes)
         self.assertEqual(found.exit_code, 0, found)
         self.assertIn("in force on all 2 nodes", found.stdout)
         self.assertIn("entry-2", found.stdout)
 
-    def test_apply_names_nodes_behind_and_not_reached(self):
+    def test_apply_lists_outdated_and_unreachable_nodes(self):
         nodes = (
             self.node(),
             self.node(vm_id="entry-2", config_version=0),
@@ -200,12 +205,12 @@
         ):
             self.assertIn(text, found.stdout)
 
-    def test_the_loser_of_a_race_changes_nothing(self):
-        """Two shifts edit the same version; the later must not overwrite.
+    def test_apply_with_an_outdated_base_version_is_rejected(self):
+        """Two shifts edit the same version, and both apply it.
 
-        Symptom: a rule that one shift applied is gone without a trace.
-        Sequence: both take version 1; one applies; the other applies.
-        Cause: the second write took the version at its own time as base.
+        Guards against the second write silently removing a rule of the
+        first. That happens if the second write uses the version stored at
+        that time as its base, not the version that was edited.
         """
         nodes = (self.node(),)
         self.apply(PLAIN, "--base-version", "0", nodes=nodes)
@@ -222,12 +227,12 @@
         held = self.store.read().unwrap()
         self.assertEqual((held.version, held.author), (2, "ana"))
 
-    def test_of_several_that_apply_at_once_one_wins(self):
-        """Operators of several shifts apply within the same instant.
+    def test_only_one_of_several_concurrent_applies_succeeds(self):
+        """Several operators apply rules at the same time.
 
-        Symptom: two are told that their rules are in force, and one's are.
-        Sequence: all read version 0; all write; the last write stays.
-        Cause: a write that did not compare with what it replaces.
+        Guards against reporting success to more than one of them. That
+        happens if all read version 0 and write without comparing the version
+        that they replace, so that only the last write remains.
         """
         self.platform.faults["delay_s"] = 0.02
         nodes = (self.node(),)
@@ -254,13 +259,11 @@
         self.assertEqual(held.document["default"]["prefer_zone"], held.author)
         self.assertEqual(len(held.audit), 1)
 
-    def test_a_lost_answer_applies_once(self):
-        """The write takes effect but its answer is lost.
+    def test_apply_with_a_lost_answer_takes_effect_once(self):
+        """The service writes the change, then the connection breaks.
 
-        Symptom: a change is refused as a conflict with itself, or stands
-        twice in the history.
-        Sequence: apply; the service writes; the connection breaks.
-        Cause: a lost answer was taken for a write that failed.
+        Guards against treating the lost answer as a failed write. The change
+        would then conflict with itself or be listed twice in the history.
         """
         self.platform.faults["lose_answers_count"] = 1
         nodes = (self.node(),)
@@ -268,7 +271,7 @@
         self.assertEqual(found.exit_code, 0, found)
         self.assertEqual(len(self.store.read().unwrap().audit), 1)
 
-    def test_a_repeat_with_the_change_id_applies_once(self):
+    def test_repeat_with_the_same_change_id_takes_effect_once(self):
         nodes = (self.node(),)
         options = ["--base-version", "0", "--change-id", "c-1"]
         for _ in range(2):
@@ -278,19 +281,19 @@
         self.assertEqual(other.exit_code, 2)
         self.assertEqual(self.store.read().unwrap().version, 1)
 
-    def test_a_service_that_lost_versions_is_not_written(self):
+    def test_apply_to_a_service_behind_the_nodes_is_rejected(self):
         nodes = (self.node(config_version=9),)
         found = self.apply(PLAIN, "--base-version", "0", nodes=nodes)
         self.assertEqual(found.exit_code, 4)
         self.assertIn("config-store-behind", found.stderr)
         self.assertIsNone(self.store.read().unwrap())
 
-    def test_apply_asks_which_version_was_edited(self):
+    def test_apply_without_a_base_version_is_rejected(self):
         found = self.apply(PLAIN, nodes=(self.node(),))
         self.assertEqual(found.exit_code, 2)
         self.assertIn("--base-version", found.stderr)
 
-    def test_a_platform_that_is_away(self):
+    def test_unreachable_platform_exits_with_4(self):
         self.platform.faults["down"] = True
         for command in ("show", "history"):
             with self.subTest(command=command):
@@ -298,7 +301,7 @@
         found = self.apply(PLAIN, "--base-version", "0")
         self.assertEqual(found.exit_code, 4)
 
-    def test_a_token_that_is_refused(self):
+    def test_rejected_token_exits_with_6(self):
         with mock.patch.dict("os.environ", {"OTHER": "wrong"}):
             found = self.ctl(
                 "--operator-token-env", "OTHER", "status", nodes=(self.node(),)
@@ -306,12 +309,12 @@
         self.assertEqual(found.exit_code, 6)
         self.assertIn("--operator-token-env", found.stderr)
 
-    def test_a_token_that_no_header_can_carry(self):
-        """A token was read from a file together with its line end.
+    def test_token_that_is_invalid_in_a_header_exits_with_6(self):
+        """The token contains a line feed, as when read from a file.
 
-        Symptom: the node is said not to answer, and is looked for in vain.
-        Sequence: the variable holds more than one line. Cause: the client
-        refuses to write such a header, which passed for a failed connection.
+        Guards against reporting that the node does not answer. The HTTP
+        client refuses to send such a header, which was handled like a failed
+        connection, so operators searched for a node that was not down.
         """
         for token in ("two\nlines", "caf\u00e9"):
             with (
@@ -327,21 +330,21 @@
                 self.assertEqual(found.exit_code, 6)
                 self.assertIn("no header can carry", found.stderr)
 
-    def test_what_cannot_be_reached_is_told_with_the_next_step(self):
+    def test_unreachable_nodes_and_vm_list_are_reported_with_advice(self):
         closed = builders_platform.closed_port()
-        away = self.ctl("status", nodes=(closed,))
-        self.assertIn(f"127.0.0.1:{closed}: ", away.stderr)
-        self.assertIn("refused", away.stderr)
+        unreachable = self.ctl("status", nodes=(closed,))
+        self.assertIn(f"127.0.0.1:{closed}: ", unreachable.stderr)
+        self.assertIn("refused", unreachable.stderr)
         no_list = self.ctl("status")
         self.assertEqual(no_list.exit_code, 4)
-        self.assertIn("next: Name the VM list's address", no_list.stderr)
-        list_away = self.ctl("--vm-list", f"127.0.0.1:{closed}", "status")
-        self.assertIn("next: Name the nodes' admin", list_away.stderr)
+        self.assertIn("next: Pass the VM list's address", no_list.stderr)
+        bad_list = self.ctl("--vm-list", f"127.0.0.1:{closed}", "status")
+        self.assertIn("next: Pass the nodes' admin", bad_list.stderr)
         self.apply(PLAIN, "--base-version", "0", nodes=(self.node(),))
         plan = self.ctl("plan", _write(PLAIN, self), nodes=(self.node(),))
         self.assertIn("with --node", plan.stdout)
 
-    def test_a_configuration_that_others_wrote(self):
+    def test_invalid_stored_configuration_is_reported(self):
         self.client.compare_and_swap(
             f"/mulberry/{DEPLOYMENT}/config",
             b'{"version": 9}',
@@ -351,22 +354,22 @@
         for command in (("show",), ("handover",)):
             with self.subTest(command=command):
                 found = self.ctl(*command, nodes=(self.node(version=1),))
-                told = found.stdout + found.stderr
-                self.assertIn("bad-stored-configuration", told)
-                self.assertIn("docs/operators/platform_outage.md", told)
+                output = found.stdout + found.stderr
+                self.assertIn("bad-stored-configuration", output)
+                self.assertIn("docs/operators/platform_outage.md", output)
 
-    def test_handover_without_rules_and_without_a_controller(self):
+    def test_handover_reports_missing_rules_and_controllers(self):
         found = self.ctl("handover", nodes=(self.node(),))
         self.assertEqual(found.exit_code, 5)
         for text in (
             "RULES: no configuration is in force",
             "--base-version 0",
             "hall-a: no active controller answers",
-            "next: Name the controllers' admin listeners",
+            "next: Pass the controllers' admin listeners",
         ):
             self.assertIn(text, found.stdout)
 
-    def test_history_tells_who_changed_what(self):
+    def test_history_shows_author_and_changed_values(self):
         nodes = (self.node(),)
         self.apply(PLAIN, "--base-version", "0", nodes=nodes)
         changed = builders_rules.document(default={"prefer_zone": "hall-b"})
@@ -377,7 +380,11 @@
         self.assertNotIn("by ana", found.stdout)
 
     def controller(self, share: float = 0.7) -> int:
-        """Starts hall-a's active controller, which sees long prompts."""
+        """Starts the active controller of hall-a.
+
+        Args:
+            share: Prefill share that the controller reports.
+        """
         view = builders_rules.situation(share)
         engines = [build.engine_status(f"engine-{n}") for n in range(4)]
         engines[0]["wanted_role"] = "prefill"
@@ -389,7 +396,7 @@
             rule=rule_status(match_once(FLAPPING, view), 1),
         )
 
-    def test_plan_says_what_would_change_and_changes_nothing(self):
+    def test_plan_shows_changes_without_applying_them(self):
         nodes = (self.controller(),)
         self.apply(PLAIN, "--base-version", "0", nodes=nodes)
         path = _write(FLAPPING, self)
@@ -405,7 +412,7 @@
             self.assertIn(text, found.stdout)
         self.assertEqual(self.store.read().unwrap().version, 1)
 
-    def test_explain_and_status(self):
+    def test_explain_and_status_show_controllers_and_nodes(self):
         nodes = (self.controller(), self.node(), 1)
         found = self.ctl("explain", nodes=nodes)
         self.assertIn("rule contracts (#1)", found.stdout)
@@ -416,7 +423,7 @@
         self.assertIn("holds the lease", found.stdout)
         self.assertIn("not reached: 127.0.0.1:1", found.stdout)
 
-    def test_handover_shows_wanted_seen_and_orders_in_flight(self):
+    def test_handover_shows_engine_states_and_orders_in_flight(self):
         nodes = (self.controller(), self.node())
         self.apply(FLAPPING, "--base-version", "0", nodes=nodes)
         record = builders_authority.order_record(
@@ -447,12 +454,11 @@
         as_json = self.ctl("--output", "json", "handover", nodes=nodes).value()
         self.assertTrue(as_json["engines"][0]["order"]["in_flight"])
 
-    def test_handover_during_an_outage_shows_what_nodes_know(self):
-        """A shift also changes while the key-value service is away.
+    def test_handover_shows_node_reports_during_an_outage(self):
+        """The shift changes while the key-value service is unreachable.
 
-        Symptom: the next shift gets an error in place of the fleet.
-        Sequence: the service goes away; the shift changes.
-        Cause: one source that fails hid the two that answer.
+        Guards against showing only an error. That happens if one source that
+        fails hides the sources that can be read.
         """
         order = {
             "order_id": "o-1",
@@ -490,7 +496,7 @@
         self.platform.faults["down"] = True
         self.assertEqual(self.ctl("handover", nodes=nodes).exit_code, 4)
 
-    def test_nodes_are_found_in_the_vm_list(self):
+    def test_nodes_are_found_in_the_vm_list_and_the_leases(self):
         vm_list = VmListStandin()
         vm_list.start()
         self.addCleanup(vm_list.close)
