--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway, put together from its settings."""
+"""Assembles a gateway from its settings."""
 
 import math
 import random
@@ -47,30 +47,32 @@
 from mulberrywharf.routes import follower, freshness, table
 
 STORE_TIMEOUT_S = 1.0
-"""For one call; the store answers in milliseconds, and some 250 ms when it is
-sixty times slower than usual."""
+"""Timeout of one call to the store. The store normally answers within
+milliseconds, and within about 250 ms when it is sixty times slower."""
 
 DRAIN_NOTICE_S = 2.5
-"""How long new connections are still taken after a request to stop. The
-platform's balancer asks once a second and takes a node out after two misses."""
+"""How long new connections are still accepted after a request to stop. The
+platform's load balancer checks readiness once a second and removes a node
+after two failed checks."""
 
 _MS_PER_S = 1000.0
 READINESS_INTERVAL_S = 0.2
 DUTY_TIMING = role_holder.HolderTiming(lease_ttl_s=3.0, look_interval_s=1.5)
-"""A usage report is due about ten seconds after the end of its window; a
-successor acquires the duty of a failed holder within five."""
+"""Lease timing of the usage duty. A report is due about ten seconds after the
+end of its window; a successor takes over from a failed duty holder within
+five."""
 
-NODES_LEAST_COUNT = 12
-"""Nodes that the allowance of repeats is divided by, at the least: the nine
-entry VMs of an operator of today and a spare one in each availability zone. A
-gateway that can't see the others must not take itself for the only one."""
+MIN_GATEWAYS_COUNT = 12
+"""Minimum number of gateways that share the allowance of repeats: the nine
+entry VMs of a current operator and one spare in each availability zone. A
+gateway that cannot see the others must not spend the whole allowance."""
 
 
 class Gateway:
-    """One gateway: every part of it, started and closed in order.
+    """Creates the parts of a gateway, and starts and closes them in order.
 
     Attributes:
-        stopping: Set it to begin the graceful stop.
+        stopping: Event that requests the graceful stop.
     """
 
     def __init__(self, config: gateway_settings.GatewaySettings):
@@ -127,13 +129,13 @@
         )
         self._budget = repeat_budget.RepeatBudget(
             _repeat_settings(config),
-            lambda: max(NODES_LEAST_COUNT, self._peers.gateways_count),
+            lambda: max(MIN_GATEWAYS_COUNT, self._peers.gateways_count),
         )
         self._account = engine_account.EngineAccount(
             self._book,
             self._clock,
             self._notices,
-            self._memory_tokens,
+            self._kv_capacity_tokens,
             self._queues,
         )
         self._queues.keep_parts(self._account)
@@ -146,7 +148,7 @@
             self._account.demand.told,
             self._account.loads.of_roles,
         )
-        self._servers.on_change(self._forget_left)
+        self._servers.on_change(self._on_servers_change)
         self._servers.on_change(self._news.on_change)
         self._routes.on_change(lambda _: self._news.on_change())
         self._listener = _listener(config)
@@ -160,12 +162,12 @@
             **gateway_settings.endpoint(config["operators_listen"])
         )
         self._roles = self._role_parts()
-        self._watching: gevent.Greenlet | None = None
+        self._readiness_greenlet: gevent.Greenlet | None = None
         self._routes.on_change(self._on_routes_change)
 
     @classmethod
     def from_config(cls, config: gateway_settings.GatewaySettings) -> "Gateway":
-        """Binds every listener; nothing is served before ``start``."""
+        """Creates a gateway and binds its listeners; ``start`` serves."""
         return cls(config)
 
     def ports(self) -> dict[str, int]:
@@ -176,7 +178,7 @@
         }
 
     def start(self) -> None:
-        """Begins to serve; ready once a request can be served."""
+        """Starts all parts; readiness follows once a request can be served."""
         logger.bind(ports=self.ports()).info("starting")
         self._readiness.start()
         self._routes.start()
@@ -190,13 +192,13 @@
         for part in (*self._roles, *self._duties):
             part.start()
         self._listener.start()
-        self._watching = gevent.spawn(self._keep_ready)
+        self._readiness_greenlet = gevent.spawn(self._update_readiness)
 
     def reload(self, config: gateway_settings.GatewaySettings) -> None:
-        """Takes over the settings that can change while it serves.
+        """Applies the settings that can change while the gateway runs.
 
-        The bounds on repeats and the time to stop are; addresses and names
-        come in force with the next start.
+        These are the limits on repeats and the grace period of a stop. Changed
+        addresses and names take effect at the next start.
         """
         changed = [
             name
@@ -208,12 +210,13 @@
         logger.bind(changed=changed).info("settings reloaded")
 
     def stop(self) -> None:
-        """Stops gracefully: nothing that was accepted is cut."""
+        """Stops gracefully: finishes every accepted request first."""
         logger.info("stopping: no longer ready")
-        if self._watching is not None:
-            self._watching.kill()
+        if self._readiness_greenlet is not None:
+            self._readiness_greenlet.kill()
         self._readiness.ready = False
-        # The next holder also collects the counts of this gateway.
+        # Closed before the drain: the next holder of the usage duty also
+        # collects the counts of this gateway.
         for part in (*self._roles, *self._duties):
             part.close()
         self._listener.announce_stop()
@@ -226,7 +229,7 @@
         logger.info("stopped")
 
     def close(self) -> None:
-        """Ends every part at once."""
+        """Closes all parts without waiting for requests."""
         for part in (*self._roles, *self._duties):
             part.close()
         if self._usage_exchange is not None:
@@ -259,7 +262,7 @@
             self._config["availability_zone"],
             f"{incarnation:08x}",
         )
-        told = notices.WorkNotices(
+        work_notices = notices.WorkNotices(
             address,
             peers,
             incarnation,
@@ -267,9 +270,9 @@
             self._clock,
         )
         queues = queue_owners.QueueOwners(
-            peers, told.socket, incarnation, self._clock
+            peers, work_notices.socket, incarnation, self._clock
         )
-        return peers, told, queues
+        return peers, work_notices, queues
 
     def _confirmed_routes(self) -> freshness_relay.Confirmation | None:
         routes = self._routes.current()
@@ -285,7 +288,7 @@
     def _role_parts(
         self,
     ) -> tuple[role_keeper.RoleKeeper, role_holder.RoleHolder] | tuple[()]:
-        """Returns what orders engines into roles, the one to close first."""
+        """Creates the parts that order engine roles, in the order to close."""
         if "roles" not in self._config:
             return ()
         holder = role_holder.RoleHolder(
@@ -316,19 +319,28 @@
         self._notices.tell_changing(server)
 
     def _watches(self) -> dict[str, watch.Watch]:
-        found = {
+        watches = {
             "routes_revision": self._routes.watched(),
             "servers_revision": self._servers.watched(),
         }
-        return {name: one for name, one in found.items() if one is not None}
+        return {
+            name: store_watch
+            for name, store_watch in watches.items()
+            if store_watch is not None
+        }
 
-    def _memory_tokens(self, service: str) -> int:
+    def _kv_capacity_tokens(self, service: str) -> int:
         routes = self._routes.current()
         known = routes.services.get(service) if routes else None
         return known.engine.kv_tokens if known and known.engine else 0
 
     def _usage_parts(self) -> Callable[[str], None]:
-        """Creates the usage reporting parts; returns the request counter."""
+        """Creates the parts that report usage.
+
+        Returns:
+            A function that counts a request of the customer it is given. It
+            does nothing if the settings do not ask for usage reports.
+        """
         settings = self._config.get("duties")
         if settings is None or "usage" not in settings:
             return lambda customer: None
@@ -412,12 +424,12 @@
             on_request_started=on_request_started,
         )
 
-    def _forget_left(self) -> None:
+    def _on_servers_change(self) -> None:
         known = self._servers.all()
         self._book.keep_only(server.start for server in known)
         self._account.follow(known)
 
-    def _keep_ready(self) -> None:
+    def _update_readiness(self) -> None:
         while True:
             ready = self._is_ready()
             if ready != self._readiness.ready:
@@ -426,7 +438,7 @@
             gevent.sleep(READINESS_INTERVAL_S)
 
     def _is_ready(self) -> bool:
-        """Tells whether a request can be served: routes, and a server."""
+        """Returns whether there are routes and a usable server for one."""
         routes = self._routes.current()
         return routes is not None and any(
             self._servers.usable(service) for service in routes.services
@@ -434,7 +446,7 @@
 
 
 class _Engines:
-    """The engines as the store lists them."""
+    """The engines and the demand for them, as role planning sees them."""
 
     def __init__(
         self,
@@ -453,23 +465,29 @@
         self._account = account
 
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
-        """Returns the engines of each service that may get new work."""
+        """Returns the engines that accept new requests, by service."""
         routes = self._routes.current()
         services = routes.prompt_services() if routes else frozenset()
         return {name: self._servers.usable(name) for name in services}
 
     def may_ask(self, server: fleet.Server) -> bool:
-        """Tells whether an engine takes anything of this node now."""
+        """Returns whether this gateway may send anything to an engine now.
+
+        It may not until the engine's last Retry-After has passed.
+        """
         return not self._book.is_resting(
             server.start, self._clock.monotonic_s()
         )
 
     def trouble_age_s(self) -> float:
-        """Returns how long ago the store last failed a call."""
+        """Returns the time since the store's last outage, inf before any."""
         return self._client.trouble_age_s()
 
     def wanted_prefill(self, service: str) -> float | None:
-        """Returns the prefill engines that all callers' prompts keep busy."""
+        """Returns how many prefill engines all callers' prompts keep busy.
+
+        None until there is enough data.
+        """
         return self._account.demand.wanted_prefill(service)
 
 
--- a/src/mulberrywharf/programs/_interval_task.py
+++ b/src/mulberrywharf/programs/_interval_task.py
@@ -1,4 +1,4 @@
-"""A greenlet that does the same work at intervals."""
+"""Runs the same steps at intervals in a greenlet."""
 
 from collections.abc import Callable, Sequence
 
@@ -7,7 +7,7 @@
 
 
 class IntervalTask:
-    """Calls its steps one after the other, then pauses, until closed."""
+    """Calls its steps in order, pauses, and repeats until closed."""
 
     def __init__(
         self,
@@ -16,12 +16,12 @@
         interval_s: float,
         failure_message: str,
     ):
-        """Prepares the task; nothing runs before ``start``.
+        """Creates the task; ``start`` runs it.
 
         Args:
-            steps: Called in this order, each time all of them.
-            interval_s: Pause between the end of one round and the next.
-            failure_message: What the log says of a step that raises.
+            steps: Functions to call in this order, all of them in each round.
+            interval_s: Pause between the end of a round and the next one.
+            failure_message: Log message if a step raises an exception.
         """
         self._steps = tuple(steps)
         self._interval_s = interval_s
@@ -29,25 +29,25 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins the first round."""
+        """Starts the first round."""
         self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends it, also in the middle of a step."""
+        """Stops the task, even in the middle of a step."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     def _run(self) -> None:
         while True:
             for step in self._steps:
-                self._attempt(step)
+                self._run_step(step)
             gevent.sleep(self._interval_s)
 
-    def _attempt(self, step: Callable[[], None]) -> None:
+    def _run_step(self, step: Callable[[], None]) -> None:
         try:
             step()
         except Exception:
-            # An exception would end the greenlet, and this process would go
-            # on with old loads, limits or rates for good; nothing but their
-            # age in the metrics would show it. The next round tries again.
+            # An exception would end the greenlet. The process would keep using
+            # old loads, limits or rates forever, and only their age in the
+            # metrics would show it. The next round tries again.
             logger.exception(self._failure_message)
--- a/src/mulberrywharf/programs/_startup.py
+++ b/src/mulberrywharf/programs/_startup.py
@@ -1,4 +1,4 @@
-"""What the long-running programs do alike before they start to serve."""
+"""Startup steps that the server programs share."""
 
 import argparse
 import sys
@@ -18,22 +18,24 @@
     description: str,
     load: Callable[[str], Result[_Read, errors.SettingsError]],
 ) -> _Read | int:
-    """Parses the command line and loads the settings that it names.
+    """Parses the command line and loads the settings file that it names.
 
-    Faults go to standard error, all at once, so that an operator who corrects
-    the file needs one round.
+    Prints all faults of the file at once to standard error, so that an operator
+    can correct them in one pass.
 
     Args:
         prog: Name of the program.
-        description: What it is for, in a line.
-        load: Reads and checks the file.
+        description: Purpose of the program, in one line.
+        load: Reads and checks the settings file.
 
     Returns:
-        The settings, or the exit code if the program is not to run: 1 when
-        the file has faults, 0 when it was only to be checked.
+        The settings, or the exit code if the program must not run: 1 if the
+        file has faults, 0 if only a check of the file was requested.
     """
     parser = argparse.ArgumentParser(prog=prog, description=description)
-    parser.add_argument("--settings", required=True, help="JSON with comments")
+    parser.add_argument(
+        "--settings", required=True, help="settings file, JSON with comments"
+    )
     parser.add_argument(
         "--check-settings",
         action="store_true",
@@ -51,13 +53,13 @@
 
 
 def run_until_stopped(run: Callable[[], object]) -> int:
-    """Runs a program, or says why it cannot listen.
+    """Runs a program; prints the reason if it cannot listen on a port.
 
     Args:
         run: Opens the ports, serves, and returns after a graceful stop.
 
     Returns:
-        The exit code: 0 after a graceful stop, 1 when it could not listen.
+        The exit code: 0 after a graceful stop, 1 if it could not listen.
     """
     try:
         run()
@@ -71,7 +73,7 @@
 def configure_logs(
     config: settings.Settings, program: Literal["router", "controller"]
 ) -> None:
-    """Sets up the logs of a process as its settings say."""
+    """Configures the logging of a process from its settings."""
     logs.configure(
         vm_id=config["vm_id"],
         availability_zone=config["availability_zone"],
--- a/src/mulberrywharf/programs/gateway.py
+++ b/src/mulberrywharf/programs/gateway.py
@@ -1,4 +1,4 @@
-"""``mulberry-gateway``: serves callers by the operators' routes."""
+"""``mulberry-gateway``: serves callers according to the operators' routes."""
 
 # ruff: noqa: E402
 from gevent import monkey
@@ -23,15 +23,15 @@
     path = ""
 
     def load(
-        named: str,
+        settings_path: str,
     ) -> Result[gateway_settings.GatewaySettings, errors.SettingsError]:
         nonlocal path
-        path = named
-        return gateway_settings.load(named)
+        path = settings_path
+        return gateway_settings.load(settings_path)
 
     config = _startup.read_settings(
         prog="mulberry-gateway",
-        description="Serves callers by the operators' routes.",
+        description="Serves callers according to the operators' routes.",
         load=load,
     )
     if isinstance(config, int):
@@ -50,7 +50,7 @@
     gateway = _gateway.Gateway.from_config(config)
     gevent.signal_handler(signal.SIGTERM, gateway.stopping.set)
     gevent.signal_handler(signal.SIGINT, gateway.stopping.set)
-    # Without a handler the signal ends the process, and every request with it.
+    # Without a handler, SIGHUP ends the process and every request in it.
     gevent.signal_handler(signal.SIGHUP, _reload, gateway, path)
     gateway.start()
     _wsgi.announce_ready(program="gateway", **gateway.ports())
@@ -61,7 +61,7 @@
 
 
 def _reload(gateway: _gateway.Gateway, path: str) -> None:
-    """Takes over what has changed in the settings file, if it is sound."""
+    """Reloads the settings file; keeps the old settings if it is invalid."""
     loaded = gateway_settings.load(path)
     if isinstance(loaded, Err):
         logger.error("settings not reloaded: {}", loaded.err_value.message)
--- a/tests/test_interval_task.py
+++ b/tests/test_interval_task.py
@@ -1,4 +1,4 @@
-"""A task at intervals: its order, its end, and a step that raises."""
+"""Tests interval tasks: order of steps, close, and steps that raise."""
 
 import unittest
 from collections.abc import Callable
@@ -38,14 +38,11 @@
         gevent.sleep(0.02)
         self.assertEqual(len(self.calls), calls_count)
 
-    def test_a_step_that_raises_ends_neither_the_round_nor_the_task(
-        self,
-    ) -> None:
-        """One step that raises must not be the last one.
+    def test_exception_in_a_step_does_not_end_round_or_task(self) -> None:
+        """A step raises, for example on a report that it cannot use.
 
-        Symptom: old limits stay in force though the rules changed. Sequence:
-        one evaluation met a report that it could not use and raised. Cause:
-        the exception ended the greenlet that evaluates.
+        Guards against the exception ending the greenlet, after which old
+        limits stay in force although the rules changed.
         """
 
         def fail() -> None:
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,9 @@
-"""The ways of docs/OPERATIONS.md lead from an id to the cause, in real logs."""
+"""Tests that docs/OPERATIONS.md leads from a request id to a failure's cause.
+
+Each test lets a request fail or take too long in a running gateway. It checks
+that the log lines with the request's id show the cause, and that the page names
+the field or code that shows it.
+"""
 
 import json
 import pathlib
@@ -23,7 +28,7 @@
         self.page = PAGE.read_text(encoding="utf-8")
 
     def lines(self, request_id: str) -> list[dict[str, Any]]:
-        """Ends the gateway and returns its log lines that hold the id."""
+        """Stops the gateway and returns its log lines with the request id."""
         gateway = self.gateway
         assert gateway is not None
         pool = gevent.get_hub().threadpool
@@ -37,11 +42,10 @@
         self.assertTrue(found)
         return found
 
-    def test_a_refused_request(self) -> None:
-        """Symptom: 503.
+    def test_rejected_request_logs_its_error_code(self) -> None:
+        """All decode engines drain, so a request gets status 503.
 
-        Sequence: every decode engine drains. Cause: named by the last line of
-        the id, `no-engine`.
+        The last log line with its id gives the cause, ``no-engine``.
         """
         for number in (1, 2):
             self.store.put(
@@ -62,11 +66,11 @@
         self.assertEqual(last["result"], "no-engine")
         self.assertIn("`no-engine`", self.page)
 
-    def test_a_failed_request(self) -> None:
-        """Symptom: 502.
+    def test_failed_request_logs_its_last_attempt(self) -> None:
+        """A server closes the connection while it runs a request.
 
-        Sequence: a server runs a request that may run once and closes its
-        connection. Cause: named by the last attempt.
+        The request may run only once, so it gets status 502. Its last attempt
+        in the log gives the cause, ``answer-lost``.
         """
         self.plain.faults = {"lose": 1}
         document = build.routes_document(2)
@@ -84,11 +88,11 @@
         self.assertEqual(attempts[-1]["server_id"], "plain-1")
         self.assertIn("`answer-lost`", self.page)
 
-    def test_a_late_request(self) -> None:
-        """Symptom: an answer after its time.
+    def test_late_request_logs_its_durations(self) -> None:
+        """Slow decode engines delay an answer.
 
-        Sequence: decode engines are slow. Cause: `took_s` of the attempt
-        against `first_token_s`.
+        The log shows it: ``took_s`` of the last attempt exceeds the expected
+        ``first_token_s``.
         """
         for engine in self.decodes:
             engine.faults = {"delay_s": 0.5}
--- a/tests/test_operator_pages.py
+++ b/tests/test_operator_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages name every code, field and command there is."""
+"""Tests that the operators' pages cover every code, field and command."""
 
 import pathlib
 import re
@@ -19,7 +19,7 @@
 
 
 def _metrics() -> set[str]:
-    """Returns every metric that the code counts."""
+    """Returns the names of all metrics in the code."""
     return {
         name
         for path in SOURCE.rglob("*.py")
@@ -28,7 +28,7 @@
 
 
 def _links(page: pathlib.Path) -> list[str]:
-    """Returns the files that a page links, from its own place."""
+    """Returns the files that a page links to, relative to the page."""
     found = re.findall(r"\]\(([^)#]+)", page.read_text(encoding="utf-8"))
     return [link for link in found if "://" not in link]
 
@@ -38,7 +38,7 @@
 
 
 class PagesTest(unittest.TestCase):
-    def test_every_error_code_has_its_row(self):
+    def test_every_error_code_has_a_row(self):
         codes = {
             kind.code
             for kind in vars(errors).values()
@@ -102,12 +102,11 @@
         }
         self.assertEqual(sorted(named), sorted(metrics))
 
-    def test_every_alarm_leads_to_a_page_on_its_metric(self):
-        """An operator follows an alarm at night and finds nothing.
+    def test_every_alarm_links_to_a_page_about_its_metric(self):
+        """A metric is renamed, or its row moves to another page.
 
-        Symptom: the page that an alarm leads to does not name its metric.
-        Sequence: a metric is renamed, or its row moves to another page.
-        Cause: nothing held the table of alarms to the pages.
+        Guards against an alarm whose linked page does not mention its metric,
+        so that an operator finds no help there.
         """
         rows = re.findall(r"^\| (`mulberry_.*)$", _page("index.md"), re.M)
         self.assertGreater(len(rows), 15)
@@ -115,7 +114,7 @@
             link = re.search(r"\]\(([a-z_]+\.md)\)", row)
             self.assertIsNotNone(link, row)
             if link[1] == "errors.md":
-                # It lists codes; the metric's labels are those codes.
+                # This page lists error codes, which are the metric's labels.
                 codes = re.findall(r"`([a-z]+(?:-[a-z]+)*)`", row)
                 wanted = [f"| `{code}` |" for code in codes]
             else:
@@ -132,7 +131,7 @@
         packages = [path.parent.name for path in SOURCE.glob("*/__init__.py")]
         self.assertEqual(sorted(listed), sorted(packages))
 
-    def test_every_page_is_listed_and_every_link_leads_somewhere(self):
+    def test_every_page_is_listed_and_every_link_is_valid(self):
         names = {page.name for page in PAGES.glob("*.md")} - {"index.md"}
         self.assertLessEqual(names, set(_links(PAGES / "index.md")))
         for page in (*PAGES.glob("*.md"), ROOT / "README.md"):
--- a/tests/test_operator_tour.py
+++ b/tests/test_operator_tour.py
@@ -1,4 +1,4 @@
-"""What the operators' pages print runs as it is printed."""
+"""Tests that the examples and commands in the operators' pages work."""
 
 import os
 import pathlib
@@ -19,7 +19,7 @@
 PAGES = ROOT / "docs" / "operators"
 EXAMPLES = ROOT / "examples"
 _LOOPBACK = "127.0.0.1"
-_LIMIT_S = 120
+_TIMEOUT_S = 120
 
 
 def _blocks(page: pathlib.Path, language: str) -> list[str]:
@@ -29,7 +29,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_settings_and_rules_have_no_fault(self) -> None:
+    def test_example_files_are_valid(self) -> None:
         paths = sorted(EXAMPLES.glob("*/*.json"))
         self.assertTrue(paths)
         for path in paths:
@@ -46,7 +46,7 @@
                 else:
                     self.assertIsInstance(settings.load(str(path)), Ok)
 
-    def test_documents_in_pages_have_no_fault(self) -> None:
+    def test_documents_in_pages_are_valid(self) -> None:
         documents = [
             (page.name, block)
             for page in PAGES.glob("*.md")
@@ -63,30 +63,30 @@
 )
 class TourTest(unittest.TestCase):
     def setUp(self) -> None:
-        # An address of its own on loopback, so that the page's fixed ports
-        # are free although other tests or a demo run on this machine.
+        # Uses a separate loopback address for each test process, because other
+        # tests or a demo on this machine may use the page's fixed ports.
         number = os.getpid()
-        own = f"127.100.{number // 250 % 250}.{number % 250 + 1}"
-        self.place = pathlib.Path(
+        address = f"127.100.{number // 250 % 250}.{number % 250 + 1}"
+        self.directory = pathlib.Path(
             self.enterContext(
                 tempfile.TemporaryDirectory(prefix="mulberry-test-")
             )
         )
-        examples = self.place / "examples"
+        examples = self.directory / "examples"
         for path in EXAMPLES.glob("*/*.json"):
             copy = examples / path.parent.name / path.name
             copy.parent.mkdir(parents=True, exist_ok=True)
-            copy.write_text(path.read_text().replace(_LOOPBACK, own))
+            copy.write_text(path.read_text().replace(_LOOPBACK, address))
         blocks = _blocks(PAGES / "index.md", "bash")
-        self.check, self.tour = (b.replace(_LOOPBACK, own) for b in blocks)
+        self.check, self.tour = (b.replace(_LOOPBACK, address) for b in blocks)
 
     def run_block(self, block: str) -> str:
-        """Runs a block of the page; returns all that it wrote."""
+        """Runs a shell block of the page and returns its output."""
         programs = ROOT / ".venv" / "bin"
         paths = (str(programs), os.environ["PATH"])
         process = subprocess.Popen(
             ["bash", "-c", block],
-            cwd=self.place,
+            cwd=self.directory,
             env=os.environ
             | {"PATH": os.pathsep.join(paths), "PYTHONPATH": str(ROOT)},
             stdout=subprocess.PIPE,
@@ -95,18 +95,18 @@
             start_new_session=True,
         )
         try:
-            return process.communicate(timeout=_LIMIT_S)[0]
+            return process.communicate(timeout=_TIMEOUT_S)[0]
         finally:
             if process.poll() is None:
                 os.killpg(process.pid, signal.SIGKILL)
                 process.wait()
 
-    def test_the_files_of_a_zone_are_checked(self) -> None:
-        wrote = self.run_block(self.check)
-        self.assertEqual(wrote.count("no fault"), 3, wrote)
+    def test_check_commands_report_no_faults(self) -> None:
+        output = self.run_block(self.check)
+        self.assertEqual(output.count("no fault"), 3, output)
 
-    def test_the_tour_goes_as_printed(self) -> None:
-        wrote = self.run_block(self.tour)
+    def test_tour_commands_give_the_expected_output(self) -> None:
+        output = self.run_block(self.tour)
         for text in (
             "1 rules, no fault, 0 warnings",
             "accepted as version 1",
@@ -121,8 +121,8 @@
             "the controller ended with 0",
         ):
             with self.subTest(text=text):
-                self.assertIn(text, wrote)
-        self.assertEqual(wrote.count('"run_count": 1'), 2, wrote)
+                self.assertIn(text, output)
+        self.assertEqual(output.count('"run_count": 1'), 2, output)
 
 
 if __name__ == "__main__":
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""Programs whose ports cannot be listened on say so and end."""
+"""Tests that programs report ports that they cannot bind, and exit."""
 
 import subprocess
 import sys
@@ -10,17 +10,16 @@
 from mulberrywharf import _listening
 from tests import builders_settings
 
-_ADDRESS_OF_NO_VM = "192.0.2.1"
-_LIMIT_S = 60
+_UNASSIGNED_IP = "192.0.2.1"
+_TIMEOUT_S = 60
 
 
 class ListenTest(unittest.TestCase):
-    """A program is started beside another one with its ports.
+    """A program starts with ports that are in use or an address it lacks.
 
-    Symptom: the operator reads a traceback that names no field of the
-    settings. Sequence: a router's file is copied for the controller and its
-    ports are left as they are; the second program starts. Cause: the failed
-    bind was not told from a fault of the program.
+    Guards against a traceback that names no field of the settings. An operator
+    gets it after copying a router's settings for the controller without
+    changing the ports, if a failed bind is handled like a bug in the program.
     """
 
     def run_program(
@@ -32,14 +31,14 @@
             [sys.executable, "-m", module, "--settings", path],
             capture_output=True,
             text=True,
-            timeout=_LIMIT_S,
+            timeout=_TIMEOUT_S,
         )
 
-    def test_it_names_the_address_and_the_next_step(self) -> None:
+    def test_failed_bind_is_reported_with_address_and_advice(self) -> None:
         holder = _listening.listening_socket("127.0.0.1", 0, backlog_count=1)
         self.addCleanup(holder.close)
         taken = {"ip": "127.0.0.1", "port": holder.getsockname()[1]}
-        elsewhere = {"ip": _ADDRESS_OF_NO_VM, "port": 0}
+        elsewhere = {"ip": _UNASSIGNED_IP, "port": 0}
         key = {"key_hex": builders_settings.NODE_KEY_HEX}
         cases = (
             ("router", taken, {"operators": {"listen": taken}}),
@@ -59,7 +58,7 @@
                 self.assertNotIn("Traceback", done.stderr)
                 self.assertNotIn("READY", done.stdout)
 
-    def test_a_port_is_free_again_after_close(self) -> None:
+    def test_port_can_be_bound_again_after_close(self) -> None:
         first = _listening.listening_socket("127.0.0.1", 0, backlog_count=1)
         address = first.getsockname()
         first.close()
