--- a/src/mulberrywharf/programs/_ctl_apply.py
+++ b/src/mulberrywharf/programs/_ctl_apply.py
@@ -66,7 +66,7 @@
         return Ok(int(found.group(1)))
     return Err(
         UsageError(
-            "the version that the document was edited from is not given",
+            "the base version of the document is not given",
             advice="Keep the '// base-version: N' line that show writes, or "
             "pass --base-version; 0 if there is no configuration yet.",
         )
@@ -194,7 +194,8 @@
     newer configuration back and the change is replaced. The nodes then report
     a higher version, and without this check the operator would read "in force
     on all nodes" for a change that no node ever ran. While the service holds
-    an older version than a node, it is about to be replaced, so this waits.
+    an older version than a node, its configuration is about to be replaced, so
+    this waits.
 
     Args:
         context: Context of this run.
@@ -203,8 +204,8 @@
         end_s: When to stop waiting, on the monotonic clock.
 
     Returns:
-        ``ChangeReplacedError`` if the change was replaced; another error if
-        that could not be determined in time.
+        Ok if the service holds the change; ``ChangeReplacedError`` if it was
+        replaced; another error if neither could be determined in time.
     """
     store = context.config_store()
     if isinstance(store, Err):
@@ -262,7 +263,7 @@
         return CommandResult(ExitCode.CONFLICT, value, lines)
     lines = [
         *lines,
-        "it is not known whether the key-value service still holds the change",
+        "could not confirm that the key-value service still holds the change",
     ]
     lines += failure.lines
     return CommandResult(ExitCode.INCOMPLETE, value, lines)
--- a/src/mulberrywharf/programs/_ctl_check.py
+++ b/src/mulberrywharf/programs/_ctl_check.py
@@ -20,7 +20,7 @@
     Attributes:
         text: The text of the file.
         document: The parsed document.
-        warnings: Rules that are valid but probably wrong.
+        warnings: Findings that do not make the document invalid.
         notes: Checks that were not possible, with the reason.
     """
 
--- a/src/mulberrywharf/programs/_ctl_handover.py
+++ b/src/mulberrywharf/programs/_ctl_handover.py
@@ -59,7 +59,8 @@
 def run(context: Context) -> CommandResult:
     """Shows the rules, the engines and the orders in flight."""
     overview = _read_sources(context)
-    # The operator can correct these at once, so no partial result is shown.
+    # The operator can correct a wrong command line or token at once, so no
+    # partial result is shown.
     for error in overview.failures.values():
         if isinstance(error, (UsageError, NotAuthorisedError)):
             return error_result(error)
--- a/src/mulberrywharf/programs/_ctl_nodes.py
+++ b/src/mulberrywharf/programs/_ctl_nodes.py
@@ -66,7 +66,7 @@
 
 
 def active_controllers(answers: list[NodeAnswer]) -> dict[str, StatusReport]:
-    """Returns the report of each zone's lease holder, by zone."""
+    """Returns the reports of the controllers that hold a lease, by zone."""
     found: dict[str, StatusReport] = {}
     for report in reports(answers):
         lease = report.get("lease")
--- a/src/mulberrywharf/programs/_ctl_plan.py
+++ b/src/mulberrywharf/programs/_ctl_plan.py
@@ -54,7 +54,7 @@
 
 
 def run(context: Context) -> CommandResult:
-    """Compares a document with the rules in force, for the current fleet."""
+    """Compares a document with the rules in force, given the fleet's state."""
     checked = load_and_check(context)
     if isinstance(checked, Err):
         return fault_result(checked.err_value)
--- a/src/mulberrywharf/programs/_ctl_result.py
+++ b/src/mulberrywharf/programs/_ctl_result.py
@@ -15,13 +15,15 @@
 
     Attributes:
         OK: The command succeeded.
-        FAULTS: The document has faults.
-        USAGE: The command line or a repeated change id is invalid.
-        CONFLICT: Another operator's change came first.
-        UNAVAILABLE: The platform or the nodes cannot be reached.
+        FAULTS: The document has faults, or with ``--strict`` warnings.
+        USAGE: The command line is invalid, or the change id belongs to
+            another document.
+        CONFLICT: Another change came first, or replaced this one.
+        UNAVAILABLE: The platform or the nodes cannot be reached; also for
+            failures without an exit code of their own.
         INCOMPLETE: The change is not known to be in force on all nodes, or
             part of the state could not be read.
-        NOT_AUTHORISED: A node rejects the operator's token.
+        NOT_AUTHORISED: The operator's token is rejected.
     """
 
     OK = 0
--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -48,7 +48,7 @@
 
 STORE_TIMEOUT_S = 1.0
 """Timeout of one call to the store. The store normally answers within
-milliseconds, and within about 250 ms when it is sixty times slower."""
+milliseconds, and in some 250 ms when it is sixty times slower than usual."""
 
 DRAIN_NOTICE_S = 2.5
 """How long new connections are still accepted after a request to stop. The
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -310,7 +310,7 @@
         self.assertIn("--operator-token-env", found.stderr)
 
     def test_token_that_is_invalid_in_a_header_exits_with_6(self):
-        """The token contains a line feed, as when read from a file.
+        """The token contains a line feed, as from a file, or is not ASCII.
 
         Guards against reporting that the node does not answer. The HTTP
         client refuses to send such a header, which was handled like a failed
@@ -380,7 +380,7 @@
         self.assertNotIn("by ana", found.stdout)
 
     def controller(self, share: float = 0.7) -> int:
-        """Starts the active controller of hall-a.
+        """Starts the active controller of hall-a, which sees long prompts.
 
         Args:
             share: Prefill share that the controller reports.
