--- a/src/mulberrywharf/platform/__init__.py
+++ b/src/mulberrywharf/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translates between the operators' platform and the product.
+"""Adapter between the operators' platform and the rest of this package.
 
-Names on the wire of the platform occur here and nowhere else. Everything is
-decoded once, into types of the product that say what they hold.
+Only this subpackage uses the platform's wire names. It decodes each value once
+into the types of the package.
 """
--- a/src/mulberrywharf/platform/documents.py
+++ b/src/mulberrywharf/platform/documents.py
@@ -1,4 +1,4 @@
-"""What the operators and the servers write into the platform's store."""
+"""Decodes the routes and server records in the platform's store."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -17,22 +17,22 @@
 _MS_PER_S = 1000.0
 _BITS_PER_BYTE = 8
 _BITS_PER_MEGABIT = 1e6
-_MALFORMED = (
+_DECODE_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
     AttributeError,
-    # A number that no integer can hold, such as 1e999.
+    # int() raises it for numbers that are parsed as infinity, such as 1e999.
     OverflowError,
 )
 
 
 class StoredDocuments:
-    """Reads routes and server records.
+    """Decodes routes and server records.
 
     Attributes:
-        routes_key: Where the operators keep the routes.
-        servers_prefix: Beginning of the servers' keys.
+        routes_key: Key of the operators' routes.
+        servers_prefix: Prefix of the keys of server records.
     """
 
     routes_key = ROUTES_KEY
@@ -41,7 +41,7 @@
     def decode_routes(
         self, value: bytes
     ) -> Result[table.RouteTable, errors.StoredConfigurationError]:
-        """Reads one version of the routes."""
+        """Decodes one version of the routes."""
         try:
             document = orjson.loads(value)
             customers = _customers(document.get("tenants"))
@@ -49,25 +49,27 @@
             if faults:
                 return Err(errors.StoredConfigurationError(ROUTES_KEY, faults))
             return Ok(_route_table(document, customers))
-        except _MALFORMED as error:
+        except _DECODE_ERRORS as error:
             fault = errors.Fault(
-                "document", repr(error), "write every field of the routes"
+                "document",
+                repr(error),
+                "set every required field of the routes",
             )
             return Err(errors.StoredConfigurationError(ROUTES_KEY, [fault]))
 
     def decode_server(
         self, key: str, value: bytes
     ) -> Result[fleet.Server, errors.StoredRecordError]:
-        """Reads the record of one server.
+        """Decodes the record of one server.
 
-        Another program may write under the prefix. A record of which a field
-        is missing, or has another type or a value that no server writes, is
-        taken for one of those as a whole.
+        Other programs may write under the same prefix. A record in which a
+        field is missing, has the wrong type or has a value that no server
+        writes is therefore rejected as a whole.
         """
         return server_records.decode(self.server_id(key), value)
 
     def server_id(self, key: str) -> str:
-        """Returns the id of the server whose record has this key."""
+        """Returns the id of the server whose record is stored under a key."""
         return key.removeprefix(SERVERS_PREFIX)
 
 
@@ -120,8 +122,8 @@
         priority=int(fields.get("priority", 5)),
         target_s=_seconds(fields.get("target-latency-ms")),
         gap_target_s=_seconds(fields.get("target-gap-ms")),
-        # It says that requests name the parts of their prompt; there is no
-        # session that would have to stay with a server.
+        # Despite its name, the field states that requests list the parts of
+        # their prompt. No session is bound to a server.
         has_prompt=bool(fields.get("session-affinity")),
         is_public=bool(fields.get("public")),
     )
@@ -134,8 +136,8 @@
         case "streaming":
             return kinds.EventStream(bool(fields.get("resumable")))
         case _:
-            # An unknown kind is treated like the strictest one: to repeat it
-            # might do twice what may be done once.
+            # An unknown kind is handled like the strictest one, because a
+            # retry might run a request twice that must run once.
             return kinds.AtMostOnce()
 
 
@@ -170,7 +172,7 @@
         kv_token_bytes=float(fields["kv-token-bytes"]),
         link_bytes_per_s=bits_per_s / _BITS_PER_BYTE,
         handle_ttl_s=float(fields["handle-ttl-s"]),
-        # ``most`` counts the readers that an engine lets wait.
+        # ``most`` is the number of long polls that an engine accepts at once.
         event_readers_limit_count=int(fields.get("most", 0)),
     )
 
--- a/src/mulberrywharf/platform/duties.py
+++ b/src/mulberrywharf/platform/duties.py
@@ -7,7 +7,7 @@
 
 
 class DutyDialect:
-    """Encodes the calls of a duty's holder."""
+    """Encodes the calls that the holder of a duty sends."""
 
     def encode_usage(
         self, report: client.UsageReport, identity: client.HolderIdentity
--- a/src/mulberrywharf/platform/headers.py
+++ b/src/mulberrywharf/platform/headers.py
@@ -1,49 +1,52 @@
-"""Header fields of the platform, in lower case."""
+"""Names of the platform's header fields, in lower case."""
 
 _PREFIX = "x-mulberrywharf-"
 
 REQUEST_ID = _PREFIX + "request-id"
 DEADLINE_MS = _PREFIX + "deadline-ms"
-"""Time left for an answer, not an instant."""
+"""Time left until the deadline, as a duration and not a point in time."""
 
 MODEL = _PREFIX + "model"
-TOKENS = _PREFIX + "token-usage"
-"""Prompt tokens and the bound of output tokens, with a comma between."""
+TOKEN_COUNTS = _PREFIX + "token-usage"
+"""Number of prompt tokens and maximum number of output tokens, separated by a
+comma."""
 
 PROMPT_PARTS = _PREFIX + "prompt-prefix"
-"""All parts of the prompt, not only a prefix: ``ID:TOKENS`` with commas."""
+"""All parts of the prompt, not only a prefix: ``ID:TOKENS``, separated by
+commas."""
 
 LENGTH_HINT = _PREFIX + "length-hint"
-RECEIPT = _PREFIX + "response-signature"
+RESPONSE_SIGNATURE = _PREFIX + "response-signature"
 NOT_EXECUTED = _PREFIX + "not-executed"
 SERVER_LOAD = _PREFIX + "instance-load"
-"""Running, waiting and slots of the server that answers."""
+"""Running requests, waiting requests and slots of the responding server,
+separated by commas."""
 
 DUTY_HOLDER = _PREFIX + "duty-holder"
 FENCING_NUMBER = _PREFIX + "fencing-token"
 
 RETRY_AFTER = "retry-after"
-LEAVING = "server-leaving"
-"""``1`` in all answers of a server that leaves; it bears no prefix."""
+SERVER_LEAVING = "server-leaving"
+"""``1`` in every response of a leaving server. The name has no prefix."""
 
 SERVER_ID = _PREFIX + "instance-id"
 EXPECTED_SERVER = _PREFIX + "expected-instance"
 PRIORITY = _PREFIX + "request-priority"
 ROLE = _PREFIX + "stage"
 KV_SOURCE = _PREFIX + "kv-source"
-"""Engine address and handle of a prefilled KV cache."""
+"""Address of an engine and the handle of a prefilled KV cache there."""
 
 KV_FETCH = "kv-fetch"
-"""Address of an engine to copy cached parts from; it bears no prefix."""
+"""Address of an engine to copy cached parts from. The name has no prefix."""
 
-CREDENTIALS = "authorization"
+AUTHORIZATION = "authorization"
 CUSTOMER_KEY = _PREFIX + "credential"
 CUSTOMER = _PREFIX + "tenant-id"
-"""Name of the customer, sent to servers instead of the key."""
+"""Name of the customer, which servers receive instead of its key."""
 
 LAST_EVENT_ID = "last-event-id"
 
-SET_BY_US = frozenset(
+NODE_ONLY = frozenset(
     {
         DEADLINE_MS,
         EXPECTED_SERVER,
@@ -61,5 +64,5 @@
         _PREFIX + "kv-backup",
     }
 )
-"""Never forwarded from a caller: they control the placement of memory and work,
-or identify the customer."""
+"""Fields that only a node sets. They are never forwarded from a caller, because
+they control the placement of memory and work or identify the customer."""
--- a/src/mulberrywharf/platform/orders.py
+++ b/src/mulberrywharf/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and their reports, as the platform writes them."""
+"""Encodes role orders and decodes engine reports in the platform's format."""
 
 from collections.abc import Mapping
 
@@ -9,15 +9,15 @@
 from mulberrywharf.engines import role_orders
 from mulberrywharf.platform import headers, server_records
 
-_MALFORMED = (KeyError, TypeError, ValueError, OverflowError)
+_DECODE_ERRORS = (KeyError, TypeError, ValueError, OverflowError)
 
 
 class OrderDialect:
-    """Writes orders and reads reports.
+    """Format of role orders and engine reports.
 
     Attributes:
-        report_request: Asks an engine for its report.
-        order_path: Where engines take orders.
+        report_request: The request that fetches a report.
+        order_path: URL path to which orders are posted.
     """
 
     report_request = _exchange.Request("GET", "/report")
@@ -33,7 +33,7 @@
                 "stage": order.role,
                 "holder": order.holder,
                 "fencing-token": order.number,
-                # The number of orders accepted, not a place in a sequence.
+                # The number of orders that the engine has accepted so far.
                 "expected": order.expected_count,
             }
         )
@@ -45,7 +45,7 @@
     def decode_report(
         self, server: fleet.Server, body: bytes
     ) -> Result[role_orders.EngineReport, errors.EngineError]:
-        """Reads a report."""
+        """Decodes a report."""
         try:
             fields = orjson.loads(body)
             return Ok(
@@ -53,13 +53,13 @@
                     role=server_records.ROLES[fields["stage"]],
                     running_count=int(fields["running"]),
                     waiting_count=int(fields["waiting"]),
-                    # ``busy`` means that an order is under way, not that the
-                    # engine has much to do.
+                    # ``busy`` means that the engine is executing an order,
+                    # not that its load is high.
                     is_changing=bool(fields["busy"]),
                     accepted_count=int(fields["sequence"]),
                     started_unix_ms=server_records.started_unix_ms(fields),
                 )
             )
-        except _MALFORMED as error:
-            message = f"{server.address} gave no report: {error!r}"
+        except _DECODE_ERRORS as error:
+            message = f"{server.address} returned no valid report: {error!r}"
             return Err(errors.AnswerLostError(message))
--- a/src/mulberrywharf/platform/requests.py
+++ b/src/mulberrywharf/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers in the header fields of the platform."""
+"""Encodes and decodes requests and responses with the platform's headers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,18 +11,18 @@
 from mulberrywharf.platform import headers
 
 DEFAULT_DEADLINE_S = 30.0
-"""For a caller that names none."""
+"""Deadline in seconds for requests that do not state one."""
 
 _MS_PER_S = 1000.0
-_LEAST_DEADLINE_MS = 1
-_MALFORMED = (KeyError, TypeError, ValueError)
+_MIN_DEADLINE_MS = 1
+_DECODE_ERRORS = (KeyError, TypeError, ValueError)
 
 
 class CallerDialect:
-    """Reads the requests of callers."""
+    """Decodes the requests of callers."""
 
     def request_id(self, fields: Iterable[tuple[str, str]]) -> str:
-        """Returns the caller's id of a request, empty if it has none."""
+        """Returns the request id that the caller set, empty if none."""
         for name, value in fields:
             if name == headers.REQUEST_ID:
                 return value
@@ -37,21 +37,21 @@
         body: bytes,
         now_s: float,
     ) -> Result[forwarded.RoutedRequest, errors.BadRequestError]:
-        """Reads one request.
+        """Decodes one request.
 
         Args:
             method: HTTP method.
-            target: Path and query as they came.
-            fields: Header fields as they came, names in lower case.
-            body: The whole body.
-            now_s: Monotonic instant of its arrival.
+            target: Path and query as received.
+            fields: Header fields as received, with names in lower case.
+            body: The complete body.
+            now_s: Monotonic time in seconds at which the request arrived.
         """
         fields = list(fields)
         by_name = dict(fields)
         try:
             prompt = _prompt(by_name)
             deadline_s = now_s + _deadline_s(by_name)
-        except _MALFORMED as error:
+        except _DECODE_ERRORS as error:
             message = f"a header field of the request is malformed: {error}"
             return Err(errors.BadRequestError(message))
         return Ok(
@@ -61,13 +61,13 @@
                 target=target,
                 path=target.partition("?")[0],
                 host=by_name.get("host", ""),
-                fields=_passed_on(fields),
+                fields=_forwarded_fields(fields),
                 body=body,
                 arrived_s=now_s,
                 deadline_s=deadline_s,
                 last_event_id=by_name.get(headers.LAST_EVENT_ID),
                 prompt=prompt,
-                caller=by_name.get(headers.CREDENTIALS, ""),
+                caller=by_name.get(headers.AUTHORIZATION, ""),
                 key_digests=frozenset(
                     directory.digest(value.encode("latin-1", "replace"))
                     for name, value in fields
@@ -78,10 +78,10 @@
 
 
 class ServerDialect:
-    """Speaks to servers and engines."""
+    """Encodes requests to servers and engines and decodes their responses."""
 
     def encode(self, attempt: forwarded.Attempt) -> _exchange.Request:
-        """Returns the request as it is sent."""
+        """Returns the HTTP request for an attempt."""
         request = attempt.request
         fields = dict(request.fields)
         fields.update(_node_fields(attempt))
@@ -90,54 +90,54 @@
         )
 
     def read_head(self, answer: _answers.Answer) -> forwarded.AnswerHead:
-        """Reads the head of an answer."""
+        """Decodes the head of a response."""
         return forwarded.AnswerHead(
             status=answer.status_code,
             reason=answer.status_message or "",
             fields=tuple(_headers.end_to_end(answer.items())),
             request_id=answer.header(headers.REQUEST_ID),
-            has_receipt=answer.header(headers.RECEIPT) is not None,
+            has_receipt=answer.header(headers.RESPONSE_SIGNATURE) is not None,
             not_executed=answer.header(headers.NOT_EXECUTED) is not None
             or answer.status_code == _MISDIRECTED_STATUS,
-            load=_load(answer.header(headers.SERVER_LOAD)),
+            load=_reported_load(answer.header(headers.SERVER_LOAD)),
             rest_s=_headers.retry_after_s(answer.header(headers.RETRY_AFTER))
-            if answer.status_code in _REFUSED_STATUSES
+            if answer.status_code in _RETRY_AFTER_STATUSES
             else None,
-            # Who answers that it is another server says nothing of the one
-            # that was meant.
+            # A misdirected request reached another server, whose response
+            # says nothing about the server that was addressed.
             is_leaving=answer.status_code != _MISDIRECTED_STATUS
-            and answer.header(headers.LEAVING) == _YES,
+            and answer.header(headers.SERVER_LEAVING) == _TRUE,
         )
 
     def decode_handle(
         self, server: fleet.Server, body: bytes
     ) -> Result[forwarded.CacheHandle, errors.EngineError]:
-        """Reads the answer to a prefill."""
+        """Decodes the KV cache handle in the response to a prefill request."""
         try:
             handle = str(orjson.loads(body)["kv-handle"])
-        except _MALFORMED as error:
-            message = f"{server.address} gave no handle: {error!r}"
+        except _DECODE_ERRORS as error:
+            message = f"{server.address} returned no KV cache handle: {error!r}"
             return Err(errors.AnswerLostError(message))
         return Ok(forwarded.CacheHandle(server.address, handle))
 
     def encode_release(self, cache: forwarded.CacheHandle) -> _exchange.Request:
-        """Returns the request that frees a KV cache that nobody will take."""
+        """Returns the request that releases an unused KV cache."""
         return _exchange.Request("DELETE", f"/kv-handle/{cache.handle}")
 
 
-_YES = "1"
-_REFUSED_STATUSES = frozenset({429, 503})
+_TRUE = "1"
+_RETRY_AFTER_STATUSES = frozenset({429, 503})
 _MISDIRECTED_STATUS = 421
-"""Only a server that did not run the request answers so."""
+"""A server responds with this status only if it did not run the request."""
 
 
-def _passed_on(
+def _forwarded_fields(
     fields: Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, value)
         for name, value in _headers.end_to_end(fields)
-        if name not in headers.SET_BY_US
+        if name not in headers.NODE_ONLY
         and name not in ("host", "content-length")
     )
 
@@ -148,7 +148,7 @@
 
 
 def _prompt(by_name: Mapping[str, str]) -> forwarded.Prompt | None:
-    lengths = by_name.get(headers.TOKENS)
+    lengths = by_name.get(headers.TOKEN_COUNTS)
     if not lengths:
         return None
     prompt_tokens, output_tokens = lengths.split(",")
@@ -156,11 +156,11 @@
         model=by_name.get(headers.MODEL, ""),
         tokens=int(prompt_tokens),
         output_limit_tokens=int(output_tokens),
-        parts=_parts(by_name.get(headers.PROMPT_PARTS, "")),
+        parts=_prompt_parts(by_name.get(headers.PROMPT_PARTS, "")),
     )
 
 
-def _parts(text: str) -> tuple[forwarded.PromptPart, ...]:
+def _prompt_parts(text: str) -> tuple[forwarded.PromptPart, ...]:
     parts = []
     for entry in filter(None, (part.strip() for part in text.split(","))):
         part_id, tokens = entry.split(":")
@@ -169,7 +169,7 @@
 
 
 def _node_fields(attempt: forwarded.Attempt) -> dict[str, str]:
-    left_ms = max(_LEAST_DEADLINE_MS, int(attempt.time_left_s * _MS_PER_S))
+    left_ms = max(_MIN_DEADLINE_MS, int(attempt.time_left_s * _MS_PER_S))
     fields = {
         headers.DEADLINE_MS: str(left_ms),
         headers.EXPECTED_SERVER: attempt.server.server_id,
@@ -190,7 +190,7 @@
     return fields
 
 
-def _load(text: str | None) -> forwarded.ReportedLoad | None:
+def _reported_load(text: str | None) -> forwarded.ReportedLoad | None:
     if text is None:
         return None
     try:
--- a/src/mulberrywharf/platform/server_records.py
+++ b/src/mulberrywharf/platform/server_records.py
@@ -1,4 +1,4 @@
-"""The records in which servers register themselves, read strictly."""
+"""Decodes and validates the records with which servers register themselves."""
 
 import ipaddress
 import math
@@ -15,30 +15,30 @@
 _STATES_DRAINING = {"ready": False, "draining": True}
 _PORT_LIMIT = 65_535
 _COUNT_LIMIT = 1_000_000
-"""Above every number of slots that a server can have; a record beyond it is no
-server's, and would draw all work to the server that it names."""
+"""More slots than any server can have. A record with more was not written by a
+server, and accepting it would send all requests to the server that it names."""
 
 
 _Meaning = TypeVar("_Meaning")
 
 
 class _FieldError(ValueError):
-    """A field is missing, or is not what it has to be."""
+    """A field is missing or has an invalid value."""
 
 
 def decode(
     server_id: str, value: bytes
 ) -> Result[fleet.Server, errors.StoredRecordError]:
-    """Reads the record of a server.
+    """Decodes the record of a server.
 
     Args:
-        server_id: From the record's key.
-        value: The record, JSON.
+        server_id: Id of the server, from the key of the record.
+        value: The record as JSON.
     """
     try:
         fields = orjson.loads(value)
         if not server_id or not isinstance(fields, dict):
-            raise _FieldError("it is no object with a name")
+            raise _FieldError("it is not a JSON object under a server id")
         return Ok(_server(server_id, fields))
     except ValueError as error:
         message = f"the record of {server_id!r} can't be used: {error}"
@@ -46,69 +46,69 @@
 
 
 def started_unix_ms(fields: Mapping[str, Any]) -> int | None:
-    """Returns the start that a server tells of itself, None if it does not.
+    """Returns the start time that a server states, None if it states none.
 
     Raises:
-        ValueError: What it tells is no start.
+        ValueError: The start time is invalid.
     """
     if "born" not in fields:
-        # Not every deployment's servers tell it; whether a record may lack it
-        # is seen where there are others to compare it with.
+        # In some deployments no server states it. Whether a record may lack
+        # it is decided elsewhere, by comparison with other records.
         return None
     born = fields["born"]
-    if not _is_whole(born) or born <= 0:
+    if not _is_integer(born) or born <= 0:
         raise _FieldError(f"born is {born!r:.40}")
     return int(born)
 
 
 def _server(server_id: str, fields: Mapping[str, Any]) -> fleet.Server:
-    # Checked although nothing uses them: who writes another ``sequence`` or
-    # ``version`` is no server.
-    _text(fields, "version")
-    _whole(fields, "sequence", least=0)
-    _wait(fields, "cold-remaining-ms")
+    # These fields are not used. They are validated because a record with other
+    # values was not written by a server.
+    _string(fields, "version")
+    _integer(fields, "sequence", minimum=0)
+    _check_duration(fields, "cold-remaining-ms")
     return fleet.Server(
         start=fleet.ServerStart(server_id, started_unix_ms(fields)),
-        service=_text(fields, "service"),
-        address=_address(_text(fields, "address")),
-        availability_zone=_text(fields, "zone"),
-        slots_count=_whole(fields, "slots", least=1),
-        is_draining=_one_of(fields, "state", _STATES_DRAINING),
-        # Only engines have a stage; it is their role.
-        role=_one_of(fields, "stage", ROLES) if "stage" in fields else None,
+        service=_string(fields, "service"),
+        address=_address(_string(fields, "address")),
+        availability_zone=_string(fields, "zone"),
+        slots_count=_integer(fields, "slots", minimum=1),
+        is_draining=_enum_value(fields, "state", _STATES_DRAINING),
+        # Only engines have a ``stage``, which is their role.
+        role=_enum_value(fields, "stage", ROLES) if "stage" in fields else None,
     )
 
 
-def _text(fields: Mapping[str, Any], name: str) -> str:
+def _string(fields: Mapping[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
         raise _FieldError(f"{name} is {value!r:.40}")
     return value
 
 
-def _whole(fields: Mapping[str, Any], name: str, *, least: int) -> int:
+def _integer(fields: Mapping[str, Any], name: str, *, minimum: int) -> int:
     value: Any = fields.get(name)
-    if not _is_whole(value) or not least <= int(value) <= _COUNT_LIMIT:
+    if not _is_integer(value) or not minimum <= int(value) <= _COUNT_LIMIT:
         raise _FieldError(f"{name} is {value!r:.40}")
     return int(value)
 
 
-def _wait(fields: Mapping[str, Any], name: str) -> None:
+def _check_duration(fields: Mapping[str, Any], name: str) -> None:
     value: Any = fields.get(name)
-    is_number = _is_whole(value) or isinstance(value, float)
+    is_number = _is_integer(value) or isinstance(value, float)
     if not is_number or not math.isfinite(value) or value < 0:
         raise _FieldError(f"{name} is {value!r:.40}")
 
 
-def _is_whole(value: Any) -> bool:
-    # A bool is an int in Python, and none in JSON.
+def _is_integer(value: Any) -> bool:
+    # In Python a bool is an int; in JSON it is not a number.
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _one_of(
+def _enum_value(
     fields: Mapping[str, Any], name: str, meanings: Mapping[str, _Meaning]
 ) -> _Meaning:
-    value = _text(fields, name)
+    value = _string(fields, name)
     if value not in meanings:
         raise _FieldError(f"{name} is {value!r:.40}")
     return meanings[value]
--- a/src/mulberrywharf/platform/store.py
+++ b/src/mulberrywharf/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as a dialect of the key-value client."""
+"""Dialect of the key-value client for the platform's store."""
 
 import base64
 import urllib.parse
@@ -18,58 +18,62 @@
     WatchEvent,
 )
 
-LONGEST_WAIT_S = 30.0
-"""The store keeps a watch waiting no longer than this."""
+MAX_WAIT_S = 30.0
+"""Maximum time for which the store lets a watch call wait for a change."""
 
-_COLLECTING_S = 0.5
-"""After an answer that brought changes, before the next call. Each answer is
-paid for; servers that register one by one at a start wake each of 80 gateways
-for each of them: with 0.15 s each got 22 answers in the first 5 s. A change
-that follows is in force that much later, a quarter of what operators allow."""
+_BATCH_DELAY_S = 0.5
+"""Delay between a response with changes and the next watch call, so that one
+response carries several changes. Each response is billed, and servers that
+register one by one when the fleet starts would wake each of 80 gateways for
+each of them: a delay of 0.15 s led to 22 responses per gateway in the first
+5 s. The delay adds to the time until a later change is in force, and is a
+quarter of what the operators allow for that."""
 
 _MIN_WAIT_MS = 1
-"""For a watch that returns the changes so far without waiting for more."""
+"""For a call that returns the changes so far without waiting for more."""
 
-_TRIAL_WAIT_S = 0.2
-"""For the first call after a failure. A store that is silent leaves a call
-without an answer even if it comes back meanwhile; one that was to wait for 2 s
-then held a change up for 4.3 s, with the pause behind it."""
+_PROBE_WAIT_S = 0.2
+"""Maximum wait of the first watch call after a failure. A store that has hung
+does not answer the call even if it recovers in the meantime: a call with a wait
+of 2 s, and the delay after it, held up a change for 4.3 s."""
 
 _ANSWER_MARGIN_S = 0.4
-"""Beyond the wait, for an answer of a store that is slow but serves: 4 ms as a
-rule, 240 ms when it is sixty times slower."""
+"""Added to the wait to get the timeout of a watch call. The store normally
+responds within 4 ms, and within 240 ms when it is sixty times slower."""
 
 _ERA_HEADER = "store-era"
-"""Rises by one each time that the store comes back from an older copy."""
+"""Response header whose value rises by one each time that the store is restored
+from an older copy."""
 
 _MS_PER_S = 1000.0
 
 
 class StoreDialect(NamedTuple):
-    """What the store speaks.
+    """The protocol of the platform's store.
 
     Attributes:
-        wait_s: How long a watch may wait for a change, at the most.
+        wait_s: Maximum time in seconds for which a watch call waits for a
+            change.
     """
 
-    wait_s: float = LONGEST_WAIT_S
+    wait_s: float = MAX_WAIT_S
 
 
 @dialect.era_header.register
-def _(spoken: StoreDialect) -> str | None:
+def _(store: StoreDialect) -> str | None:
     return _ERA_HEADER
 
 
 @dialect.read_prefix.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
     return _read_pages(calls, {"prefix": prefix}, purpose)
 
 
 @dialect.read_stale.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
     query = {"prefix": prefix, "allow-stale": "1"}
     return _read_pages(calls, query, purpose)
@@ -85,9 +89,10 @@
         if isinstance(read, Err):
             return read
         page = read.ok_value
-        # Pages are not a snapshot: changes since the first one may or may
-        # not be in the later ones. Watching on from the first reports them
-        # again instead of missing some.
+        # The pages are not one snapshot: a change made after the first page
+        # may or may not be in a later one. A watch that starts at the
+        # revision of the first page reports such changes again instead of
+        # missing some.
         if first_revision is None:
             first_revision = int(page["store-revision"])
         found += [_decode_item(item) for item in page["items"]]
@@ -99,14 +104,14 @@
 
 @dialect.open_watch.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, wanted: dialect.WatchRequest
+    store: StoreDialect, calls: gateway.Gateway, request: dialect.WatchRequest
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
-    return Ok(_PollStream(calls, wanted, spoken.wait_s))
+    return Ok(_PollStream(calls, request, store.wait_s))
 
 
 @dialect.read_changes.register
 def _(
-    spoken: StoreDialect,
+    store: StoreDialect,
     calls: gateway.Gateway,
     prefix: str,
     after_revision: int,
@@ -130,11 +135,11 @@
 
 @dialect.read_key.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, key: str, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
-    # A read of one key answers 404 for an absent one, which could not be
-    # told from a wrong path; a range of the key's name says so plainly.
-    read = dialect.read_prefix(spoken, calls, key, purpose)
+    # The store responds to a read of a single missing key with 404, as it does
+    # to a wrong path. A range read returns an empty list instead.
+    read = dialect.read_prefix(store, calls, key, purpose)
     return read.map(
         lambda reading: next((kv for kv in reading[0] if kv.key == key), None)
     )
@@ -142,39 +147,39 @@
 
 @dialect.write_key.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, wanted: dialect.KeyWrite
+    store: StoreDialect, calls: gateway.Gateway, write: dialect.KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
     body = {
         "expected": [
             {"key": guard.key, "revision": guard.mod_revision}
-            for guard in wanted.guards
+            for guard in write.guards
         ],
-        "puts": _puts(wanted),
-        "deletes": [wanted.key] if wanted.value is None else [],
+        "puts": _puts(write),
+        "deletes": [write.key] if write.value is None else [],
     }
-    call = gateway.Call("/kv-txn", body, "txn", wanted.purpose, True)
+    call = gateway.Call("/kv-txn", body, "txn", write.purpose, True)
     sent = calls.send(call)
     if isinstance(sent, Err):
         error = sent.err_value
         if isinstance(error, errors.ConditionFailedError):
-            return Err(errors.RevisionConflictError(wanted.key))
+            return Err(errors.RevisionConflictError(write.key))
         return Err(error)
     revision = int(sent.ok_value["revision"])
-    is_new = Guard(wanted.key, 0) in wanted.guards
+    is_new = Guard(write.key, 0) in write.guards
     return Ok(
         KeyValue(
-            wanted.key,
-            wanted.value or b"",
+            write.key,
+            write.value or b"",
             revision if is_new else 0,
             revision,
-            wanted.lease_id,
+            write.lease_id,
         )
     )
 
 
 @dialect.grant_lease.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, ttl_s: float, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, ttl_s: float, purpose: str
 ) -> Result[int, errors.PlatformError]:
     body = {"ttl-ms": int(ttl_s * _MS_PER_S)}
     call = gateway.Call("/kv-lease", body, "lease_grant", purpose, False)
@@ -183,7 +188,7 @@
 
 @dialect.keep_alive.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[float, errors.PlatformError]:
     path = f"/kv-keep/{lease_id}"
     call = gateway.Call(path, {}, "lease_keepalive", purpose, False)
@@ -191,13 +196,13 @@
     if isinstance(sent, Ok):
         return Ok(sent.ok_value["ttl-ms"] / _MS_PER_S)
     if isinstance(sent.err_value, errors.PlatformRefusedError):
-        return Err(errors.AuthorityLostError(f"lease {lease_id} lapsed"))
+        return Err(errors.AuthorityLostError(f"lease {lease_id} has expired"))
     return Err(sent.err_value)
 
 
 @dialect.revoke.register
 def _(
-    spoken: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
+    store: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
 ) -> Result[None, errors.PlatformError]:
     path = f"/kv-lease-end/{lease_id}"
     call = gateway.Call(
@@ -210,78 +215,81 @@
     return str(era)
 
 
-def _puts(wanted: dialect.KeyWrite) -> list[dict[str, Any]]:
-    if wanted.value is None:
+def _puts(write: dialect.KeyWrite) -> list[dict[str, Any]]:
+    if write.value is None:
         return []
-    value = base64.b64encode(wanted.value).decode()
-    return [{"key": wanted.key, "value": value, "lease": wanted.lease_id}]
+    value = base64.b64encode(write.value).decode()
+    return [{"key": write.key, "value": value, "lease": write.lease_id}]
 
 
 class _PollStream:
-    """A watch made of calls that the store keeps waiting."""
+    """A watch that is a sequence of long-poll calls."""
 
     def __init__(
         self,
         calls: gateway.Gateway,
-        wanted: dialect.WatchRequest,
-        longest_wait_s: float,
+        request: dialect.WatchRequest,
+        max_wait_s: float,
     ):
         self._calls = calls
-        self._wanted = wanted
-        self._longest_wait_s = longest_wait_s
+        self._request = request
+        self._max_wait_s = max_wait_s
         self._wait_s = 0.0
         self._poll: gateway.Poll | None = None
-        self._revision = wanted.known_revision
-        self._brought_changes = False
-        self._is_collecting = False
-        self._is_over = False
+        self._revision = request.known_revision
+        self._had_changes = False
+        self._is_batching = False
+        self._is_finished = False
 
     def read(self) -> dialect.WatchMessage | None:
-        if self._is_over:
+        if self._is_finished:
             return None
-        if self._brought_changes:
-            self._collect()
-        poll = self._opened_poll()
+        if self._had_changes:
+            self._batch_changes()
+        poll = self._get_poll()
         query = {
-            "prefix": self._wanted.prefix,
+            "prefix": self._request.prefix,
             "after": str(self._revision),
             "wait-ms": str(int(self._wait_s * _MS_PER_S)),
         }
         answered = poll.send(
-            _read_call("/kv-watch", query, "watch", self._wanted.purpose)
+            _read_call("/kv-watch", query, "watch", self._request.purpose)
         )
         if isinstance(answered, Err):
-            return self._failed(answered.err_value)
+            return self._handle_error(answered.err_value)
         message = answered.ok_value
         self._revision = int(message["store-revision"])
         events = tuple(_decode_event(event) for event in message["events"])
-        self._brought_changes = bool(events)
-        # A trial has shown that the store answers; the next watch waits long.
-        self._is_over = self._wanted.after_failure
+        self._had_changes = bool(events)
+        # A probe after a failure ends here: the store responds, so the next
+        # watch may use long waits again.
+        self._is_finished = self._request.after_failure
         return dialect.WatchMessage(events, self._state())
 
-    def _collect(self) -> None:
-        self._is_collecting = True
+    def _batch_changes(self) -> None:
+        self._is_batching = True
         try:
-            gevent.sleep(_COLLECTING_S)
+            gevent.sleep(_BATCH_DELAY_S)
         finally:
-            self._is_collecting = False
+            self._is_batching = False
 
-    def _opened_poll(self) -> gateway.Poll:
-        """Returns the connection, a new one if calls may wait longer now."""
-        wait_s = min(self._longest_wait_s, self._wanted.silence_s())
-        if self._wanted.after_failure:
-            wait_s = min(wait_s, _TRIAL_WAIT_S)
+    def _get_poll(self) -> gateway.Poll:
+        """Returns the connection, a new one if the maximum wait has changed."""
+        wait_s = min(self._max_wait_s, self._request.silence_s())
+        if self._request.after_failure:
+            wait_s = min(wait_s, _PROBE_WAIT_S)
         if self._poll is None or wait_s != self._wait_s:
             self.close()
             self._poll = self._calls.open_poll(
-                attempt=self._wanted.attempt,
+                attempt=self._request.attempt,
                 timeout_s=wait_s + _ANSWER_MARGIN_S,
             )
             self._wait_s = wait_s
         return self._poll
 
-    def _failed(self, error: errors.PlatformError) -> dialect.WatchMessage:
+    def _handle_error(
+        self, error: errors.PlatformError
+    ) -> dialect.WatchMessage:
         if isinstance(error, errors.HistoryGoneError):
             return dialect.WatchMessage((), self._state(), is_canceled=True)
         raise ConnectionError(error.message)
@@ -293,7 +301,7 @@
     @property
     def is_busy(self) -> bool:
         is_receiving = self._poll is not None and self._poll.is_receiving
-        return is_receiving or self._is_collecting
+        return is_receiving or self._is_batching
 
     def close(self) -> None:
         if self._poll is not None:
@@ -308,8 +316,8 @@
 
 
 def _decode_item(item: Mapping[str, Any]) -> KeyValue:
-    # ``revision`` is that of the last change and ``created`` the one of the
-    # creation, not a time.
+    # ``revision`` is the revision of the last change. ``created`` is the
+    # revision at which the key was created, not a time.
     return KeyValue(
         str(item["key"]),
         base64.b64decode(item["value"]),
@@ -321,6 +329,6 @@
 
 def _decode_event(event: Mapping[str, Any]) -> WatchEvent:
     if event.get("removed"):
-        gone = KeyValue(str(event["key"]), b"", 0, int(event["revision"]))
-        return WatchEvent("delete", gone)
+        deleted = KeyValue(str(event["key"]), b"", 0, int(event["revision"]))
+        return WatchEvent("delete", deleted)
     return WatchEvent("put", _decode_item(event))
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: documents, header fields, and the store as a dialect."""
+"""Tests of the platform adapter: documents, headers and store dialect."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    """What the head of a server's answer says of the server."""
+    """Decoding of the response headers that describe the server."""
 
     def head(self, status: int, **fields: str) -> request.AnswerHead:
         class Answer:
@@ -42,14 +42,14 @@
         named = {name.replace("_", "-"): text for name, text in fields.items()}
         return requests.ServerDialect().read_head(Answer())
 
-    def test_a_refusal_names_a_time_of_rest(self) -> None:
+    def test_retry_after_is_read_from_refusals_only(self) -> None:
         for status in (429, 503):
             self.assertEqual(self.head(status, retry_after="1.5").rest_s, 1.5)
         self.assertIsNone(self.head(200, retry_after="1.5").rest_s)
         self.assertIsNone(self.head(421, retry_after="1.5").rest_s)
 
-    def test_what_names_no_time_from_now_is_no_rest(self) -> None:
-        """A malformed field takes a server away."""
+    def test_invalid_retry_after_is_ignored(self) -> None:
+        """Guards against excluding a server because of a malformed field."""
         for text in (
             "",
             "0",
@@ -64,15 +64,15 @@
             with self.subTest(text=text):
                 self.assertIsNone(self.head(503, retry_after=text).rest_s)
 
-    def test_a_server_says_that_it_leaves(self) -> None:
+    def test_leaving_server_is_recognized(self) -> None:
         self.assertTrue(self.head(200, server_leaving="1").is_leaving)
         self.assertTrue(self.head(503, server_leaving="1").is_leaving)
         self.assertFalse(self.head(200, server_leaving="0").is_leaving)
         self.assertFalse(self.head(200).is_leaving)
-        # It is another server that answers so.
+        # The response is from a server other than the one addressed.
         self.assertFalse(self.head(421, server_leaving="1").is_leaving)
 
-    def test_the_caller_gets_the_fields_as_they_came(self) -> None:
+    def test_header_fields_are_kept_for_the_caller(self) -> None:
         head = self.head(200, server_leaving="1", retry_after="7")
         self.assertIn(("server-leaving", "1"), head.fields)
         self.assertIn(("retry-after", "7"), head.fields)
@@ -82,7 +82,7 @@
     def setUp(self) -> None:
         self.documents = documents.StoredDocuments()
 
-    def test_routes(self) -> None:
+    def test_routes_are_decoded(self) -> None:
         routes = self.documents.decode_routes(build.routes_value(7)).unwrap()
         self.assertEqual(routes.version, 7)
         stream = routes.match(build.HOST, "/stream/x")
@@ -103,7 +103,7 @@
         assert routes.limits is not None
         self.assertEqual(routes.limits.idle_timeout_s, 15.0)
 
-    def test_an_unknown_kind_runs_once(self) -> None:
+    def test_unknown_request_kind_runs_at_most_once(self) -> None:
         document = build.routes_document()
         document["routes"][0]["kind"] = "queued"
         value = build.routes_value(1, routes=document["routes"])
@@ -112,12 +112,12 @@
         assert route is not None
         self.assertEqual(route.kind, kinds.AtMostOnce())
 
-    def test_a_malformed_document_is_an_error(self) -> None:
+    def test_malformed_routes_are_an_error(self) -> None:
         for value in (b"", b"[]", b"{}", b'{"version": "x"}'):
             decoded = self.documents.decode_routes(value)
             self.assertIsInstance(decoded, Err)
 
-    def test_server(self) -> None:
+    def test_server_record_is_decoded(self) -> None:
         found = self.documents.decode_server(
             "servers/i-1",
             build.server_value(stage="prefill", state="draining", born=7),
@@ -141,7 +141,7 @@
             now_s=10.0,
         )
 
-    def test_prompt_and_deadline(self) -> None:
+    def test_prompt_and_deadline_are_decoded(self) -> None:
         wanted = self.read(
             ("host", build.HOST),
             ("x-mulberrywharf-request-id", "id"),
@@ -156,18 +156,18 @@
         self.assertEqual(wanted.prompt.tokens, 1460)
         self.assertEqual(wanted.prompt.parts[1], ("91", 410))
 
-    def test_malformed_fields_are_refused(self) -> None:
+    def test_malformed_header_fields_are_refused(self) -> None:
         for name, value in (
             ("x-mulberrywharf-deadline-ms", "soon"),
             ("x-mulberrywharf-token-usage", "1460"),
         ):
             self.assertIsInstance(self.read((name, value)), Err)
 
-    def test_what_only_a_node_sets_is_not_passed_on(self) -> None:
-        """A caller reads another caller's KV cache.
+    def test_node_only_fields_of_callers_are_not_forwarded(self) -> None:
+        """Guards against callers that read the KV cache of another caller.
 
-        Sequence: a request names a KV source. Cause: all header fields were
-        passed on as they came.
+        A caller sets the KV source field. Forwarding all header fields
+        unchanged would pass it on to the engine.
         """
         fields = [(name, "forged") for name in FORGED]
         wanted = self.read(*fields, ("x-own", "1")).unwrap()
@@ -179,7 +179,7 @@
 
 
 class ServerDialectTest(unittest.TestCase):
-    def test_a_handle_without_its_name_is_an_error(self) -> None:
+    def test_missing_kv_cache_handle_is_an_error(self) -> None:
         dialect = requests.ServerDialect()
         decoded = dialect.decode_handle(build.server(), b"{}")
         self.assertIsInstance(decoded, Err)
@@ -191,7 +191,7 @@
         self.client = build.store_client(self.store.port)
         self.addCleanup(self.client.close)
 
-    def test_keys_are_written_under_conditions(self) -> None:
+    def test_writes_compare_the_revision(self) -> None:
         write = self.client.compare_and_swap
         made = write("a/k", b"1", expected_revision=0, purpose="test").unwrap()
         self.assertEqual(made.create_revision, made.mod_revision)
@@ -206,43 +206,43 @@
         self.client.delete("a/k", purpose="test").unwrap()
         self.assertIsNone(self.client.get("a/k", purpose="test").unwrap())
 
-    def test_get_is_not_misled_by_longer_keys(self) -> None:
+    def test_get_ignores_longer_keys_with_the_same_prefix(self) -> None:
         self.store.put("a/key-2", b"2")
         self.assertIsNone(self.client.get("a/key", purpose="test").unwrap())
 
-    def test_a_lease_takes_its_keys_along(self) -> None:
+    def test_end_of_a_lease_deletes_its_keys(self) -> None:
         holder = lease.LeaseHolder(self.client, ttl_s=5.0, purpose="test")
         holder.start().unwrap()
         holder.create_key("a/k", b"1").unwrap()
         holder.close()
         self.assertIsNone(self.client.get("a/k", purpose="test").unwrap())
 
-    def test_a_lapsed_lease_is_lost(self) -> None:
+    def test_expired_lease_cannot_be_renewed(self) -> None:
         lost = self.client.keep_alive(77, purpose="test")
         self.assertIsInstance(lost.err(), errors.AuthorityLostError)
 
-    def test_refusals_mean_that_nothing_was_done(self) -> None:
+    def test_refusals_are_reported_as_unavailable(self) -> None:
         for status in (429, 503):
             self.store.faults = {"status": status}
             failed = self.client.get("a/k", purpose="test")
             self.assertIsInstance(failed.err(), errors.PlatformUnavailableError)
 
-    def test_a_store_that_closes_connections_gets_few_calls(self) -> None:
-        """One read becomes dozens of calls, each of them paid for.
+    def test_closed_connections_cause_few_calls(self) -> None:
+        """Guards against one read that becomes dozens of billed calls.
 
-        Sequence: the store closes each connection without an answer. Cause:
-        the HTTP library sends an idempotent call again as often as its pool
-        is large.
+        The store closes each connection without a response. By default, the
+        HTTP library repeats an idempotent call as many times as its
+        connection pool is large.
         """
         self.store.faults = {"down": True}
         self.client.get("a/k", purpose="test")
         self.assertLessEqual(len(self.store.calls), 4)
 
-    def test_changes_that_follow_each_other_cost_few_calls(self) -> None:
-        """A start of the fleet is paid for by thousands of calls.
+    def test_changes_in_quick_succession_cause_few_calls(self) -> None:
+        """Guards against thousands of billed calls when the fleet starts.
 
-        Sequence: servers register one after the other; each wakes the watch
-        of each gateway. Cause: the next call was sent at once.
+        Servers register one after the other. Each registration completes the
+        watch call of each gateway, which would send the next call at once.
         """
         seen: list[str] = []
         watch = self.client.watch(
@@ -257,7 +257,7 @@
         self.assertEqual(len(seen), 40)
         self.assertLess(len(self.store.calls), 20)
 
-    def test_a_watch_brings_changes_and_deletions(self) -> None:
+    def test_watch_reports_changes_and_deletions(self) -> None:
         seen: list[tuple[str, str]] = []
         self.store.put("a/1", b"x")
         watch = self.client.watch(
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names occur in the adapter and nowhere else."""
+"""Tests that only the adapter uses the platform's wire names."""
 
 import pathlib
 import re
@@ -26,11 +26,11 @@
 
 
 class PlatformNamesTest(unittest.TestCase):
-    def test_no_wire_word_outside_the_adapter(self) -> None:
-        """A change of the platform's wording is sought all over the product.
+    def test_no_wire_names_outside_the_adapter(self) -> None:
+        """Guards against platform renames that need changes everywhere.
 
-        Sequence: a name of the wire is used where it is at hand. Cause:
-        nothing kept the names in the adapter.
+        Wire names spread over the package if nothing keeps them in the
+        adapter.
         """
         words = re.compile("|".join(WIRE_WORDS), re.IGNORECASE)
         for path in SOURCE.rglob("*.py"):
@@ -39,7 +39,7 @@
             with self.subTest(path=path.relative_to(SOURCE)):
                 self.assertEqual(words.findall(path.read_text()), [])
 
-    def test_header_fields_are_written_once(self) -> None:
+    def test_each_header_name_is_defined_once(self) -> None:
         values = [
             value
             for name, value in vars(headers).items()
@@ -47,7 +47,7 @@
         ]
         self.assertEqual(len(values), len(set(values)))
 
-    def test_only_the_assembly_imports_the_adapter(self) -> None:
+    def test_only_the_gateway_program_imports_the_adapter(self) -> None:
         importing = {
             path.relative_to(SOURCE).as_posix()
             for path in SOURCE.rglob("*.py")
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: match, split, kinds, and the follower that never goes back."""
+"""Tests of matching and splitting routes, request kinds and the follower."""
 
 import collections
 import unittest
@@ -34,7 +34,7 @@
     def test_host_may_have_a_port_and_capitals(self) -> None:
         self.assertEqual(self.name("Callers.Example:8080", "/a/x"), "short")
 
-    def test_no_route(self) -> None:
+    def test_unmatched_request_has_no_route(self) -> None:
         self.assertIsNone(self.name(build.HOST, "/ab/"))
         self.assertIsNone(self.name("unknown.example", "/a/x"))
 
@@ -64,7 +64,7 @@
 
 
 class KindsTest(unittest.TestCase):
-    def test_what_may_run_again(self) -> None:
+    def test_which_kinds_may_run_again(self) -> None:
         self.assertTrue(kinds.may_run_again(kinds.Idempotent()))
         self.assertFalse(kinds.may_run_again(kinds.AtMostOnce()))
         self.assertTrue(kinds.may_run_again(kinds.EventStream(True)))
@@ -93,19 +93,19 @@
     def put(self, version: int) -> None:
         self.store.put(documents.ROUTES_KEY, build.routes_value(version))
 
-    def test_each_version_comes_in_force(self) -> None:
+    def test_each_newer_version_comes_into_force(self) -> None:
         self.assertIsNone(self.routes.current())
         self.put(3)
         self.assertTrue(self.wait_version(3))
         self.put(8)
         self.assertTrue(self.wait_version(8))
 
-    def test_an_older_version_is_never_taken(self) -> None:
-        """A route that callers had used is gone again.
+    def test_older_version_is_ignored(self) -> None:
+        """Guards against losing a route that callers have already used.
 
-        Sequence: version 8 is in force; the store brings version 5, as after
-        a late write or a read that lags. Cause: the last document read was
-        taken for the newest.
+        Version 8 is in force and the store returns version 5, as after a
+        late write or a stale read. The last document read must not be
+        assumed to be the newest.
         """
         self.put(8)
         self.assertTrue(self.wait_version(8))
@@ -116,11 +116,11 @@
         self.assertTrue(self.wait_version(9))
         self.assertNotIn(5, seen)
 
-    def test_a_malformed_document_leaves_the_last_in_force(self) -> None:
-        """Every caller gets 404 after one bad document.
+    def test_malformed_document_is_ignored(self) -> None:
+        """Guards against responding 404 to all callers after a bad document.
 
-        Sequence: version 3 is in force; a document without routes follows.
-        Cause: what could not be read was taken for an empty table.
+        Version 3 is in force and a document without routes follows. A
+        document that cannot be decoded must not count as an empty table.
         """
         self.put(3)
         self.assertTrue(self.wait_version(3))
@@ -129,12 +129,12 @@
         self.put(6)
         self.assertTrue(self.wait_version(6))
 
-    def test_a_change_whose_history_is_dropped_comes_too(self) -> None:
-        """A node stays at an old version after the history was dropped.
+    def test_change_in_dropped_history_is_found(self) -> None:
+        """Guards against a node that stays at an old version.
 
-        Sequence: the watch is cut by an outage, two versions are written, the
-        store drops its history and comes back. Cause: the watch went on from
-        a revision that the store no longer knew.
+        An outage breaks the watch, two versions are written, and the store
+        drops its history and recovers. The watch must not resume at a
+        revision that the store no longer has.
         """
         self.put(3)
         self.assertTrue(self.wait_version(3))
@@ -145,12 +145,12 @@
         self.store.faults = {}
         self.assertTrue(self.wait_version(7))
 
-    def test_a_watch_that_is_left_waiting_is_opened_again(self) -> None:
-        """A node follows a change many seconds late, without an error.
+    def test_watch_without_responses_is_reopened(self) -> None:
+        """Guards against a change that arrives late and without an error.
 
-        Sequence: the store drops its history and leaves the watch that waits
-        without a word; a change is made. Cause: the watch was believed for as
-        long as the store lets it wait.
+        The store drops its history and never completes the pending watch
+        call; then a change is made. A node that trusts the call for as long
+        as the store lets it wait sees the change many seconds late.
         """
         self.put(3)
         self.assertTrue(self.wait_version(3))
@@ -174,13 +174,13 @@
             )
         )
 
-    def test_a_change_comes_soon_after_a_silent_store_is_back(self) -> None:
-        """A node refuses a new route with 404 two seconds after its bound.
+    def test_change_arrives_soon_after_a_hung_store_recovers(self) -> None:
+        """Guards against 404 for a new route two seconds after the time limit.
 
-        Sequence: the store is silent for some seconds; the node sends a call
-        that may wait for two, the store comes back, a change is made. Cause:
-        the call was lost, but was given its whole wait, and a pause of up to
-        two seconds came behind it.
+        The store hangs for some seconds and the node sends a call with a wait
+        of two seconds. The store recovers and a change is made. The call is
+        lost; it must not take its whole wait, with a retry delay of up to two
+        seconds after it.
         """
         client = build.store_client(self.store.port, wait_s=30.0)
         self.addCleanup(client.close)
@@ -200,11 +200,11 @@
 
         self.assertTrue(builders_platform.wait_until(is_new, limit_s=1.9))
 
-    def test_a_store_that_is_away_costs_few_calls(self) -> None:
-        """An outage of the store is paid for by thousands of calls.
+    def test_outage_of_the_store_causes_few_calls(self) -> None:
+        """Guards against thousands of billed calls in an outage of the store.
 
-        Sequence: the store closes each connection at once. Cause: a poll
-        that failed was sent again without a growing pause.
+        The store closes each connection at once. A failed poll must be
+        repeated with increasing delays.
         """
         self.put(3)
         self.assertTrue(self.wait_version(3))
--- a/tests/test_server_records.py
+++ b/tests/test_server_records.py
@@ -1,4 +1,4 @@
-"""Records of servers: what is read of them, and what names no server."""
+"""Tests of decoding and rejecting server records and routes."""
 
 import json
 import unittest
@@ -34,11 +34,11 @@
     return documents.StoredDocuments().decode_server(KEY, value)
 
 
-class RefusedTest(unittest.TestCase):
+class InvalidRecordTest(unittest.TestCase):
     def assert_refused(self, **fields: Any) -> None:
         self.assertTrue(decode(build.server_value(**fields)).is_err(), fields)
 
-    def test_each_field_has_its_type(self) -> None:
+    def test_fields_of_wrong_type_or_value_are_refused(self) -> None:
         cases: dict[str, list[Any]] = {
             "service": [7, "", None, ["plain"], {}],
             "address": [
@@ -68,14 +68,14 @@
                 with self.subTest(name=name, value=value):
                     self.assert_refused(**{name: value})
 
-    def test_each_field_is_there(self) -> None:
+    def test_missing_fields_are_refused(self) -> None:
         fields = json.loads(build.server_value())
         for name in fields:
             with self.subTest(name=name):
                 rest = {key: fields[key] for key in fields if key != name}
                 self.assertTrue(decode(json.dumps(rest).encode()).is_err())
 
-    def test_what_is_no_object(self) -> None:
+    def test_values_that_are_not_objects_are_refused(self) -> None:
         for value in (
             b"",
             b"null",
@@ -89,13 +89,13 @@
             with self.subTest(value=value[:20]):
                 self.assertTrue(decode(value).is_err())
 
-    def test_a_key_without_a_name(self) -> None:
+    def test_key_without_a_server_id_is_refused(self) -> None:
         found = documents.StoredDocuments().decode_server(
             documents.SERVERS_PREFIX, build.server_value()
         )
         self.assertTrue(found.is_err())
 
-    def test_what_servers_write(self) -> None:
+    def test_records_of_servers_are_accepted(self) -> None:
         found = decode(
             build.server_value(born=1_700_000_000_000, models=[], more=1)
         ).unwrap()
@@ -106,16 +106,16 @@
 
 
 class AnyValueTest(unittest.TestCase):
-    """Whatever stands in a record, reading it raises nothing."""
+    """Decoding returns an error and never raises, whatever the value."""
 
     @_SETTINGS
     @hypothesis.given(strategies.binary())
-    def test_any_bytes(self, value: bytes) -> None:
+    def test_any_bytes_as_record(self, value: bytes) -> None:
         self.assertTrue(decode(value).is_err())
 
     @_SETTINGS
     @hypothesis.given(_json)
-    def test_any_document(self, document: Any) -> None:
+    def test_any_json_as_record(self, document: Any) -> None:
         self.assertTrue(decode(json.dumps(document).encode()).is_err())
 
     @_SETTINGS
@@ -123,7 +123,7 @@
         strategies.sampled_from(sorted(json.loads(build.server_value()))),
         _json,
     )
-    def test_any_field(self, name: str, value: Any) -> None:
+    def test_any_json_in_a_record_field(self, name: str, value: Any) -> None:
         decoded = decode(build.server_value(**{name: value}))
         if decoded.is_ok():
             self.assertIs(type(decoded.unwrap().slots_count), int)
@@ -131,7 +131,7 @@
 
     @_SETTINGS
     @hypothesis.given(_json)
-    def test_any_routes(self, document: Any) -> None:
+    def test_any_json_as_routes(self, document: Any) -> None:
         value = json.dumps(document).encode()
         documents.StoredDocuments().decode_routes(value)
 
@@ -139,14 +139,14 @@
     @hypothesis.given(
         strategies.sampled_from(sorted(build.routes_document())), _json
     )
-    def test_any_field_of_routes(self, name: str, value: Any) -> None:
+    def test_any_json_in_a_routes_field(self, name: str, value: Any) -> None:
         documents.StoredDocuments().decode_routes(
             build.routes_value(**{name: value})
             if name != "version"
             else build.routes_value(value)
         )
 
-    def test_routes_of_deep_nesting(self) -> None:
+    def test_deeply_nested_routes_are_refused(self) -> None:
         found = documents.StoredDocuments().decode_routes(b"[" * 100_000)
         self.assertTrue(found.is_err())
 
