--- a/src/mulberrywharf/routes/__init__.py
+++ b/src/mulberrywharf/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' routes: which service a request goes to and what it may do."""
+"""Operators' routes, which assign requests to services."""
--- a/src/mulberrywharf/routes/follower.py
+++ b/src/mulberrywharf/routes/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a node at the newest version of the routes that it has ever seen."""
+"""Keeps the newest version of the routes that a node has seen in force."""
 
 import hashlib
 from collections.abc import Callable
@@ -19,28 +19,32 @@
 )
 _rejected = metrics.counter(
     "mulberry_routes_rejected_total",
-    "Route documents that were read and not taken, by reason.",
+    "Route documents that were read and rejected, by reason.",
 )
 
 
 class RouteSource(Protocol):
-    """Where the operators' routes are kept and how they are written."""
+    """Key and format of the operators' routes.
+
+    Attributes:
+        routes_key: Key of the routes in the key-value service.
+    """
 
     routes_key: str
 
     def decode_routes(
         self, value: bytes
     ) -> Result[table.RouteTable, errors.StoredConfigurationError]:
-        """Reads one version of the routes."""
+        """Decodes one version of the routes."""
         ...
 
 
 class RouteFollower:
-    """The routes in force on this node.
+    """Watches the routes and holds the version in force on this node.
 
-    A version below the one in force is never taken: after a restart of the
-    store, or through a read that lags, an old document can come after a newer
-    one, and callers would see a route that they had already used vanish.
+    A version lower than the one in force is never applied. After a restart of
+    the store, or with a stale read, an old document can arrive after a newer
+    one, and a route that callers have already used would disappear.
     """
 
     def __init__(
@@ -50,24 +54,24 @@
         *,
         patience: Callable[[], watch.Patience] = lambda: watch.BRIEF,
     ):
-        """Makes a follower; nothing is read before ``start``.
+        """Creates it; nothing is read before ``start``.
 
         Args:
-            client: The key-value service.
-            source: Where the routes are in it.
+            client: Client of the key-value service.
+            source: Key and format of the routes in the service.
             patience: See ``KeyValueClient.watch``.
         """
         self._client = client
         self._source = source
         self._patience = patience
         self._table: table.RouteTable | None = None
-        self._taken_digest = b""
-        self._known = gevent.event.Event()
+        self._applied_digest = b""
+        self._has_routes = gevent.event.Event()
         self._watch: watch.Watch | None = None
         self._callbacks: list[Callable[[table.RouteTable], None]] = []
 
     def start(self) -> None:
-        """Begins to watch the routes."""
+        """Starts watching the routes."""
         self._watch = self._client.watch(
             self._source.routes_key,
             self._on_event,
@@ -76,7 +80,7 @@
         )
 
     def close(self) -> None:
-        """Ends the watch; the last routes stay in force."""
+        """Stops watching; the last routes stay in force."""
         if self._watch is not None:
             self._watch.close()
 
@@ -86,36 +90,39 @@
         return self._source.routes_key
 
     def watched(self) -> watch.Watch | None:
-        """Returns the watch of the routes, None before the start."""
+        """Returns the watch of the routes, None before ``start``."""
         return self._watch
 
     def current(self) -> table.RouteTable | None:
-        """Returns the routes in force, None before the first."""
+        """Returns the routes in force, None if there are none yet."""
         return self._table
 
     def wait_first(self, limit_s: float) -> table.RouteTable | None:
-        """Returns the routes in force, once there are any.
+        """Waits for the first routes and returns the routes in force.
 
         Args:
-            limit_s: None is returned if there are none by then.
+            limit_s: Maximum time to wait; then None is returned.
         """
-        self._known.wait(limit_s)
+        self._has_routes.wait(limit_s)
         return self._table
 
     def on_change(self, callback: Callable[[table.RouteTable], None]) -> None:
-        """Calls back with each new version, from the watch's greenlet."""
+        """Registers a callback for new versions.
+
+        It runs in the greenlet of the watch.
+        """
         self._callbacks.append(callback)
 
     def take(self, found: key_value_types.KeyValue) -> bool:
-        """Takes a routes document that was read from the service.
+        """Applies a routes document that was read from the service.
 
         Returns:
-            Whether its routes are in force now, also if they already were.
-            False if it is malformed or another, equal or newer version is in
-            force.
+            True if its routes are now in force, also if they already were.
+            False if it is malformed, or if another document with the same or
+            a newer version is in force.
         """
         if self._table is not None and (
-            _digest(found.value) == self._taken_digest
+            _digest(found.value) == self._applied_digest
         ):
             return True
         decoded = self._source.decode_routes(found.value)
@@ -123,33 +130,35 @@
             _rejected.inc({"reason": decoded.err_value.code})
             logger.error("routes not taken: {}", decoded.err_value.message)
             return False
-        return self._take(decoded.ok_value, found.value)
+        return self._apply(decoded.ok_value, found.value)
 
     def _on_event(self, event: key_value_types.WatchEvent) -> None:
         if event.key_value.key != self._source.routes_key:
             return
         if event.kind == "delete":
-            logger.warning("the routes were deleted; the last stay in force")
+            logger.warning(
+                "the routes were deleted; the last version stays in force"
+            )
             return
         self.take(event.key_value)
 
-    def _take(self, found: table.RouteTable, value: bytes) -> bool:
-        held_version = self._table.version if self._table else 0
-        if found.version <= held_version:
+    def _apply(self, found: table.RouteTable, value: bytes) -> bool:
+        current_version = self._table.version if self._table else 0
+        if found.version <= current_version:
             _rejected.inc({"reason": "not-newer"})
             logger.info(
-                "routes version {} not taken: {} is in force",
+                "routes version {} ignored: version {} is in force",
                 found.version,
-                held_version,
+                current_version,
             )
             return False
         self._table = found
-        self._taken_digest = _digest(value)
-        self._known.set()
+        self._applied_digest = _digest(value)
+        self._has_routes.set()
         _version_gauge.set({}, found.version)
         logger.bind(
             version=found.version,
-            before_version=held_version,
+            before_version=current_version,
             routes_count=found.routes_count,
             customers_count=found.customers.customers_count
             if found.customers
--- a/src/mulberrywharf/routes/kinds.py
+++ b/src/mulberrywharf/routes/kinds.py
@@ -1,23 +1,23 @@
-"""Kinds of request and what may be done again for each."""
+"""Kinds of requests, and whether each may be sent again."""
 
 from functools import singledispatch
 from typing import NamedTuple
 
 
 class Idempotent(NamedTuple):
-    """Running it more than once does no harm."""
+    """A request that may run several times without harm."""
 
 
 class AtMostOnce(NamedTuple):
-    """It runs at most once for each request of a caller."""
+    """A request that must not run more than once."""
 
 
 class EventStream(NamedTuple):
-    """The answer is a stream of numbered events.
+    """A request whose answer is a stream of numbered events.
 
     Attributes:
-        resumable: Whether it may go on at another server behind the last
-            event that was delivered.
+        resumable: Whether another server can continue the stream after the
+            last event that was delivered.
     """
 
     resumable: bool
@@ -28,12 +28,12 @@
 
 @singledispatch
 def may_run_again(kind: RequestKind) -> bool:
-    """Tells whether a request that may have run can be sent again.
+    """Tells whether a request that may already have run can be sent again.
 
     Args:
-        kind: The kind of its route.
+        kind: Kind of the request, as configured for its route.
     """
-    raise TypeError(f"no rule for {kind!r}")
+    raise TypeError(f"unknown request kind {kind!r}")
 
 
 @may_run_again.register
--- a/src/mulberrywharf/routes/split.py
+++ b/src/mulberrywharf/routes/split.py
@@ -1,4 +1,4 @@
-"""Divides the requests of a route among its services by weight."""
+"""Distributes the requests of a route among its services by weight."""
 
 import xxhash
 
@@ -8,14 +8,14 @@
 
 
 def service_of(route: table.Route, request_id: str) -> str:
-    """Returns the service of one request.
+    """Returns the service that a request is sent to.
 
-    The request's id decides, so every node sends a request that comes again
-    under the same id to the same service, without a word between nodes.
+    The choice depends only on a hash of the request id, so all nodes send
+    repeats of a request to the same service without coordination.
 
     Args:
-        route: Its weights need not add up to anything.
-        request_id: The caller's id of the request.
+        route: Route of the request; its weights may have any sum.
+        request_id: Request id that the caller set.
     """
     destinations = route.destinations
     if len(destinations) == 1:
--- a/src/mulberrywharf/routes/table.py
+++ b/src/mulberrywharf/routes/table.py
@@ -1,4 +1,4 @@
-"""One version of the operators' routes, and the match of a request."""
+"""One version of the operators' routes, and the matching of requests."""
 
 import collections
 from collections.abc import Iterable, Mapping
@@ -9,11 +9,12 @@
 
 
 class Destination(NamedTuple):
-    """A service that a route leads to.
+    """A service that receives requests of a route.
 
     Attributes:
-        service: Its name.
-        weight: Its share of the route's requests against the other weights.
+        service: Name of the service.
+        weight: Its share of the requests, relative to the weights of the other
+            destinations.
     """
 
     service: str
@@ -21,21 +22,23 @@
 
 
 class Route(NamedTuple):
-    """Where requests of one host and path prefix go.
+    """Assigns requests of one host and path prefix to services.
 
     Attributes:
-        name: The operators' name for it.
-        host: Lower-case host without a port.
-        prefix: Beginning of the path, from slash to slash.
-        kind: What may be done again.
-        timeout_s: Longest time that a caller waits for the end of an answer.
-        destinations: Services by weight; at least one.
-        attempts_limit_count: Most servers that may run one request.
-        priority: 0 is the most important.
-        target_s: Time to the (first part of the) answer that callers expect.
-        gap_target_s: Longest pause between events that is still in time, or
-            None if the answer is no stream.
-        has_prompt: Whether requests name the parts of a prompt.
+        name: Name that the operators gave it.
+        host: Host in lower case, without a port.
+        prefix: Prefix of the path, beginning and ending with a slash.
+        kind: Kind of the requests, which determines what may be retried.
+        timeout_s: Maximum time in seconds until the end of an answer.
+        destinations: Services and their weights; at least one.
+        attempts_limit_count: Maximum number of servers that may run one
+            request.
+        priority: Priority of the requests, 0 is the highest.
+        target_s: Target time in seconds to the answer, or to its first part
+            if it is a stream.
+        gap_target_s: Target for the longest time in seconds between two
+            events of a stream, None if the answer is not a stream.
+        has_prompt: Whether requests list the parts of a prompt.
         is_public: Whether requests are admitted without a customer key.
     """
 
@@ -54,16 +57,19 @@
 
 
 class EngineTraits(NamedTuple):
-    """What is configured of the engines of a service.
+    """Configured properties of the engines of a service.
 
     Attributes:
-        slots_count: Requests in one batch.
-        kv_tokens: Prompt and output tokens that the memory holds.
-        kv_token_bytes: Bytes of the KV cache of one token.
-        link_bytes_per_s: Speed at which KV caches move between engines.
-        handle_ttl_s: How long a prefilled KV cache waits to be taken.
-        event_readers_limit_count: Long polls for cache events that an engine
-            keeps waiting at once; 0 if it tells none.
+        slots_count: Maximum number of requests in one batch.
+        kv_tokens: Number of prompt and output tokens that fit into the KV
+            cache memory.
+        kv_token_bytes: Size of the KV cache of one token in bytes.
+        link_bytes_per_s: Rate at which KV caches are transferred between
+            engines.
+        handle_ttl_s: Time in seconds for which an engine keeps a prefilled KV
+            cache until another engine fetches it.
+        event_readers_limit_count: Maximum number of concurrent long polls for
+            cache events at one engine; 0 if none is configured.
     """
 
     slots_count: int
@@ -75,13 +81,13 @@
 
 
 class Service(NamedTuple):
-    """A service that routes may name.
+    """A service that routes can send requests to.
 
     Attributes:
-        name: Its name.
-        connections_limit_count: Connections that one of its servers takes
-            from all nodes together.
-        engine: Set if its servers are engines.
+        name: Name of the service.
+        connections_limit_count: Maximum number of connections that one of its
+            servers accepts from all nodes together.
+        engine: Properties of its engines, None if its servers are not engines.
     """
 
     name: str
@@ -90,13 +96,15 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        header_bytes: Size of a request's head.
-        body_bytes: Size of a request's body.
-        header_timeout_s: For the head, from its first byte.
-        idle_timeout_s: For a connection without a request.
+        header_bytes: Maximum size of the head of a request.
+        body_bytes: Maximum size of the body of a request.
+        header_timeout_s: Maximum time in seconds from the first to the last
+            byte of the head of a request.
+        idle_timeout_s: Maximum time in seconds that a connection may be
+            without a request.
     """
 
     header_bytes: int
@@ -109,9 +117,9 @@
     """One version of all routes and services.
 
     Attributes:
-        version: Rises with each change.
-        services: By name.
-        limits: Bounds on callers, None for the built-in ones.
+        version: Number that increases with each change.
+        services: Services by name.
+        limits: Limits for callers, None for the built-in ones.
         customers: Customers that may send requests, None for no restriction.
     """
 
@@ -130,21 +138,21 @@
         by_host: dict[str, list[Route]] = collections.defaultdict(list)
         for route in routes:
             by_host[route.host].append(route)
-        for of_host in by_host.values():
-            of_host.sort(key=lambda route: -len(route.prefix))
+        for host_routes in by_host.values():
+            host_routes.sort(key=lambda route: -len(route.prefix))
         self._by_host = dict(by_host)
 
     @property
     def routes_count(self) -> int:
-        """Routes in the table."""
+        """Number of routes in the table."""
         return sum(len(routes) for routes in self._by_host.values())
 
     def match(self, host: str, path: str) -> Route | None:
-        """Finds the route of the host whose prefix is the longest match.
+        """Returns the route of a host with the longest matching prefix.
 
         Args:
-            host: The request's ``Host``, with or without a port.
-            path: Its path without the query.
+            host: ``Host`` field of the request, with or without a port.
+            path: Path of the request without the query.
         """
         bare_host = host.rsplit(":", 1)[0].lower()
         for route in self._by_host.get(bare_host, ()):
@@ -153,7 +161,7 @@
         return None
 
     def prompt_services(self) -> frozenset[str]:
-        """Returns the services whose servers are engines."""
+        """Returns the names of the services whose servers are engines."""
         return frozenset(
             name for name, service in self.services.items() if service.engine
         )
