--- a/src/mulberrywharf/platform/documents.py
+++ b/src/mulberrywharf/platform/documents.py
@@ -137,7 +137,7 @@
             return kinds.EventStream(bool(fields.get("resumable")))
         case _:
             # An unknown kind is handled like the strictest one, because a
-            # retry might run a request twice that must run once.
+            # retry might run a request twice that must run at most once.
             return kinds.AtMostOnce()
 
 
--- a/src/mulberrywharf/platform/headers.py
+++ b/src/mulberrywharf/platform/headers.py
@@ -46,7 +46,7 @@
 
 LAST_EVENT_ID = "last-event-id"
 
-NODE_ONLY = frozenset(
+NOT_FORWARDED = frozenset(
     {
         DEADLINE_MS,
         EXPECTED_SERVER,
@@ -64,5 +64,6 @@
         _PREFIX + "kv-backup",
     }
 )
-"""Fields that only a node sets. They are never forwarded from a caller, because
-they control the placement of memory and work or identify the customer."""
+"""Fields that are never forwarded from a caller, because they control the
+placement of memory and work or identify the customer. Nodes set the values that
+servers need."""
--- a/src/mulberrywharf/platform/requests.py
+++ b/src/mulberrywharf/platform/requests.py
@@ -137,7 +137,7 @@
     return tuple(
         (name, value)
         for name, value in _headers.end_to_end(fields)
-        if name not in headers.NODE_ONLY
+        if name not in headers.NOT_FORWARDED
         and name not in ("host", "content-length")
     )
 
--- a/src/mulberrywharf/platform/server_records.py
+++ b/src/mulberrywharf/platform/server_records.py
@@ -57,7 +57,7 @@
         return None
     born = fields["born"]
     if not _is_integer(born) or born <= 0:
-        raise _FieldError(f"born is {born!r:.40}")
+        raise _FieldError(f"invalid born: {born!r:.40}")
     return int(born)
 
 
@@ -82,14 +82,14 @@
 def _string(fields: Mapping[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise _FieldError(f"{name} is {value!r:.40}")
+        raise _FieldError(f"invalid {name}: {value!r:.40}")
     return value
 
 
 def _integer(fields: Mapping[str, Any], name: str, *, minimum: int) -> int:
     value: Any = fields.get(name)
     if not _is_integer(value) or not minimum <= int(value) <= _COUNT_LIMIT:
-        raise _FieldError(f"{name} is {value!r:.40}")
+        raise _FieldError(f"invalid {name}: {value!r:.40}")
     return int(value)
 
 
@@ -97,7 +97,7 @@
     value: Any = fields.get(name)
     is_number = _is_integer(value) or isinstance(value, float)
     if not is_number or not math.isfinite(value) or value < 0:
-        raise _FieldError(f"{name} is {value!r:.40}")
+        raise _FieldError(f"invalid {name}: {value!r:.40}")
 
 
 def _is_integer(value: Any) -> bool:
@@ -110,7 +110,7 @@
 ) -> _Meaning:
     value = _string(fields, name)
     if value not in meanings:
-        raise _FieldError(f"{name} is {value!r:.40}")
+        raise _FieldError(f"invalid {name}: {value!r:.40}")
     return meanings[value]
 
 
@@ -118,8 +118,8 @@
     ip, _, port_text = text.rpartition(":")
     ipaddress.IPv4Address(ip)
     if not (port_text.isascii() and port_text.isdigit()):
-        raise _FieldError(f"address is {text!r:.40}")
+        raise _FieldError(f"invalid address: {text!r:.40}")
     port = int(port_text)
     if not 0 < port <= _PORT_LIMIT:
-        raise _FieldError(f"address is {text!r:.40}")
+        raise _FieldError(f"invalid address: {text!r:.40}")
     return fleet.Address(ip, port)
--- a/src/mulberrywharf/platform_service/config_store.py
+++ b/src/mulberrywharf/platform_service/config_store.py
@@ -149,10 +149,10 @@
     ) -> Result[bool, ConfigError]:
         """Writes back a configuration that the service has lost.
 
-        A service that is restored from an older backup, or is empty after an
-        outage, lacks configurations that were reported to operators as
-        accepted. The next change would then get a version that is not higher
-        than the one in force, and every node would ignore it.
+        A service that is restored from an older backup, or comes back empty,
+        lacks configurations that were reported to operators as accepted. The
+        next change would then get a version that is not higher than the one
+        in force, and every node would ignore it.
 
         Args:
             configuration: The newest configuration that this node knows.
--- a/src/mulberrywharf/routes/freshness.py
+++ b/src/mulberrywharf/routes/freshness.py
@@ -82,7 +82,7 @@
         ...
 
     def take(self, found: key_value_types.KeyValue) -> bool:
-        """Takes a routes document; tells whether it is now in force."""
+        """Applies a routes document; tells whether it is now in force."""
         ...
 
 
--- a/tests/config_cluster.py
+++ b/tests/config_cluster.py
@@ -439,9 +439,9 @@
             found.append(f"refused {run.change_id} was stored")
     order = [(w.version, w.change_id) for w in writes]
     audit = writes[-1].configuration["audit"]
-    held = [(entry["version"], entry["change_id"]) for entry in audit]
-    if held != order[-len(held) :]:
-        found.append(f"audit entries {held}, stored {order}")
+    audit_order = [(entry["version"], entry["change_id"]) for entry in audit]
+    if audit_order != order[-len(audit_order) :]:
+        found.append(f"audit entries {audit_order}, stored {order}")
     return found
 
 
--- a/tests/config_without.py
+++ b/tests/config_without.py
@@ -62,9 +62,9 @@
 def _write_without_comparing() -> None:
     swap = config_store.ConfigStore._swap
 
-    def write(store: Any, raw: bytes, held: Any) -> Any:
+    def write(store: Any, raw: bytes, stored: Any) -> Any:
         now = store._read().unwrap()
-        return swap(store, raw, held._replace(mod_revision=now.mod_revision))
+        return swap(store, raw, stored._replace(mod_revision=now.mod_revision))
 
     _patch(config_store.ConfigStore, "_swap", write)
 
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -140,7 +140,7 @@
             ("empty", lambda backup: self.service.wipe()),
         )
         version = 0
-        for name, come_back in cases:
+        for name, restore in cases:
             with self.subTest(name), contextlib.ExitStack() as seen_stack:
                 followers = [self.follower() for _ in range(3)]
                 base = self.change(version + 1)
@@ -152,7 +152,7 @@
                 seen: list[int] = []
                 for follower in followers:
                     follower.on_change(lambda c, s=seen: s.append(c.version))
-                come_back(backup)
+                restore(backup)
                 self.assertTrue(
                     builders.wait_until(
                         lambda latest=latest: (
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -163,7 +163,7 @@
         ):
             self.assertIsInstance(self.read((name, value)), Err)
 
-    def test_node_only_fields_of_callers_are_not_forwarded(self) -> None:
+    def test_control_fields_of_callers_are_not_forwarded(self) -> None:
         """Guards against callers that read the KV cache of another caller.
 
         A caller sets the KV source field. Forwarding all header fields
