--- a/bench/choice_play.py
+++ b/bench/choice_play.py
@@ -197,8 +197,8 @@
         if self._scenario.admission_kind == "none":
             return True
         decision = admission.decide(
-            admission.Demand(30.0, 5, FIRST_TOKEN_TARGET_S),
-            admission.Outlook(
+            admission.RequestRequirements(30.0, 5, FIRST_TOKEN_TARGET_S),
+            admission.AdmissionEstimate(
                 choice.first_token_s, choice.total_s(arrival.output_tokens)
             ),
         )
@@ -245,7 +245,7 @@
         now_s = self._timeline.now_s
         new_tokens = arrival.prompt_tokens - choice.cached_tokens
         router.on_sent(choice.prefill.vm_id, new_tokens, now_s)
-        router.index.note_sent(
+        router.index.record_prefill(
             choice.prefill.vm_id, arrival.block_hashes, now_s
         )
         run = engine_model.Run(
--- a/bench/crash_play.py
+++ b/bench/crash_play.py
@@ -492,9 +492,9 @@
 
     def _late_sends_count(self, culprit: int) -> int:
         ends_s = self._ends_s[culprit]
-        if len(ends_s) < crash_suspects.ENDS_LIMIT_COUNT:
+        if len(ends_s) < crash_suspects.BLOCK_ENDS_COUNT:
             return 0
-        since_s = ends_s[crash_suspects.ENDS_LIMIT_COUNT - 1] + CONTACT_S
+        since_s = ends_s[crash_suspects.BLOCK_ENDS_COUNT - 1] + CONTACT_S
         return sum(
             at_s > since_s and self._was_in_touch(gateway, at_s)
             for at_s, gateway in self._sends[culprit]
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -87,8 +87,8 @@
     )
     if not has_budget:
         bounds = bounds._replace(
-            floor_per_s=1e9,
-            customer_floor_per_s=1e9,
+            min_retries_per_s=1e9,
+            customer_min_retries_per_s=1e9,
             burst_count=1e9,
             customer_burst_count=1e9,
         )
@@ -127,7 +127,7 @@
         )
         if isinstance(decision, retry_budget.Retry):
             again = request._replace(attempt_count=request.attempt_count + 1)
-            again_s = failed_s + decision.after_s
+            again_s = failed_s + decision.delay_s
             heapq.heappush(events, (again_s, next(numbers), again))
     return outcomes
 
--- a/bench/prompt_play.py
+++ b/bench/prompt_play.py
@@ -48,13 +48,13 @@
     background_work,
     engine_queues,
     engine_speeds,
+    load_estimates,
     observed_waits,
     part_caches,
+    prefill_queue,
     prompt_admission,
     prompt_placement,
-    reading_queue,
     token_bucket,
-    usual_load,
 )
 from mulberrywharf.routes import kinds, table
 
@@ -237,11 +237,11 @@
     def read(self, prompt: request.Prompt, now_s: float) -> float:
         """Queues a prompt; returns when its answer begins."""
         cached_tokens = self._use(prompt)
-        reading = self._speed.reading(prompt.tokens, cached_tokens)
+        prefill_time = self._speed.prefill_time(prompt.tokens, cached_tokens)
         self._drop_ended(now_s)
-        self._pause_streams(max(now_s, self._free_s), reading.work_s)
-        self._free_s = max(now_s, self._free_s) + reading.work_s
-        return self._free_s + reading.begin_s
+        self._pause_streams(max(now_s, self._free_s), prefill_time.work_s)
+        self._free_s = max(now_s, self._free_s) + prefill_time.work_s
+        return self._free_s + prefill_time.overhead_s
 
     def _use(self, prompt: request.Prompt) -> int:
         names: tuple[str, ...] = ()
@@ -292,12 +292,12 @@
 
     def has_bytes(self) -> bool:
         """Tells whether bytes are left."""
-        self._bytes.fill(self._timeline.now_s)
+        self._bytes.refill(self._timeline.now_s)
         return self._bytes.level > 0
 
     def spend(self, datagram: bytes) -> None:
         """Takes the bytes of a datagram to one gateway."""
-        self._bytes.fill(self._timeline.now_s)
+        self._bytes.refill(self._timeline.now_s)
         self._bytes.take(len(datagram) + datagrams.DATAGRAM_OVERHEAD_BYTES)
 
     def add(
@@ -400,7 +400,7 @@
         self,
         timeline: engine_model.Timeline,
         told: _Notices,
-        queues: dict[fleet.ServerStart, reading_queue.ReadingQueue],
+        queues: dict[fleet.ServerStart, prefill_queue.PrefillQueue],
         caches: part_caches.PartCaches,
     ):
         self._timeline = timeline
@@ -512,10 +512,12 @@
             case "placed":
                 queue.add(placement, work.work_s, work.priority, now_s)
                 engine = ticket.server.start
-                self._caches.note_own(engine, work.own_tokens, MEMORY_TOKENS)
-                self._caches.note_read(engine, work.parts, MEMORY_TOKENS)
+                self._caches.record_unshared(
+                    engine, work.own_tokens, MEMORY_TOKENS
+                )
+                self._caches.record_cached(engine, work.parts, MEMORY_TOKENS)
             case "read":
-                queue.read(placement, now_s)
+                queue.finish(placement, now_s)
             case "withdrawn":
                 queue.withdraw(placement, now_s)
 
@@ -535,7 +537,7 @@
 class _FixedSpeeds(engine_speeds.EngineSpeeds):
     """Speeds that no answer changes, such as those of one operator."""
 
-    def learn_reading(self, *_: object) -> None:
+    def learn_prefill(self, *_: object) -> None:
         """Learns nothing."""
 
     def learn_takeover(self, *_: object) -> None:
@@ -572,7 +574,7 @@
         self._speed = speed
         self._engines = self._make_engines()
         self._queues = {
-            engine.server.start: reading_queue.ReadingQueue(0.0)
+            engine.server.start: prefill_queue.PrefillQueue(0.0)
             for engine in self._engines.values()
         }
         self._caches = part_caches.PartCaches()
@@ -627,7 +629,9 @@
 
     def _make_engines(self) -> dict[str, _Engine]:
         decode_speed = engine_speeds.RoleSpeed(
-            self._speed.begin_s, self._speed.token_s * 2, self._speed.pair_s * 2
+            self._speed.overhead_s,
+            self._speed.token_s * 2,
+            self._speed.pair_s * 2,
         )
         engines = [
             _Engine(self._server(f"p{n}", "prefill", n), self._speed)
@@ -670,14 +674,16 @@
             role=role,
         )
 
-    def _mean_reading(self) -> engine_speeds.ReadingTime:
+    def _mean_reading(self) -> engine_speeds.PrefillTime:
         """Returns what reading a long prompt takes, its shared parts held."""
         shared = self._prompts.chain_length * self._prompts.part_tokens
-        return self._speed.reading(shared + self._prompts.own_tokens, shared)
+        return self._speed.prefill_time(
+            shared + self._prompts.own_tokens, shared
+        )
 
     def _rate_per_s(self) -> float:
         prefills_count = self._shape.prefills_count
-        short = self._speed.reading(self._prompts.short_tokens, 0)
+        short = self._speed.prefill_time(self._prompts.short_tokens, 0)
         short_share = self._prompts.short_share
         work_s = (
             1.0 - short_share
@@ -715,9 +721,11 @@
             self._refused_count += 1
             return
         assert wanted.prompt is not None
-        reader = self._engines[placed.plan.reader.server.server_id]
-        awaited = gateway.account.reading(placed)
-        begins_s = reader.read(wanted.prompt, now_s)
+        prefill_engine = self._engines[
+            placed.plan.prefill_engine.server.server_id
+        ]
+        awaited = gateway.account.prefill_sent(placed)
+        begins_s = prefill_engine.read(wanted.prompt, now_s)
         self._timeline.at(
             begins_s, self._read, gateway, wanted, placed, awaited
         )
@@ -731,7 +739,7 @@
         expected_s = account.expected_s(placed, awaited)  # type: ignore[arg-type]
         took_s = self._timeline.now_s - wanted.arrived_s
         self._ratios.append(took_s / expected_s)
-        account.began(placed, awaited)  # type: ignore[arg-type]
+        account.answer_began(placed, awaited)  # type: ignore[arg-type]
         if placed.plan.prefill is None:
             self._answer(gateway, wanted, placed.plan.decode.server)
             return
@@ -826,7 +834,7 @@
 
 def _speeds_of(speed: engine_speeds.RoleSpeed) -> engine_speeds.Speeds:
     decode = engine_speeds.RoleSpeed(
-        speed.begin_s, speed.token_s * 2, speed.pair_s * 2
+        speed.overhead_s, speed.token_s * 2, speed.pair_s * 2
     )
     return engine_speeds.Speeds(speed, decode)
 
@@ -862,7 +870,7 @@
     "notices": _Switch(_Notices, "add", lambda *_: None),
     "owners of queues": _Switch(_Owners, "is_used", False),
     "loads of other zones": _Switch(
-        engine_loads.EngineLoads, "_believed", lambda *_: usual_load.IDLE
+        engine_loads.EngineLoads, "_believed", lambda *_: load_estimates.IDLE
     ),
     "words of other zones": _Switch(_Notices, "tell_zones", lambda *_: None),
     "loads of the unheard": _Switch(
--- a/bench/role_planner.py
+++ b/bench/role_planner.py
@@ -295,7 +295,7 @@
             ),
             demand=demand,
             target=self._pinned(now_s),
-            in_change_count=self._in_change_count,
+            changing_count=self._in_change_count,
             change_ends_unix_s=tuple(self._change_ends_s),
         )
 
@@ -374,7 +374,7 @@
     return result
 
 
-_BASE = role_planner.PlannerSettings(away_s=_AWAY_S)
+_BASE = role_planner.PlannerSettings(unavailable_s=_AWAY_S)
 _EXAMPLES = {
     "prairie": "examples/prairie/regina-hall-controller.json",
     "solano": "examples/solano/nave-heredia-controller.json",
@@ -385,7 +385,7 @@
     """Reads a deployment's weights from its example settings."""
     config = settings.load(_EXAMPLES[deployment]).unwrap()
     options = role_planner.PlannerSettings.from_config(config)
-    return options._replace(away_s=_AWAY_S)
+    return options._replace(unavailable_s=_AWAY_S)
 
 
 def _cases() -> dict[str, tuple[Planner, role_planner.PlannerSettings]]:
--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -101,7 +101,7 @@
         engines=engines,
         demand=zone.demand,
         target=_target(actions, engines),
-        in_change_count=in_change_count(zone),
+        changing_count=changing_count(zone),
         change_ends_unix_s=zone.change_ends_unix_s,
     )
     return role_planner.plan(view, options, now_unix_s)
@@ -157,7 +157,7 @@
     return surplus[next_role] > 0 and surplus[now_role] < 0
 
 
-def in_change_count(zone: Zone) -> int:
+def changing_count(zone: Zone) -> int:
     """Returns how many engines are unavailable because of a planned change."""
     return sum(
         1
--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -239,7 +239,7 @@
         """Records that a server answered a request completely."""
         fingerprint = request.fingerprint()
         now_s = self._clock.monotonic_s()
-        if self._suspects.note_whole(fingerprint, now_s):
+        if self._suspects.record_completed(fingerprint, now_s):
             self._reports.broadcast_cleared(fingerprint)
             self._records.remove(fingerprint)
 
@@ -266,10 +266,10 @@
             return
         fingerprint = run.wanted.fingerprint()
         _ends_total.inc({"made_output": str(made_output).lower()})
-        end = crash_suspects.End(
+        end = crash_suspects.ServerEnd(
             self._server_key(run.start, ended_s), made_output, ended_s
         )
-        if self._suspects.note_end(fingerprint, end):
+        if self._suspects.record_server_end(fingerprint, end):
             self._reports.tell(fingerprint)
         logger.bind(
             request_id=run.wanted.request_id,
@@ -293,7 +293,7 @@
     def _on_new_end(self, fingerprint: int) -> None:
         now_s = self._clock.monotonic_s()
         ends_count = len(self._suspects.ends(fingerprint, now_s))
-        if ends_count >= crash_suspects.SURE_ENDS_COUNT:
+        if ends_count >= crash_suspects.BLOCK_ENDS_WITHOUT_OUTPUT_COUNT:
             self._refresh()
 
     def _refresh(self) -> None:
--- a/src/mulberrywharf/engines/resume.py
+++ b/src/mulberrywharf/engines/resume.py
@@ -339,7 +339,7 @@
         self._failed_engine_ids |= {engine_id}
         if self._token_texts:
             _resumes.inc({})
-        gevent.sleep(decision.after_s)
+        gevent.sleep(decision.delay_s)
 
     def _describe_failure(
         self, engine_id: str, failure: errors.EngineError
--- a/src/mulberrywharf/forwarding/engine_account.py
+++ b/src/mulberrywharf/forwarding/engine_account.py
@@ -19,7 +19,7 @@
     background_work,
     engine_queues,
     engine_speeds,
-    home_hits,
+    home_hit_rate,
     observed_waits,
     part_caches,
     part_homes,
@@ -135,7 +135,7 @@
             "prefill": background_work.BackgroundWork(),
             "decode": background_work.BackgroundWork(),
         }
-        self._home_hits = home_hits.HomeHits()
+        self._home_hit_rate = home_hit_rate.HomeHitRate()
         self._speeds: dict[str, engine_speeds.EngineSpeeds] = (
             collections.defaultdict(engine_speeds.EngineSpeeds)
         )
@@ -182,7 +182,9 @@
         """Returns the learned speeds of a service's engines."""
         return self._speeds[service].speeds
 
-    def pace(self, role: fleet.Role, engines: list[fleet.Server]) -> float:
+    def background_slowdown(
+        self, role: fleet.Role, engines: list[fleet.Server]
+    ) -> float:
         """Returns the factor by which short prompts slow down prefill.
 
         Gateways don't announce short prompts, so this one extrapolates from
@@ -201,7 +203,7 @@
         self,
         server: fleet.Server,
         parts: tuple[part_caches.ChainPart, ...],
-        pace: float,
+        slowdown: float,
         *,
         is_home: bool = False,
     ) -> prompt_placement.EngineView:
@@ -210,12 +212,12 @@
         Args:
             server: The engine.
             parts: The prompt's parts, see ``part_caches.chain``.
-            pace: Slowdown by short prompts, see ``pace``.
+            slowdown: Slowdown by short prompts, see ``background_slowdown``.
             is_home: Whether it is the first home of the shared part.
         """
         now_s = self._clock.monotonic_s()
         start = server.start
-        pace *= self._speeds[server.service].pace(server.server_id, now_s)
+        slowdown *= self._speeds[server.service].pace(server.server_id, now_s)
         (candidate,) = self._book.candidates([server], now_s)
         load = self.loads.load(candidate, now_s)
         running_count = load.running_share * server.slots_count
@@ -232,9 +234,9 @@
             slot_wait_s=slot_wait_s,
             running_share=load.running_share,
             cached_tokens=self._cached_tokens(server, parts, is_home),
-            pace=pace,
+            slowdown=slowdown,
             is_suspected=candidate.is_suspected,
-            is_near=candidate.is_near,
+            is_same_zone=candidate.is_same_zone,
             is_home=is_home,
         )
 
@@ -259,7 +261,7 @@
         home_part = prompt_parts.home_part_of(parts)
         if home_part is None:
             return held_tokens
-        likely_tokens = int(self._home_hits.share * home_part.end_tokens)
+        likely_tokens = int(self._home_hit_rate.rate * home_part.end_tokens)
         return max(held_tokens, likely_tokens)
 
     def hears_of(self, server: fleet.Server) -> bool:
@@ -282,7 +284,7 @@
     def sample(
         self,
         homes_first: list[fleet.Server],
-        among: list[fleet.Server],
+        candidates: list[fleet.Server],
         rng: random.Random,
     ) -> list[fleet.Server]:
         """Returns the engines of one role to consider for a prompt.
@@ -293,15 +295,15 @@
         Args:
             homes_first: Home engines of the shared part, in order; always
                 included.
-            among: All engines of the role.
+            candidates: All engines of the role.
             rng: Samples the other engines.
         """
         if not self._queue_accounts.is_used:
-            return part_homes.sample(homes_first, among, rng)
+            return part_homes.sample(homes_first, candidates, rng)
         owners = {self.owner(home) for home in homes_first}
         return part_homes.sample(
             homes_first,
-            among,
+            candidates,
             rng,
             is_preferred=lambda one: self.owner(one) in owners,
         )
@@ -326,7 +328,7 @@
         now_s = self._clock.monotonic_s()
         for start, wait in reported.items():
             if wait.is_whole:
-                self._queues.told(start, wait.wait_s, now_s)
+                self._queues.set_wait(start, wait.wait_s, now_s)
         return reported
 
     def record_placement(
@@ -344,10 +346,10 @@
             plan: The chosen plan.
             priority: Priority of the request, 0 is served first.
         """
-        reader = plan.reader.server.start
+        prefill_start = plan.prefill_engine.server.start
         work_s = plan.prefill_work_s
         now_s = self._clock.monotonic_s()
-        ticket = self._queues.add(reader, work_s, now_s)
+        ticket = self._queues.add(prefill_start, work_s, now_s)
         if service.engine is None or wanted.prompt is None:
             return Placed(plan, ticket, is_in_order=False)
         if self._queue_accounts.is_used:
@@ -355,7 +357,7 @@
                 prompt_parts.chain_of(wanted.prompt)
             )
             owner_ticket = self._queue_accounts.placed(
-                plan.reader.server,
+                plan.prefill_engine.server,
                 work_s,
                 min(priority, LEAST_PRIORITY),
                 reported,
@@ -365,7 +367,7 @@
             # large fleet notices arrive seconds late, when it is done.
             self._note_prompt(
                 wanted.prompt,
-                plan.reader.server,
+                plan.prefill_engine.server,
                 0.0,
                 service.engine.kv_tokens,
             )
@@ -374,14 +376,16 @@
             )
         is_announced = self._note_prompt(
             wanted.prompt,
-            plan.reader.server,
+            plan.prefill_engine.server,
             work_s,
             service.engine.kv_tokens,
         )
         if is_announced:
             return Placed(plan, ticket, is_in_order=True)
         role: fleet.Role = "prefill" if plan.prefill else "decode"
-        self._background_work[role].add(work_s / plan.reader.pace, now_s)
+        self._background_work[role].add(
+            work_s / plan.prefill_engine.slowdown, now_s
+        )
         return Placed(plan, ticket, is_in_order=False)
 
     def record_takeover(
@@ -400,14 +404,16 @@
         ticket = self._queues.add(engine.start, 0.0, now_s)
         return Placed(plan, ticket, is_in_order=False)
 
-    def reading(self, placed: Placed) -> observed_waits.Awaited:
+    def prefill_sent(self, placed: Placed) -> observed_waits.PendingPrompt:
         """Records that the prompt was sent to the engine that prefills it."""
         plan = placed.plan
         return self._track_answer(
-            plan.reader.server, "read", plan.copy_s + plan.reading.total_s
+            plan.prefill_engine.server,
+            "read",
+            plan.copy_s + plan.prefill_time.total_s,
         )
 
-    def starting(self, placed: Placed) -> observed_waits.Awaited:
+    def decode_sent(self, placed: Placed) -> observed_waits.PendingPrompt:
         """Records that a prefilled prompt was sent to the decode engine."""
         plan = placed.plan
         return self._track_answer(
@@ -417,31 +423,36 @@
         )
 
     def expected_s(
-        self, placed: Placed, awaited: observed_waits.Awaited
+        self, placed: Placed, awaited: observed_waits.PendingPrompt
     ) -> float:
         """Returns the estimated time from sending to the engine's answer."""
         plan = placed.plan
-        if awaited.matter == "read":
-            return plan.reader.wait_s + awaited.unqueued_s
-        return plan.decode.slot_wait_s + awaited.unqueued_s
+        if awaited.kind == "read":
+            return plan.prefill_engine.wait_s + awaited.unloaded_s
+        return plan.decode.slot_wait_s + awaited.unloaded_s
 
-    def began(self, placed: Placed, awaited: observed_waits.Awaited) -> None:
+    def answer_began(
+        self, placed: Placed, awaited: observed_waits.PendingPrompt
+    ) -> None:
         """Records that an engine's answer has begun.
 
         Args:
             placed: The recorded plan of the prompt.
-            awaited: The result of ``reading`` or ``starting``.
+            awaited: The result of ``prefill_sent`` or ``decode_sent``.
         """
         now_s = self._clock.monotonic_s()
         self._observed_waits.answered(awaited, now_s)
-        if awaited.matter == "read" and placed.is_in_order:
+        if awaited.kind == "read" and placed.is_in_order:
             self._queues.finished(placed.ticket, now_s)
-        if awaited.matter == "read" and placed.owner_ticket is not None:
+        if awaited.kind == "read" and placed.owner_ticket is not None:
             self._queue_accounts.read(placed.owner_ticket)
         self._update_speeds(placed, awaited, now_s)
 
     def _update_speeds(
-        self, placed: Placed, awaited: observed_waits.Awaited, now_s: float
+        self,
+        placed: Placed,
+        awaited: observed_waits.PendingPrompt,
+        now_s: float,
     ) -> None:
         """Updates the learned speeds by the time an answer took."""
         plan = placed.plan
@@ -449,34 +460,36 @@
         expected_s = self.expected_s(placed, awaited)
         if expected_s > 0:
             _estimate_ratio.observe(
-                {"matter": awaited.matter}, took_s / expected_s
+                {"matter": awaited.kind}, took_s / expected_s
             )
         learned = self._speeds[plan.decode.server.service]
-        if awaited.matter == "read":
+        if awaited.kind == "read":
             if (
                 self._queue_accounts.is_used
                 and not _was_prefilled_without_queueing(plan)
             ):
                 return
-            learned.learn_reading(
-                plan.reader.server,
-                plan.reading,
-                plan.reader.wait_s + plan.copy_s,
+            learned.learn_prefill(
+                plan.prefill_engine.server,
+                plan.prefill_time,
+                plan.prefill_engine.wait_s + plan.copy_s,
                 took_s,
                 now_s,
             )
         else:
             learned.learn_takeover(plan.copy_s, plan.decode.slot_wait_s, took_s)
 
-    def failed(self, placed: Placed, awaited: observed_waits.Awaited) -> None:
+    def failed(
+        self, placed: Placed, awaited: observed_waits.PendingPrompt
+    ) -> None:
         """Records that an engine will not answer.
 
         Args:
             placed: The recorded plan of the prompt.
-            awaited: The result of ``reading`` or ``starting``.
+            awaited: The result of ``prefill_sent`` or ``decode_sent``.
         """
         self._observed_waits.failed(awaited)
-        if awaited.matter == "read" and placed.owner_ticket is not None:
+        if awaited.kind == "read" and placed.owner_ticket is not None:
             self._queue_accounts.withdrawn(placed.owner_ticket)
 
     def ended(self, server: fleet.Server, run_s: float) -> None:
@@ -505,12 +518,12 @@
                 self._queues.add(server.start, placement.work_s, now_s)
             memory_tokens = self._memory_tokens(server.service)
             if placement.own_tokens:
-                self._caches.note_own(
+                self._caches.record_unshared(
                     server.start, placement.own_tokens, memory_tokens
                 )
             if placement.parts:
                 self._record_home_hit(server, placement.parts)
-                self._caches.note_read(
+                self._caches.record_cached(
                     server.start, placement.parts, memory_tokens
                 )
 
@@ -538,8 +551,8 @@
         if server is None:
             return
         memory_tokens = self._memory_tokens(server.service)
-        self._caches.note_own(server.start, own_tokens, memory_tokens)
-        self._caches.note_read(server.start, parts, memory_tokens)
+        self._caches.record_unshared(server.start, own_tokens, memory_tokens)
+        self._caches.record_cached(server.start, parts, memory_tokens)
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
         """Returns how many leading parts of a prompt an engine has cached.
@@ -560,18 +573,18 @@
     def _track_answer(
         self,
         server: fleet.Server,
-        matter: observed_waits.Matter,
-        unqueued_s: float,
-    ) -> observed_waits.Awaited:
+        kind: observed_waits.WorkKind,
+        unloaded_s: float,
+    ) -> observed_waits.PendingPrompt:
         """Records that an engine's answer is outstanding.
 
         Args:
             server: The engine.
-            matter: What the engine does first.
-            unqueued_s: Estimated time to the answer of an idle engine.
+            kind: What the engine does first.
+            unloaded_s: Estimated time to the answer of an idle engine.
         """
-        awaited = observed_waits.Awaited(
-            server.start, matter, self._clock.monotonic_s(), unqueued_s
+        awaited = observed_waits.PendingPrompt(
+            server.start, kind, self._clock.monotonic_s(), unloaded_s
         )
         self._observed_waits.sent(awaited)
         return awaited
@@ -598,19 +611,21 @@
         held = tuple(part.held for part in parts)
         reported = prompt_parts.reported_parts(parts)
         if not reported:
-            self._caches.note_read(engine.start, held, memory_tokens)
+            self._caches.record_cached(engine.start, held, memory_tokens)
             if self._queue_accounts.is_used:
                 return False
             # Short prompts are numerous and spread evenly over the gateways.
             # Instead of announcing them, each gateway extrapolates the others'
             # from its own.
-            others_count = self._notices.gateways_count - 1
-            self._caches.note_own(
-                engine.start, prompt.tokens * others_count, memory_tokens
+            others_in_flight_count = self._notices.gateways_count - 1
+            self._caches.record_unshared(
+                engine.start,
+                prompt.tokens * others_in_flight_count,
+                memory_tokens,
             )
             return False
         self._record_home_hit(engine, reported)
-        self._caches.note_read(engine.start, held, memory_tokens)
+        self._caches.record_cached(engine.start, held, memory_tokens)
         own_tokens = prompt.tokens - sum(part.tokens for part in reported)
         self._notices.add(engine, work_s, reported, own_tokens)
         return True
@@ -627,7 +642,7 @@
         home_part = max(reported, key=lambda part: part.tokens)
         if self._is_observable_home(server, home_part.key):
             is_held = self._caches.holds(server.start, home_part.key)
-            self._home_hits.note(is_held=is_held)
+            self._home_hit_rate.note(is_held=is_held)
 
     def _is_observable_home(self, server: fleet.Server, part_key: int) -> bool:
         """Tells whether an engine is a home whose work is all known here."""
@@ -636,7 +651,7 @@
         if server.role == "prefill" or not self._notices.hears_of(server):
             return False
         decodes = self._decodes_by_service.get(server.service, ())
-        return server in part_homes.homes(part_key, decodes, count=1)
+        return server in part_homes.home_engines_of(part_key, decodes, count=1)
 
 
 def _was_prefilled_without_queueing(plan: prompt_placement.Plan) -> bool:
@@ -646,7 +661,7 @@
     in an owner's count only ever lengthen the wait. Attributed to slow prefill,
     they made engines look half as fast as they are.
     """
-    told_wait_s = plan.reader.told_wait_s
-    if told_wait_s is None:
+    reported_wait_s = plan.prefill_engine.reported_wait_s
+    if reported_wait_s is None:
         return False
-    return told_wait_s <= MAX_LEARNING_WAIT_SHARE * plan.reading.work_s
+    return reported_wait_s <= MAX_LEARNING_WAIT_SHARE * plan.prefill_time.work_s
--- a/src/mulberrywharf/forwarding/engine_loads.py
+++ b/src/mulberrywharf/forwarding/engine_loads.py
@@ -5,7 +5,7 @@
 from mulberrywharf import clock, fleet
 from mulberrywharf.forwarding import server_book
 from mulberrywharf.peers import codec
-from mulberrywharf.policy import engine_queues, server_choice, usual_load
+from mulberrywharf.policy import engine_queues, load_estimates, server_choice
 
 RELAYED_LOAD_MAX_AGE_S = 0.5
 """Oldest engine load that is passed on to peers. A batch of short answers is
@@ -22,7 +22,7 @@
 """Keys of an availability zone and of a service, and whether the engines are
 prefill engines."""
 
-_NO_LOAD = usual_load.IDLE, float("-inf")
+_NO_LOAD = load_estimates.IDLE, float("-inf")
 
 
 class NoticeScope(Protocol):
@@ -68,10 +68,12 @@
         self._clock = system_clock
         self._server_by_key: dict[int, fleet.Server] = {}
         self._zone_by_start: dict[fleet.ServerStart, str] = {}
-        self._mean_loads: dict[_ServiceRole, tuple[usual_load.Load, float]] = {}
+        self._mean_loads: dict[
+            _ServiceRole, tuple[load_estimates.Load, float]
+        ] = {}
         self._reported_shares: dict[_ServiceRole, tuple[float, float]] = {}
         self._zone_loads: dict[
-            _ZoneServiceRole, tuple[usual_load.Load, float]
+            _ZoneServiceRole, tuple[load_estimates.Load, float]
         ] = {}
 
     def follow(self, known: dict[int, fleet.Server]) -> None:
@@ -85,11 +87,11 @@
 
     def load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the estimated load of an engine."""
         if self._notices.hears_of(candidate.server):
             return self._observed_load(candidate, now_s)
-        return usual_load.at_least(
+        return load_estimates.raised_to(
             self._known_load(candidate, now_s),
             self._believed(candidate.server, now_s),
         )
@@ -141,18 +143,20 @@
 
     def _known_load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the load of the work at an engine that this gateway knows."""
         server = candidate.server
-        running_count = candidate.own_count + candidate.others_count
-        return usual_load.Load(
+        running_count = (
+            candidate.own_in_flight_count + candidate.others_in_flight_count
+        )
+        return load_estimates.Load(
             running_count / max(1, server.slots_count),
             self._queues.wait_s(server.start, now_s),
         )
 
     def _observed_load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the load of an engine with full notices."""
         server = candidate.server
         known = self._known_load(candidate, now_s)
@@ -162,7 +166,9 @@
             running_share=known.running_share + unknown_share * mean_share
         )
 
-    def _believed(self, server: fleet.Server, now_s: float) -> usual_load.Load:
+    def _believed(
+        self, server: fleet.Server, now_s: float
+    ) -> load_estimates.Load:
         """Returns the estimated load of an engine without full notices."""
         kind = (
             codec.key_of(server.availability_zone),
@@ -170,14 +176,14 @@
             server.role == "prefill",
         )
         load, reported_s = self._zone_loads.get(kind, _NO_LOAD)
-        if now_s - reported_s <= usual_load.TOLD_AGE_S:
+        if now_s - reported_s <= load_estimates.MAX_REPORT_AGE_S:
             return load
         return self._mean_load((server.service, server.role), now_s)
 
     def _told_share(self, kind: _ServiceRole, now_s: float) -> float:
         """Returns the mean share of slots taken by others' requests."""
         found, found_s = self._reported_shares.get(kind, (0.0, float("-inf")))
-        if now_s - found_s < usual_load.KEPT_S:
+        if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
         reports = [
             (self._book.others_load(one.start, now_s), one.slots_count)
@@ -204,13 +210,15 @@
             and self._notices.hears_of(one)
         ]
 
-    def _mean_load(self, kind: _ServiceRole, now_s: float) -> usual_load.Load:
+    def _mean_load(
+        self, kind: _ServiceRole, now_s: float
+    ) -> load_estimates.Load:
         """Returns the mean load of a kind's engines with full notices."""
         found, found_s = self._mean_loads.get(kind, _NO_LOAD)
-        if now_s - found_s < usual_load.KEPT_S:
+        if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
         observed = self._book.candidates(self._observed_engines(kind), now_s)
-        found = usual_load.mean(
+        found = load_estimates.mean(
             [self._observed_load(candidate, now_s) for candidate in observed]
         )
         self._mean_loads[kind] = found, now_s
--- a/src/mulberrywharf/forwarding/engine_pool.py
+++ b/src/mulberrywharf/forwarding/engine_pool.py
@@ -187,7 +187,11 @@
             _prompt_shape(wanted, service, parts),
             self._account.speeds(service.name),
             prompt_placement.EngineView(source),
-            self._views(decodes, parts, self._account.pace("decode", decodes)),
+            self._views(
+                decodes,
+                parts,
+                self._account.background_slowdown("decode", decodes),
+            ),
         )
         if not plans:
             raise errors.NoEngineError(
@@ -227,22 +231,22 @@
         limit: time_limits.TimeLimit,
     ) -> None:
         """Raises OverloadedError if the first token would be late."""
-        prospect = prompt_admission.Prospect(
+        estimate = prompt_admission.AdmissionEstimate(
             first_token_s=plan.first_token_s,
             queue_s=plan.queue_s,
             target_s=route.target_s,
             left_s=limit.left_s(),
         )
-        refusal = prompt_admission.decide(prospect, self._rng)
+        refusal = prompt_admission.decide(estimate, self._rng)
         if refusal is None:
             return
         logger.bind(
             request_id=wanted.request_id,
             route=route.name,
             first_token_s=round(plan.first_token_s, 3),
-            queue_s=round(prospect.queue_s, 3),
+            queue_s=round(estimate.queue_s, 3),
             target_s=route.target_s,
-            left_s=round(prospect.left_s, 3),
+            left_s=round(estimate.left_s, 3),
             retry_after_s=round(refusal.retry_after_s, 3),
         ).info("refused: the answer would come too late")
         raise errors.OverloadedError(
@@ -271,14 +275,18 @@
         keys = tuple(part.held.key for part in parts)
         asked: set[fleet.Address | None] = set()
         for count in (asked_count, 1):
-            best = plans[0].reader.server if plans else None
+            best = plans[0].prefill_engine.server if plans else None
             if best is None or self._account.owner(best) in asked:
                 break
             owners = self._queue_owners(plans, count)
             asked |= owners
-            readers = {plan.reader.server for plan in plans}
+            prefill_engines = {plan.prefill_engine.server for plan in plans}
             reported = self._account.query_waits(
-                [one for one in readers if self._account.owner(one) in owners],
+                [
+                    one
+                    for one in prefill_engines
+                    if self._account.owner(one) in owners
+                ],
                 priority,
                 keys,
             )
@@ -300,7 +308,7 @@
         """
         found: set[fleet.Address | None] = set()
         for plan in plans:
-            found.add(self._account.owner(plan.reader.server))
+            found.add(self._account.owner(plan.prefill_engine.server))
             if len(found) >= count:
                 break
         return found
@@ -326,9 +334,15 @@
             _prompt_shape(wanted, service, parts),
             self._account.speeds(service.name),
             self._views(
-                prefills, parts, self._account.pace("prefill", prefills)
+                prefills,
+                parts,
+                self._account.background_slowdown("prefill", prefills),
+            ),
+            self._views(
+                decodes,
+                parts,
+                self._account.background_slowdown("decode", decodes),
             ),
-            self._views(decodes, parts, self._account.pace("decode", decodes)),
         )
 
     def _usable(
@@ -345,35 +359,37 @@
 
     def _views(
         self,
-        among: list[fleet.Server],
+        candidates: list[fleet.Server],
         parts: tuple[part_caches.ChainPart, ...],
-        pace: float,
+        slowdown: float,
     ) -> list[prompt_placement.EngineView]:
         shared = prompt_parts.home_part_of(parts)
-        homes = self._home_engines(shared, among) if shared else []
-        sampled = self._account.sample(homes, among, self._rng)
+        homes = self._home_engines(shared, candidates) if shared else []
+        sampled = self._account.sample(homes, candidates, self._rng)
         return [
             self._account.view(
-                one, parts, pace, is_home=bool(homes) and one is homes[0]
+                one, parts, slowdown, is_home=bool(homes) and one is homes[0]
             )
             for one in sampled
         ]
 
     def _home_engines(
-        self, shared: part_caches.ChainPart, among: list[fleet.Server]
+        self, shared: part_caches.ChainPart, candidates: list[fleet.Server]
     ) -> list[fleet.Server]:
         """Returns the home engines of a part, in order of preference.
 
         Prefill engines cache parts only for a while and copy missing ones from
-        other engines. So their homes are chosen among the engines of which this
-        gateway receives all placement notices, if there are any.
+        other engines. So their homes are chosen candidates the engines of which
+        this gateway receives all placement notices, if there are any.
         """
         observed = [
             one
-            for one in among
+            for one in candidates
             if one.role == "prefill" and self._account.hears_of(one)
         ]
-        return part_homes.homes(shared.held.key, observed or among)
+        return part_homes.home_engines_of(
+            shared.held.key, observed or candidates
+        )
 
     def _log_placement(
         self,
@@ -398,7 +414,7 @@
             prompt_tokens=wanted.prompt.tokens if wanted.prompt else None,
             cached_tokens=plan.cached_tokens,
             queue_s=round(plan.queue_s, 4),
-            told_wait_s=plan.reader.told_wait_s,
+            told_wait_s=plan.prefill_engine.reported_wait_s,
             work_s=round(plan.prefill_work_s, 4),
             first_token_s=round(plan.first_token_s, 4),
         ).info("placed")
@@ -414,11 +430,11 @@
     """
     found = []
     for plan in plans:
-        wait = reported.get(plan.reader.server.start)
+        wait = reported.get(plan.prefill_engine.server.start)
         if wait is None:
             found.append(plan)
         else:
-            wait_s = _effective_wait_s(plan.reader, wait)
+            wait_s = _effective_wait_s(plan.prefill_engine, wait)
             found.append(plan.with_wait(wait_s, wait.wait_s))
     return sorted(found, key=lambda plan: plan.cost)
 
@@ -434,7 +450,7 @@
         return view
     return view._replace(
         wait_s=_effective_wait_s(view, wait),
-        told_wait_s=wait.wait_s,
+        reported_wait_s=wait.wait_s,
         cached_tokens=_effective_cached_tokens(view, wait, parts),
     )
 
--- a/src/mulberrywharf/forwarding/generation.py
+++ b/src/mulberrywharf/forwarding/generation.py
@@ -242,7 +242,7 @@
             prefill_only=True, fetch_from=_fetch_from(placed)
         )
         began_s = self._parts.system_clock.monotonic_s()
-        awaited = self._parts.account.reading(placed)
+        awaited = self._parts.account.prefill_sent(placed)
         try:
             with _InFlightRequest(self._parts.book, server, began_s):
                 result = self._prefill_exchange(attempt)
@@ -266,11 +266,11 @@
     def _note_outcome(
         self,
         placed: engine_account.Placed,
-        awaited: observed_waits.Awaited,
+        awaited: observed_waits.PendingPrompt,
         outcome: Result[object, errors.EngineError],
     ) -> None:
         if isinstance(outcome, Ok):
-            self._parts.account.began(placed, awaited)
+            self._parts.account.answer_began(placed, awaited)
         else:
             self._parts.account.failed(placed, awaited)
 
@@ -320,7 +320,9 @@
         previous_outcome = self._outcome
         self._outcome = "unknown"
         account = self._parts.account
-        note_sent = account.reading if prefills_itself else account.starting
+        note_sent = (
+            account.prefill_sent if prefills_itself else account.decode_sent
+        )
         awaited = note_sent(placed)
         self._parts.book.began(server.start, began_s)
         try:
@@ -478,7 +480,7 @@
             route=self._route.name,
             server_id=server.server_id,
             run_s=round(gaps.run_s, 3),
-            worst_gap_s=round(gaps.worst_s, 3),
+            worst_gap_s=round(gaps.longest_gap_s, 3),
             gap_target_s=self._route.gap_target_s,
         ).info("stream")
 
--- a/src/mulberrywharf/forwarding/plain_call.py
+++ b/src/mulberrywharf/forwarding/plain_call.py
@@ -300,10 +300,10 @@
             unlisted=self._parts.server_list.unlisted(
                 [chosen.server.server_id]
             ),
-            own_count=chosen.own_count,
-            others_count=round(chosen.others_count, 1),
+            own_count=chosen.own_in_flight_count,
+            others_count=round(chosen.others_in_flight_count, 1),
             failure_share=round(chosen.failure_share, 2),
-            pace=round(chosen.pace, 2),
+            pace=round(chosen.slowdown, 2),
             took_s=round(took_s, 4),
             left_s=round(self._limit.left_s(), 3),
             result=result,
--- a/src/mulberrywharf/forwarding/prompt_demand.py
+++ b/src/mulberrywharf/forwarding/prompt_demand.py
@@ -6,7 +6,7 @@
 from mulberrywharf import clock
 from mulberrywharf.forwarding import request
 from mulberrywharf.peers import codec
-from mulberrywharf.policy import engine_speeds, read_demand
+from mulberrywharf.policy import engine_speeds, prefill_demand
 from mulberrywharf.routes import table
 
 
@@ -29,8 +29,8 @@
         self._clock = system_clock
         self._speeds = speeds
         self._gateways_count = gateways_count
-        self._demands: dict[str, read_demand.ReadDemand] = (
-            collections.defaultdict(read_demand.ReadDemand)
+        self._demands: dict[str, prefill_demand.PrefillDemand] = (
+            collections.defaultdict(prefill_demand.PrefillDemand)
         )
 
     def note(
@@ -53,16 +53,16 @@
             return
         shared_tokens = sum(part.tokens for part in prompt.parts[:-1])
         speed = self._speeds(service.name).prefill
-        reading = speed.reading(prompt.tokens, shared_tokens)
-        if reading.work_s >= reading.begin_s:
+        prefill_time = speed.prefill_time(prompt.tokens, shared_tokens)
+        if prefill_time.work_s >= prefill_time.overhead_s:
             now_s = self._clock.monotonic_s()
-            self._demands[service.name].note(reading.work_s, now_s)
+            self._demands[service.name].note(prefill_time.work_s, now_s)
 
-    def told(self) -> tuple[codec.Demand, ...]:
+    def own_demands(self) -> tuple[codec.Demand, ...]:
         """Returns this gateway's own demand, for notices to peers."""
         now_s = self._clock.monotonic_s()
         return tuple(
-            codec.Demand(codec.key_of(service), demand.own(now_s))
+            codec.Demand(codec.key_of(service), demand.own_engines(now_s))
             for service, demand in self._demands.items()
         )
 
@@ -72,14 +72,14 @@
         Returns:
             The mean number of busy engines; None until there is enough data.
         """
-        return self._demands[service].total(
+        return self._demands[service].total_engines(
             self._gateways_count(), self._clock.monotonic_s()
         )
 
     def on_notice(self, notice: codec.Notice) -> None:
         """Applies the demand in another gateway's notice."""
         now_s = self._clock.monotonic_s()
-        for told in notice.demands:
+        for report in notice.demands:
             for service, demand in self._demands.items():
-                if codec.key_of(service) == told.service_key:
-                    demand.hear(notice.sender, told.engines, now_s)
+                if codec.key_of(service) == report.service_key:
+                    demand.record_report(notice.sender, report.engines, now_s)
--- a/src/mulberrywharf/forwarding/server_book.py
+++ b/src/mulberrywharf/forwarding/server_book.py
@@ -74,8 +74,8 @@
     """The state of one server."""
 
     def __init__(self) -> None:
-        self.own_count = 0
-        self.others_count = 0
+        self.own_in_flight_count = 0
+        self.others_in_flight_count = 0
         self.others_reported_at_s = float("-inf")
         self.reported: request.ReportedLoad | None = None
         self.reported_at_s = float("-inf")
@@ -101,24 +101,24 @@
         self._entries = {
             start: entry
             for start, entry in self._entries.items()
-            if start in kept or entry.own_count
+            if start in kept or entry.own_in_flight_count
         }
 
     def began(self, start: fleet.ServerStart, now_s: float) -> None:
         """Counts a new request; at an unreachable server it is the probe."""
         entry = self._entry(start)
-        entry.own_count += 1
+        entry.own_in_flight_count += 1
         if entry.failed_attempts_count:
             until_s = now_s + PROBE_S
             entry.avoided_until_s = max(entry.avoided_until_s, until_s)
 
     def ended(self, start: fleet.ServerStart) -> None:
         """Counts a request as ended."""
-        self._entry(start).own_count -= 1
+        self._entry(start).own_in_flight_count -= 1
 
-    def own_count(self, start: fleet.ServerStart) -> int:
+    def own_in_flight_count(self, start: fleet.ServerStart) -> int:
         """Returns how many requests this node has at a server."""
-        return self._entry(start).own_count
+        return self._entry(start).own_in_flight_count
 
     def reported(
         self,
@@ -150,7 +150,9 @@
         entry = self._entry(start)
         if at_s < entry.others_reported_at_s:
             return
-        entry.others_count = max(0, requests_count - entry.own_count)
+        entry.others_in_flight_count = max(
+            0, requests_count - entry.own_in_flight_count
+        )
         entry.others_reported_at_s = at_s
 
     def reported_since(
@@ -287,7 +289,9 @@
         """Tells whether a server broke off or refused a request just now."""
         return now_s < self._entry(start).suspected_until_s
 
-    def others_count(self, start: fleet.ServerStart, now_s: float) -> float:
+    def others_in_flight_count(
+        self, start: fleet.ServerStart, now_s: float
+    ) -> float:
         """Returns the estimated number of other nodes' requests at a server."""
         load = self.others_load(start, now_s)
         return load.requests_count * load.weight
@@ -297,14 +301,14 @@
         entry = self._entry(start)
         age_s = now_s - entry.others_reported_at_s
         weight = math.exp(-age_s / REPORT_TIME_CONSTANT_S)
-        return OthersLoad(entry.others_count, weight)
+        return OthersLoad(entry.others_in_flight_count, weight)
 
     def candidates(
         self, among: Iterable[fleet.Server], now_s: float
     ) -> list[server_choice.Candidate]:
         """Returns servers of one service as input for the server choice.
 
-        The pace of each is its answer time relative to the median of all.
+        The slowdown of each is its answer time relative to the median of all.
         """
         among = list(among)
         median_s = self._median_answer_s(among)
@@ -314,17 +318,19 @@
         self, server: fleet.Server, median_s: float | None, now_s: float
     ) -> server_choice.Candidate:
         entry = self._entry(server.start)
-        pace = 1.0
+        slowdown = 1.0
         if median_s and entry.mean_answer_s is not None:
-            pace = min(PACE_LIMIT, max(1.0, entry.mean_answer_s / median_s))
+            slowdown = min(PACE_LIMIT, max(1.0, entry.mean_answer_s / median_s))
         return server_choice.Candidate(
             server=server,
-            own_count=entry.own_count,
-            others_count=self.others_count(server.start, now_s),
+            own_in_flight_count=entry.own_in_flight_count,
+            others_in_flight_count=self.others_in_flight_count(
+                server.start, now_s
+            ),
             failure_share=entry.failure_share,
-            pace=pace,
+            slowdown=slowdown,
             is_suspected=self.is_suspected(server.start, now_s),
-            is_near=server.availability_zone == self._availability_zone,
+            is_same_zone=server.availability_zone == self._availability_zone,
         )
 
     def _median_answer_s(self, among: list[fleet.Server]) -> float | None:
--- a/src/mulberrywharf/nodes/membership.py
+++ b/src/mulberrywharf/nodes/membership.py
@@ -128,7 +128,7 @@
         self, vms: list[fleet.VmRecord], now_s: float
     ) -> suspicion.Membership:
         """Judges who of the zone's entry VMs is alive."""
-        return suspicion.judge(
+        return suspicion.evaluate(
             self._observations(now_s), vms, now_s, self._settings
         )
 
--- a/src/mulberrywharf/nodes/mesh.py
+++ b/src/mulberrywharf/nodes/mesh.py
@@ -270,7 +270,7 @@
         ]
         self._membership = self._members.judge(vms, now_s)
         _suspected_count.set({}, len(self._membership.suspected))
-        _distrusted.set({}, int(self._membership.distrusted))
+        _distrusted.set({}, int(self._membership.is_distrusted))
         _sent_bytes.set({}, self._links.traffic.sent_bytes)
 
     def _assign_slice(self) -> None:
--- a/src/mulberrywharf/peers/codec.py
+++ b/src/mulberrywharf/peers/codec.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import errors, fleet
-from mulberrywharf.policy import part_caches, usual_load
+from mulberrywharf.policy import load_estimates, part_caches
 
 PLACEMENTS_LIMIT_COUNT = 36
 """Maximum number of placements in one notice. Each takes about 31 bytes, so a
@@ -82,7 +82,7 @@
 
     service_key: int
     is_prefill: bool
-    load: usual_load.Load
+    load: load_estimates.Load
 
 
 class Seen(NamedTuple):
@@ -269,5 +269,7 @@
 
 
 def _decode_role_load(wire: capnp.lib.capnp._DynamicStructReader) -> RoleLoad:
-    load = usual_load.Load(wire.milliShare / _MILLI, wire.queueMs / _MS_PER_S)
+    load = load_estimates.Load(
+        wire.milliShare / _MILLI, wire.queueMs / _MS_PER_S
+    )
     return RoleLoad(wire.service, wire.isPrefill, load)
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -183,16 +183,18 @@
             )
             return
         for end in ends:
-            self._suspects.note_end(fingerprint, end)
+            self._suspects.record_server_end(fingerprint, end)
 
-    def _decode_end(self, fields: Mapping[str, Any]) -> crash_suspects.End:
+    def _decode_end(
+        self, fields: Mapping[str, Any]
+    ) -> crash_suspects.ServerEnd:
         age_s = self._clock.unix_s() - float(fields["unix_s"])
         # The wall clocks of gateways differ and may be adjusted.
-        age_s = min(max(age_s, 0.0), crash_suspects.KEPT_S)
+        age_s = min(max(age_s, 0.0), crash_suspects.SUSPECT_KEPT_S)
         server_key = int(fields["server_key"])
         if not 0 <= server_key <= _SERVER_KEY_LIMIT:
             raise ValueError(f"server key {server_key} is out of range")
-        return crash_suspects.End(
+        return crash_suspects.ServerEnd(
             server_key,
             bool(fields["made_output"]),
             self._clock.monotonic_s() - age_s,
--- a/src/mulberrywharf/peers/crash_reports.py
+++ b/src/mulberrywharf/peers/crash_reports.py
@@ -97,7 +97,7 @@
         self._enqueue(fingerprint)
         now_s = self._clock.monotonic_s()
         ends = self._suspects.ends(fingerprint, now_s)
-        if len(ends) >= crash_suspects.SURE_ENDS_COUNT:
+        if len(ends) >= crash_suspects.BLOCK_ENDS_WITHOUT_OUTPUT_COUNT:
             for delay_s in REPEAT_DELAYS_S:
                 self._call_later(delay_s, self._enqueue, fingerprint)
 
@@ -149,16 +149,16 @@
         report = decoded.ok_value
         now_s = self._clock.monotonic_s()
         for fingerprint in report.cleared:
-            self._suspects.note_whole(fingerprint, now_s)
+            self._suspects.record_completed(fingerprint, now_s)
         if not report.is_reply:
             self._reply(report, source)
         for reported in report.ends:
-            end = crash_suspects.End(
+            end = crash_suspects.ServerEnd(
                 reported.server_key,
                 reported.made_output,
                 now_s - reported.age_s,
             )
-            if self._suspects.note_end(reported.fingerprint, end):
+            if self._suspects.record_server_end(reported.fingerprint, end):
                 self._on_report(reported.fingerprint)
         return True
 
@@ -175,7 +175,9 @@
         for fingerprint in {end.fingerprint for end in report.ends}:
             is_new = any(
                 end.fingerprint == fingerprint
-                and not self._suspects.has_end(fingerprint, end.server_key)
+                and not self._suspects.has_server_end(
+                    fingerprint, end.server_key
+                )
                 for end in report.ends
             )
             if is_new and self._suspects.is_blocked(fingerprint, now_s):
--- a/src/mulberrywharf/peers/datagrams.py
+++ b/src/mulberrywharf/peers/datagrams.py
@@ -117,7 +117,7 @@
     ) -> None:
         """Sends a datagram to each peer, even if it exceeds the budget."""
         cost = _cost(datagram, len(peers))
-        self.budget.fill(self._clock.monotonic_s())
+        self.budget.refill(self._clock.monotonic_s())
         self.budget.take(cost)
         _sent_bytes.add({"kind": kind.decode()}, cost)
         framed = seal(kind, datagram)
--- a/src/mulberrywharf/peers/queue_codec.py
+++ b/src/mulberrywharf/peers/queue_codec.py
@@ -53,14 +53,14 @@
     Attributes:
         engine_key: Key of the engine, see ``codec.key_of_server``.
         wait_s: Time until the engine starts its prefill, in seconds.
-        known_s: Time in seconds for which all work of the engine has been
+        counted_s: Time in seconds for which all work of the engine has been
             counted. Earlier placements are not included in ``wait_s``.
         held_count: Number of the prompt's leading parts that the engine holds.
     """
 
     engine_key: int
     wait_s: float
-    known_s: float
+    counted_s: float
     held_count: int = 0
 
 
@@ -132,7 +132,7 @@
     for wire_wait, wait in zip(waits, message.waits, strict=True):
         wire_wait.engine = wait.engine_key
         wire_wait.waitMs = _to_ms(wait.wait_s)
-        wire_wait.knownMs = _to_ms(wait.known_s)
+        wire_wait.knownMs = _to_ms(wait.counted_s)
         wire_wait.heldCount = wait.held_count
 
 
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -29,7 +29,7 @@
 
 from mulberrywharf import clock, fleet, metrics
 from mulberrywharf.peers import codec, datagrams, queue_codec
-from mulberrywharf.policy import part_caches, reading_queue
+from mulberrywharf.policy import part_caches, prefill_queue
 
 REPLY_TIMEOUT_S = 0.02
 """Maximum time to wait for answers. A round trip between availability zones
@@ -170,7 +170,7 @@
         self._socket = socket
         self._sender = sender
         self._clock = system_clock
-        self._queues: dict[int, reading_queue.ReadingQueue] = {}
+        self._queues: dict[int, prefill_queue.PrefillQueue] = {}
         self._parts: Parts | None = None
         self._questions: dict[int, _PendingQuestion] = {}
         self._owners_counts: dict[tuple[str, fleet.Role | None], int] = {}
@@ -247,9 +247,9 @@
         return {
             start_by_key[wait.engine_key]: ToldWait(
                 wait.wait_s,
-                wait.known_s >= QUEUE_COMPLETE_AFTER_S,
+                wait.counted_s >= QUEUE_COMPLETE_AFTER_S,
                 wait.held_count,
-                wait.known_s >= PARTS_COMPLETE_AFTER_S,
+                wait.counted_s >= PARTS_COMPLETE_AFTER_S,
             )
             for wait in found
             if wait.engine_key in start_by_key
@@ -376,7 +376,7 @@
                 queue_codec.EngineWait(
                     key,
                     queue.wait_s(priority, now_s),
-                    queue.known_s(now_s),
+                    queue.counted_s(now_s),
                     self._held_count(key, part_keys),
                 )
             )
@@ -411,17 +411,17 @@
                         work.engine_key, work.parts, work.own_tokens
                     )
             case "read":
-                queue.read(placement, now_s)
+                queue.finish(placement, now_s)
             case "withdrawn":
                 queue.withdraw(placement, now_s)
 
     def _get_or_create_queue(
         self, key: int, now_s: float
-    ) -> reading_queue.ReadingQueue:
+    ) -> prefill_queue.PrefillQueue:
         queue = self._queues.get(key)
         if queue is None:
             self._drop_idle_queues(now_s)
-            queue = self._queues[key] = reading_queue.ReadingQueue(now_s)
+            queue = self._queues[key] = prefill_queue.PrefillQueue(now_s)
         return queue
 
     def _drop_idle_queues(self, now_s: float) -> None:
--- a/src/mulberrywharf/policy/admission.py
+++ b/src/mulberrywharf/policy/admission.py
@@ -38,7 +38,7 @@
     retry_after_max_s: float = 30.0
 
 
-class Demand(NamedTuple):
+class RequestRequirements(NamedTuple):
     """Requirements of a request.
 
     Attributes:
@@ -53,7 +53,7 @@
     first_token_target_s: float | None = None
 
 
-class Outlook(NamedTuple):
+class AdmissionEstimate(NamedTuple):
     """Estimates for the request under the current load.
 
     Attributes:
@@ -103,26 +103,28 @@
 
 
 def decide(
-    demand: Demand, outlook: Outlook, settings: AdmissionSettings | None = None
+    requirements: RequestRequirements,
+    estimate: AdmissionEstimate,
+    settings: AdmissionSettings | None = None,
 ) -> Admit | Wait | Shed:
     """Decides whether a new request is admitted, queued or refused."""
     settings = settings or AdmissionSettings()
-    if demand.time_left_s <= 0:
+    if requirements.time_left_s <= 0:
         return Shed(
             errors.DeadlineExceededError("the deadline has already passed")
         )
-    slack_s = _slack_s(demand, outlook, settings)
-    wait_s = 0.0 if outlook.has_slot else outlook.queue_wait_s
+    slack_s = _slack_s(requirements, estimate, settings)
+    wait_s = 0.0 if estimate.has_slot else estimate.queue_wait_s
     if wait_s > slack_s:
         excess_s = wait_s - slack_s
         return Shed(
             _overloaded("the answer would come too late", excess_s, settings)
         )
-    if outlook.has_slot:
+    if estimate.has_slot:
         return Admit()
-    if outlook.queued_count >= queue_limit(demand.priority, settings):
+    if estimate.queued_count >= queue_limit(requirements.priority, settings):
         return Shed(
-            _overloaded("the queue is full", outlook.queue_wait_s, settings)
+            _overloaded("the queue is full", estimate.queue_wait_s, settings)
         )
     return Wait(slack_s)
 
@@ -134,19 +136,21 @@
 
 
 def _slack_s(
-    demand: Demand, outlook: Outlook, settings: AdmissionSettings
+    requirements: RequestRequirements,
+    estimate: AdmissionEstimate,
+    settings: AdmissionSettings,
 ) -> float:
     """Returns how long the request may wait; negative if it is too late."""
-    slack_s = demand.time_left_s - outlook.total_s
-    if demand.first_token_target_s is None:
+    slack_s = requirements.time_left_s - estimate.total_s
+    if requirements.first_token_target_s is None:
         return slack_s
     tolerance = _interpolate(
         settings.first_token_tolerance,
         settings.low_priority_tolerance,
-        demand.priority,
+        requirements.priority,
     )
-    allowed_s = demand.first_token_target_s * tolerance
-    return min(slack_s, allowed_s - outlook.first_token_s)
+    allowed_s = requirements.first_token_target_s * tolerance
+    return min(slack_s, allowed_s - estimate.first_token_s)
 
 
 def _interpolate(at_highest: float, at_lowest: float, priority: int) -> float:
--- a/src/mulberrywharf/policy/background_work.py
+++ b/src/mulberrywharf/policy/background_work.py
@@ -13,7 +13,7 @@
 prompts of one gateway, short enough to follow swings of the mix within
 seconds."""
 
-LARGEST_SHARE = 0.75
+MAX_SHARE = 0.75
 """Upper bound of the share. A higher estimate only means that engines are full,
 and callers divide by the remaining share, which would amplify its noise."""
 
@@ -43,7 +43,7 @@
         self._decay(now_s)
         rate = self._work_s / WORK_TIME_CONSTANT_S
         taken_share = rate * gateways_count / max(1, engines_count)
-        return min(LARGEST_SHARE, taken_share)
+        return min(MAX_SHARE, taken_share)
 
     def _decay(self, now_s: float) -> None:
         age_s = max(0.0, now_s - self._updated_s)
--- a/src/mulberrywharf/policy/crash_suspects.py
+++ b/src/mulberrywharf/policy/crash_suspects.py
@@ -14,15 +14,15 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-ENDS_LIMIT_COUNT = 3
+BLOCK_ENDS_COUNT = 3
 """Number of servers ending while they run a request at which the request is
 blocked, regardless of the other requests that they were running."""
 
-SURE_ENDS_COUNT = 2
+BLOCK_ENDS_WITHOUT_OUTPUT_COUNT = 2
 """The same number for a request that had produced no output on these servers,
 if it is the only such request that they have in common."""
 
-KEPT_S = 600.0
+SUSPECT_KEPT_S = 600.0
 """Time after the last server end for which a request stays suspected. It
 expires because a new version of the service may be able to run the request."""
 
@@ -41,7 +41,7 @@
 _ENDS_PER_REQUEST_LIMIT_COUNT = 4
 
 
-class End(NamedTuple):
+class ServerEnd(NamedTuple):
     """The end of a server while it ran a request.
 
     Attributes:
@@ -64,14 +64,14 @@
     """
 
     def __init__(self) -> None:
-        self._ends: collections.OrderedDict[int, dict[int, End]] = (
+        self._ends: collections.OrderedDict[int, dict[int, ServerEnd]] = (
             collections.OrderedDict()
         )
         self._completed_s: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
 
-    def note_end(self, fingerprint: int, end: End) -> bool:
+    def record_server_end(self, fingerprint: int, end: ServerEnd) -> bool:
         """Records that a server ended while it ran a request.
 
         Returns:
@@ -93,7 +93,7 @@
             self._ends.popitem(last=False)
         return True
 
-    def note_whole(self, fingerprint: int, now_s: float) -> bool:
+    def record_completed(self, fingerprint: int, now_s: float) -> bool:
         """Records that a request completed, which clears the suspicion.
 
         Returns:
@@ -105,12 +105,12 @@
             self._completed_s.popitem(last=False)
         return self._ends.pop(fingerprint, None) is not None
 
-    def ends(self, fingerprint: int, now_s: float) -> tuple[End, ...]:
+    def ends(self, fingerprint: int, now_s: float) -> tuple[ServerEnd, ...]:
         """Returns the server ends of a request, in the order first recorded."""
         self._drop_expired(now_s)
         return tuple(self._ends.get(fingerprint, {}).values())
 
-    def has_end(self, fingerprint: int, server_key: int) -> bool:
+    def has_server_end(self, fingerprint: int, server_key: int) -> bool:
         """Returns whether the end of a server is recorded for a request."""
         return server_key in self._ends.get(fingerprint, {})
 
@@ -133,18 +133,20 @@
     def is_blocked(self, fingerprint: int, now_s: float) -> bool:
         """Returns whether a request must not be sent to any server."""
         ends = self.ends(fingerprint, now_s)
-        if len(ends) >= ENDS_LIMIT_COUNT:
+        if len(ends) >= BLOCK_ENDS_COUNT:
             return True
         server_keys = _ended_without_output(ends)
-        return len(server_keys) >= SURE_ENDS_COUNT and self._is_sole_suspect(
+        return len(
+            server_keys
+        ) >= BLOCK_ENDS_WITHOUT_OUTPUT_COUNT and self._is_sole_suspect(
             fingerprint, server_keys
         )
 
     def blocked_for_s(self, fingerprint: int, now_s: float) -> float:
         """Returns the remaining time for which a request stays blocked."""
         ends = self.ends(fingerprint, now_s)
-        last_s = max((end.at_s for end in ends), default=now_s - KEPT_S)
-        return last_s + KEPT_S - now_s
+        last_s = max((end.at_s for end in ends), default=now_s - SUSPECT_KEPT_S)
+        return last_s + SUSPECT_KEPT_S - now_s
 
     def blocked(self, now_s: float) -> list[int]:
         """Returns the fingerprints of all blocked requests."""
@@ -166,7 +168,7 @@
         """Returns whether no other request is as suspect on these servers."""
         return not any(
             len(_ended_without_output(ends.values()) & server_keys)
-            >= SURE_ENDS_COUNT
+            >= BLOCK_ENDS_WITHOUT_OUTPUT_COUNT
             for other, ends in self._ends.items()
             if other != fingerprint
         )
@@ -176,7 +178,7 @@
         while self._ends:
             oldest = next(iter(self._ends))
             last_s = max(end.at_s for end in self._ends[oldest].values())
-            if now_s - last_s < KEPT_S:
+            if now_s - last_s < SUSPECT_KEPT_S:
                 break
             del self._ends[oldest]
         while self._completed_s:
@@ -186,6 +188,6 @@
             del self._completed_s[oldest]
 
 
-def _ended_without_output(ends: Iterable[End]) -> frozenset[int]:
+def _ended_without_output(ends: Iterable[ServerEnd]) -> frozenset[int]:
     """Returns the keys of servers that ended before any output."""
     return frozenset(end.server_key for end in ends if not end.made_output)
--- a/src/mulberrywharf/policy/fading_rate.py
+++ b/src/mulberrywharf/policy/decaying_rate.py
@@ -3,7 +3,7 @@
 import math
 
 
-class FadingRate:
+class DecayingRate:
     """An exponentially decaying rate.
 
     It isn't biased towards zero at the start, since the amount is divided by
--- a/src/mulberrywharf/policy/engine_queues.py
+++ b/src/mulberrywharf/policy/engine_queues.py
@@ -52,7 +52,7 @@
         )
         return Ticket(engine, self._cumulative_work_s[engine])
 
-    def told(
+    def set_wait(
         self, engine: fleet.ServerStart, wait_s: float, now_s: float
     ) -> None:
         """Sets a queue to the wait reported by the node that counts it."""
--- a/src/mulberrywharf/policy/engine_speeds.py
+++ b/src/mulberrywharf/policy/engine_speeds.py
@@ -15,7 +15,7 @@
 """
 
 import math
-from typing import NamedTuple
+from typing import NamedTuple, Self
 
 from mulberrywharf import fleet
 
@@ -72,16 +72,16 @@
 _MIN_DURATION_S = 1e-4
 
 
-class ReadingTime(NamedTuple):
+class PrefillTime(NamedTuple):
     """Time to prefill a prompt at an idle engine, term by term.
 
     Attributes:
-        begin_s: Fixed overhead; the engine prefills other prompts meanwhile.
+        overhead_s: Fixed overhead; the engine prefills other prompts meanwhile.
         tokens_s: Time for its tokens.
         pairs_s: Time for attention between each token and those before it.
     """
 
-    begin_s: float
+    overhead_s: float
     tokens_s: float
     pairs_s: float
 
@@ -93,12 +93,12 @@
     @property
     def total_s(self) -> float:
         """The sum of all terms."""
-        return self.begin_s + self.work_s
+        return self.overhead_s + self.work_s
 
-    def paced(self, pace: float) -> "ReadingTime":
+    def slowed(self, pace: float) -> Self:
         """Returns the time at an engine that is ``pace`` times slower."""
-        return ReadingTime(
-            self.begin_s * pace, self.tokens_s * pace, self.pairs_s * pace
+        return type(self)(
+            self.overhead_s * pace, self.tokens_s * pace, self.pairs_s * pace
         )
 
 
@@ -106,16 +106,16 @@
     """Prefill speed of the engines of one role.
 
     Attributes:
-        begin_s: Time from the end of the prefill to the answer.
+        overhead_s: Time from the end of the prefill to the answer.
         token_s: Time per token.
         pair_s: Time per attention pair.
     """
 
-    begin_s: float = INITIAL_OVERHEAD_S
+    overhead_s: float = INITIAL_OVERHEAD_S
     token_s: float = INITIAL_TOKEN_S
     pair_s: float = INITIAL_PAIR_S
 
-    def reading(self, tokens: int, cached_tokens: int) -> ReadingTime:
+    def prefill_time(self, tokens: int, cached_tokens: int) -> PrefillTime:
         """Returns the time to prefill a prompt.
 
         Args:
@@ -124,8 +124,8 @@
         """
         missing_tokens = tokens - cached_tokens
         pairs = missing_tokens * (tokens + cached_tokens) / 2
-        return ReadingTime(
-            self.begin_s, missing_tokens * self.token_s, pairs * self.pair_s
+        return PrefillTime(
+            self.overhead_s, missing_tokens * self.token_s, pairs * self.pair_s
         )
 
 
@@ -189,10 +189,10 @@
             return 1.0
         return min(MAX_PACE, math.exp(known.at(now_s)))
 
-    def learn_reading(
+    def learn_prefill(
         self,
         server: fleet.Server,
-        reading: ReadingTime,
+        prefill_time: PrefillTime,
         wait_s: float,
         duration_s: float,
         now_s: float,
@@ -201,27 +201,27 @@
 
         Args:
             server: The engine that prefilled the prompt.
-            reading: Estimated prefill time.
+            prefill_time: Estimated prefill time.
             wait_s: Estimated wait before the prefill.
             duration_s: Actual duration of wait and prefill together.
             now_s: The current time.
         """
         is_prefill = server.role == "prefill"
-        estimate_s = wait_s + reading.total_s
-        if estimate_s <= 0 or reading.work_s <= 0:
+        estimate_s = wait_s + prefill_time.total_s
+        if estimate_s <= 0 or prefill_time.work_s <= 0:
             return
         answers_count = self._prefills_count[is_prefill]
         self._prefills_count[is_prefill] += 1
         log_ratio = _weighted_log_ratio(duration_s, estimate_s, answers_count)
         gain = _gain(answers_count)
-        overhead_share = reading.begin_s / estimate_s
+        overhead_share = prefill_time.overhead_s / estimate_s
         tokens_share = (
-            (1.0 - overhead_share) * reading.tokens_s / reading.work_s
+            (1.0 - overhead_share) * prefill_time.tokens_s / prefill_time.work_s
         )
         attention_share = 1.0 - overhead_share - tokens_share
         speed = self._speeds.prefill if is_prefill else self._speeds.decode
         learned = RoleSpeed(
-            speed.begin_s * math.exp(gain * log_ratio * overhead_share),
+            speed.overhead_s * math.exp(gain * log_ratio * overhead_share),
             speed.token_s * math.exp(gain * log_ratio * tokens_share),
             speed.pair_s * math.exp(gain * log_ratio * attention_share),
         )
--- a/src/mulberrywharf/policy/home_hits.py
+++ b/src/mulberrywharf/policy/home_hit_rate.py
@@ -20,17 +20,17 @@
 gateway is told of all of them."""
 
 
-class HomeHits:
+class HomeHitRate:
     """Moving average of the hit rate of home engines nearby."""
 
     def __init__(self) -> None:
-        self._share = 0.0
+        self._rate = 0.0
 
     @property
-    def share(self) -> float:
+    def rate(self) -> float:
         """Share of prompts whose home held their part, 0 to 1."""
-        return self._share
+        return self._rate
 
     def note(self, *, is_held: bool) -> None:
         """Records whether a home nearby held the part of a prompt."""
-        self._share += EWMA_WEIGHT * (float(is_held) - self._share)
+        self._rate += EWMA_WEIGHT * (float(is_held) - self._rate)
--- a/src/mulberrywharf/policy/usual_load.py
+++ b/src/mulberrywharf/policy/load_estimates.py
@@ -15,13 +15,13 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-KEPT_S = 0.05
+MEAN_CACHE_S = 0.05
 """A mean is cached for this long. It changes by about one placement in a dozen
 meanwhile, and computing it for each decision would cost a node with half a core
 0.1 ms more."""
 
 
-TOLD_AGE_S = 3.0
+MAX_REPORT_AGE_S = 3.0
 """Reports of other zones are used for this long; the mix of work swings within
 this time."""
 
@@ -51,7 +51,7 @@
     )
 
 
-def at_least(load: Load, usual: Load) -> Load:
+def raised_to(load: Load, usual: Load) -> Load:
     """Returns a partly known load, raised to the usual load where lower."""
     return Load(
         max(load.running_share, usual.running_share),
--- a/src/mulberrywharf/policy/observed_waits.py
+++ b/src/mulberrywharf/policy/observed_waits.py
@@ -26,24 +26,24 @@
 trip."""
 
 
-Matter = Literal["read", "start"]
+WorkKind = Literal["read", "start"]
 """Whether an engine prefills a prompt or continues a prefilled one."""
 
 
-class Awaited(NamedTuple):
+class PendingPrompt(NamedTuple):
     """A prompt whose answer has not begun.
 
     Attributes:
         engine: The engine that it was sent to.
-        matter: What the engine does first.
+        kind: What the engine does first.
         sent_s: When it was sent.
-        unqueued_s: Time to its answer at an idle engine.
+        unloaded_s: Time to its answer at an idle engine.
     """
 
     engine: fleet.ServerStart
-    matter: Matter
+    kind: WorkKind
     sent_s: float
-    unqueued_s: float
+    unloaded_s: float
 
 
 class _Wait:
@@ -55,14 +55,14 @@
         self.wait_s = 0.0
         self.at_s = 0.0
         # In the order of sending, so the first has waited longest.
-        self.awaited: dict[int, Awaited] = {}
+        self.awaited: dict[int, PendingPrompt] = {}
 
 
 class ObservedWaits:
     """Waits at all engines, as seen by this gateway's own requests."""
 
     def __init__(self) -> None:
-        self._waits: dict[tuple[fleet.ServerStart, Matter], _Wait] = {}
+        self._waits: dict[tuple[fleet.ServerStart, WorkKind], _Wait] = {}
 
     def keep_only(self, engines: frozenset[fleet.ServerStart]) -> None:
         """Forgets other engines, except those with unanswered prompts."""
@@ -72,43 +72,43 @@
             if key[0] in engines or wait.awaited
         }
 
-    def sent(self, awaited: Awaited) -> None:
+    def sent(self, awaited: PendingPrompt) -> None:
         """Records a sent prompt; ``answered`` or ``failed`` must follow."""
-        wait = self._wait(awaited.engine, awaited.matter)
+        wait = self._wait(awaited.engine, awaited.kind)
         wait.awaited[id(awaited)] = awaited
 
-    def failed(self, awaited: Awaited) -> None:
+    def failed(self, awaited: PendingPrompt) -> None:
         """Records that a prompt will not be answered."""
-        wait = self._wait(awaited.engine, awaited.matter)
+        wait = self._wait(awaited.engine, awaited.kind)
         wait.awaited.pop(id(awaited), None)
 
-    def answered(self, awaited: Awaited, now_s: float) -> None:
+    def answered(self, awaited: PendingPrompt, now_s: float) -> None:
         """Records that a prompt's answer has begun."""
         self.failed(awaited)
         observed_s = _excess_s(awaited, now_s)
-        wait = self._wait(awaited.engine, awaited.matter)
+        wait = self._wait(awaited.engine, awaited.kind)
         previous_s = _decayed_s(wait, now_s)
         wait.wait_s = previous_s + EWMA_WEIGHT * (observed_s - previous_s)
         wait.at_s = now_s
 
     def wait_s(
-        self, engine: fleet.ServerStart, matter: Matter, now_s: float
+        self, engine: fleet.ServerStart, kind: WorkKind, now_s: float
     ) -> float:
         """Returns the estimated wait of a prompt at an engine."""
-        wait = self._waits.get((engine, matter))
+        wait = self._waits.get((engine, kind))
         if wait is None:
             return 0.0
         oldest = next(iter(wait.awaited.values()), None)
         oldest_wait_s = _excess_s(oldest, now_s) if oldest is not None else 0.0
         return max(oldest_wait_s, _decayed_s(wait, now_s))
 
-    def _wait(self, engine: fleet.ServerStart, matter: Matter) -> _Wait:
-        return self._waits.setdefault((engine, matter), _Wait())
+    def _wait(self, engine: fleet.ServerStart, kind: WorkKind) -> _Wait:
+        return self._waits.setdefault((engine, kind), _Wait())
 
 
-def _excess_s(awaited: Awaited, now_s: float) -> float:
+def _excess_s(awaited: PendingPrompt, now_s: float) -> float:
     took_s = now_s - awaited.sent_s
-    return max(0.0, took_s - awaited.unqueued_s - STEP_AND_NETWORK_S)
+    return max(0.0, took_s - awaited.unloaded_s - STEP_AND_NETWORK_S)
 
 
 def _decayed_s(wait: _Wait, now_s: float) -> float:
--- a/src/mulberrywharf/policy/part_caches.py
+++ b/src/mulberrywharf/policy/part_caches.py
@@ -106,7 +106,7 @@
             if engine in engines
         }
 
-    def note_read(
+    def record_cached(
         self,
         engine: fleet.ServerStart,
         parts: Sequence[HeldPart],
@@ -124,7 +124,7 @@
             cache.touch(part)
         cache.evict_beyond(memory_tokens * CACHE_MEMORY_SHARE)
 
-    def note_own(
+    def record_unshared(
         self, engine: fleet.ServerStart, tokens: int, memory_tokens: int
     ) -> None:
         """Records tokens that no other prompt will share.
@@ -140,7 +140,7 @@
         """
         self._unshared_count += 1
         key = (1 << _PART_KEY_BITS) + self._unshared_count
-        self.note_read(engine, (HeldPart(key, tokens),), memory_tokens)
+        self.record_cached(engine, (HeldPart(key, tokens),), memory_tokens)
 
     def holds(self, engine: fleet.ServerStart, key: int) -> bool:
         """Returns whether an engine is believed to hold a part."""
--- a/src/mulberrywharf/policy/part_homes.py
+++ b/src/mulberrywharf/policy/part_homes.py
@@ -18,8 +18,8 @@
 all engines would all choose the same one."""
 
 
-def homes(
-    part_key: int, among: Iterable[fleet.Server], count: int = HOMES_COUNT
+def home_engines_of(
+    part_key: int, candidates: Iterable[fleet.Server], count: int = HOMES_COUNT
 ) -> list[fleet.Server]:
     """Returns the home engines of a part, the first home first.
 
@@ -29,12 +29,12 @@
 
     Args:
         part_key: Key of the part, see ``part_caches.HeldPart``.
-        among: Engines that may be its home.
+        candidates: Engines that may be its home.
         count: Number of engines to return.
     """
     return heapq.nlargest(
         count,
-        among,
+        candidates,
         key=lambda one: xxhash.xxh3_64_intdigest(
             one.server_id.encode(), seed=part_key
         ),
@@ -43,7 +43,7 @@
 
 def sample(
     home_engines: Sequence[fleet.Server],
-    among: Sequence[fleet.Server],
+    candidates: Sequence[fleet.Server],
     rng: random.Random,
     *,
     is_preferred: Callable[[fleet.Server], bool] = lambda _: False,
@@ -52,13 +52,13 @@
 
     Args:
         home_engines: Home engines of its shared part; always included.
-        among: All engines of the role.
+        candidates: All engines of the role.
         rng: Draws the other engines.
         is_preferred: Returns whether an engine is drawn before others.
     """
-    if len(among) <= SAMPLE_COUNT:
-        return list(among)
-    others = [one for one in among if one not in home_engines]
+    if len(candidates) <= SAMPLE_COUNT:
+        return list(candidates)
+    others = [one for one in candidates if one not in home_engines]
     rng.shuffle(others)
     others.sort(key=lambda one: not is_preferred(one))
     return [*home_engines, *others[: SAMPLE_COUNT - len(home_engines)]]
--- a/src/mulberrywharf/policy/planner_types.py
+++ b/src/mulberrywharf/policy/planner_types.py
@@ -26,7 +26,7 @@
         min_gain_s: Predicted gain, in seconds of full goodput, that a change
             must exceed even if its cost has weight 0. Predictions exceed the
             actual gain by about this much.
-        away_s: Time for which a role change makes an engine unavailable.
+        unavailable_s: Time for which a role change makes an engine unavailable.
         horizon_s: Time for which the mix of prompt and output tokens is
             assumed to last.
         dwell_s: Minimum time that an engine keeps a role.
@@ -46,7 +46,7 @@
     role_change_weight: float = 1.0
     change_cost_s: float = 5.0
     min_gain_s: float = 12.0
-    away_s: float = _DEFAULT_AWAY_S
+    unavailable_s: float = _DEFAULT_AWAY_S
     horizon_s: float = 150.0
     dwell_s: float = 15.0
     budget_count: int = 120
@@ -64,7 +64,7 @@
         return cls(
             goodput_weight=controller.get("goodput_weight", 1.0),
             role_change_weight=controller.get("role_change_weight", 1.0),
-            away_s=controller.get("role_change_away_s", _DEFAULT_AWAY_S),
+            unavailable_s=controller.get("role_change_away_s", _DEFAULT_AWAY_S),
             clock_margin_s=controller.get(
                 "clock_margin_s", settings.DEFAULT_CLOCK_MARGIN_S
             ),
@@ -126,7 +126,7 @@
         engines: All engines that the zone may use.
         demand: The measured demand, None before the first measurement.
         target: The role split that the rules fix, None if they fix none.
-        in_change_count: Engines that are being changed, or drained for a
+        changing_count: Engines that are being changed, or drained for a
             change.
         change_ends_unix_s: End times of recent role changes, which count
             against the budget.
@@ -135,7 +135,7 @@
     engines: tuple[PlannerEngine, ...]
     demand: Demand | None
     target: RoleCounts | None = None
-    in_change_count: int = 0
+    changing_count: int = 0
     change_ends_unix_s: tuple[float, ...] = ()
 
 
--- a/src/mulberrywharf/policy/read_demand.py
+++ b/src/mulberrywharf/policy/prefill_demand.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from mulberrywharf.policy import fading_rate
+from mulberrywharf.policy import decaying_rate
 
 RATE_TIME_CONSTANT_S = 5.0
 """Time constant of the average, which covers a swing or two: the mix of work
@@ -24,11 +24,11 @@
 few prompts of the first second say little."""
 
 
-class ReadDemand:
+class PrefillDemand:
     """The prefill demand on the engines of one service."""
 
     def __init__(self) -> None:
-        self._own = fading_rate.FadingRate(RATE_TIME_CONSTANT_S)
+        self._own = decaying_rate.DecayingRate(RATE_TIME_CONSTANT_S)
         self._first_prompt_s: float | None = None
         self._reports: dict[int, tuple[float, float]] = {}
 
@@ -38,11 +38,11 @@
             self._first_prompt_s = now_s
         self._own.add(work_s, now_s)
 
-    def own(self, now_s: float) -> float:
+    def own_engines(self, now_s: float) -> float:
         """Returns how many engines this gateway's prompts keep busy."""
         return self._own.per_s(now_s)
 
-    def hear(self, sender: int, engines: float, now_s: float) -> None:
+    def record_report(self, sender: int, engines: float, now_s: float) -> None:
         """Records the report of another gateway.
 
         Args:
@@ -52,7 +52,7 @@
         """
         self._reports[sender] = engines, now_s
 
-    def total(self, gateways_count: int, now_s: float) -> float | None:
+    def total_engines(self, gateways_count: int, now_s: float) -> float | None:
         """Returns how many engines the prompts of all gateways keep busy.
 
         Args:
@@ -69,7 +69,7 @@
         ):
             return None
         recent = list(self._recent_reports(now_s))
-        known = self.own(now_s) + sum(recent)
+        known = self.own_engines(now_s) + sum(recent)
         return known * max(1.0, gateways_count / (1 + len(recent)))
 
     def _recent_reports(self, now_s: float) -> Iterable[float]:
--- a/src/mulberrywharf/policy/reading_queue.py
+++ b/src/mulberrywharf/policy/prefill_queue.py
@@ -41,7 +41,7 @@
 """Id of the sender of a prompt, and the sender's number for the prompt."""
 
 
-class ReadingQueue:
+class PrefillQueue:
     """The prefill queue of one engine."""
 
     def __init__(self, now_s: float):
@@ -58,7 +58,7 @@
         self._current: tuple[_PlacementId, _Prompt] | None = None
         self._current_began_s = now_s
 
-    def known_s(self, now_s: float) -> float:
+    def counted_s(self, now_s: float) -> float:
         """Returns for how long all placements have been counted."""
         return now_s - self._counted_since_s
 
@@ -91,7 +91,7 @@
         if self._current is None:
             self._start_next(now_s)
 
-    def read(self, placement: _PlacementId, now_s: float) -> None:
+    def finish(self, placement: _PlacementId, now_s: float) -> None:
         """Removes a prompt whose prefill has ended, and those before it."""
         for level in self._waiting.values():
             if placement not in level:
--- a/src/mulberrywharf/policy/prefix_index.py
+++ b/src/mulberrywharf/policy/prefix_index.py
@@ -147,7 +147,7 @@
                 stream.gap_s = now_s
             stream.last_sequence = last_sequence
 
-    def note_sent(
+    def record_prefill(
         self, engine_id: str, block_hashes: Sequence[str], now_s: float
     ) -> None:
         """Records that this node sent a prompt to the engine for prefill.
--- a/src/mulberrywharf/policy/prompt_admission.py
+++ b/src/mulberrywharf/policy/prompt_admission.py
@@ -41,7 +41,7 @@
 ignore longer delays, and need time for their answer afterwards."""
 
 
-class Prospect(NamedTuple):
+class AdmissionEstimate(NamedTuple):
     """Estimated delays of a request, for the admission decision.
 
     Attributes:
@@ -67,33 +67,33 @@
     retry_after_s: float
 
 
-def decide(prospect: Prospect, rng: random.Random) -> Refusal | None:
+def decide(estimate: AdmissionEstimate, rng: random.Random) -> Refusal | None:
     """Decides whether a request is refused.
 
     Args:
-        prospect: Its estimated delays.
+        estimate: Its estimated delays.
         rng: Spreads refusals and retries.
 
     Returns:
         The refusal, or None if the request may be sent.
     """
-    if prospect.first_token_s < prospect.left_s and not _is_late(prospect, rng):
+    if estimate.first_token_s < estimate.left_s and not _is_late(estimate, rng):
         return None
     max_retry_after_s = max(
-        MIN_RETRY_AFTER_S, prospect.left_s * MAX_RETRY_AFTER_LEFT_SHARE
+        MIN_RETRY_AFTER_S, estimate.left_s * MAX_RETRY_AFTER_LEFT_SHARE
     )
     min_retry_after_s = min(
-        max_retry_after_s, max(MIN_RETRY_AFTER_S, prospect.queue_s)
+        max_retry_after_s, max(MIN_RETRY_AFTER_S, estimate.queue_s)
     )
     return Refusal(rng.uniform(min_retry_after_s, max_retry_after_s))
 
 
-def _is_late(prospect: Prospect, rng: random.Random) -> bool:
-    if prospect.target_s is None:
+def _is_late(estimate: AdmissionEstimate, rng: random.Random) -> bool:
+    if estimate.target_s is None:
         return False
-    own_prefill_s = prospect.first_token_s - prospect.queue_s
+    own_prefill_s = estimate.first_token_s - estimate.queue_s
     counted_prefill_s = min(
-        own_prefill_s, MAX_OWN_PREFILL_TARGET_SHARE * prospect.target_s
+        own_prefill_s, MAX_OWN_PREFILL_TARGET_SHARE * estimate.target_s
     )
-    share = (counted_prefill_s + prospect.queue_s) / prospect.target_s
+    share = (counted_prefill_s + estimate.queue_s) / estimate.target_s
     return share > rng.uniform(ADMIT_ALL_TARGET_SHARE, REFUSE_ALL_TARGET_SHARE)
--- a/src/mulberrywharf/policy/prompt_placement.py
+++ b/src/mulberrywharf/policy/prompt_placement.py
@@ -74,14 +74,14 @@
         slot_wait_s: Time until one of its slots is free; part of ``wait_s``.
         running_share: Share of its slots in use.
         cached_tokens: Leading tokens of the prompt that it holds.
-        pace: Its slowdown relative to other engines of its role: 1 for equal
-            speed, 2 for half the speed.
+        slowdown: Its slowdown relative to other engines of its role: 1 for
+            equal speed, 2 for half the speed.
         is_suspected: Whether it recently failed to answer.
-        is_near: Whether it is in the node's availability zone.
+        is_same_zone: Whether it is in the node's availability zone.
         is_home: Whether it is the first home engine of the prompt's shared
             part.
-        told_wait_s: The part of ``wait_s`` reported by the node that counts all
-            of the engine's prompts, None if there was no report.
+        reported_wait_s: The part of ``wait_s`` reported by the node that counts
+            all of the engine's prompts, None if there was no report.
     """
 
     server: fleet.Server
@@ -89,11 +89,11 @@
     slot_wait_s: float = 0.0
     running_share: float = 0.0
     cached_tokens: int = 0
-    pace: float = 1.0
+    slowdown: float = 1.0
     is_suspected: bool = False
-    is_near: bool = True
+    is_same_zone: bool = True
     is_home: bool = False
-    told_wait_s: float | None = None
+    reported_wait_s: float | None = None
 
 
 class PromptShape(NamedTuple):
@@ -120,7 +120,7 @@
         prefill: The engine that prefills, None if ``decode`` does it.
         fetch_from: The engine that cached parts are copied from, if any.
         first_token_s: Estimated time to the first token.
-        reading: Prefill time of the prompt at the engine that prefills it.
+        prefill_time: Prefill time of the prompt at the engine that prefills it.
         copy_s: Time to copy cached parts before the prefill; for a prompt that
             is already prefilled, time to transfer its KV cache.
         cached_tokens: Prompt tokens that need no prefill.
@@ -131,7 +131,7 @@
     prefill: EngineView | None
     fetch_from: fleet.Server | None
     first_token_s: float
-    reading: engine_speeds.ReadingTime
+    prefill_time: engine_speeds.PrefillTime
     copy_s: float
     cached_tokens: int
     cost: float
@@ -139,7 +139,7 @@
     @property
     def prefill_work_s(self) -> float:
         """Engine time that the prefill takes from other prompts."""
-        return self.copy_s + self.reading.work_s
+        return self.copy_s + self.prefill_time.work_s
 
     @property
     def queue_s(self) -> float:
@@ -149,22 +149,24 @@
         return self.prefill.wait_s + self.decode.slot_wait_s
 
     @property
-    def reader(self) -> EngineView:
+    def prefill_engine(self) -> EngineView:
         """The engine that prefills the prompt."""
         return self.prefill or self.decode
 
-    def with_wait(self, wait_s: float, told_wait_s: float) -> "Plan":
+    def with_wait(self, wait_s: float, reported_wait_s: float) -> "Plan":
         """Returns the plan with another wait at the prefilling engine.
 
         Args:
             wait_s: See ``EngineView``.
-            told_wait_s: See ``EngineView``.
+            reported_wait_s: See ``EngineView``.
         """
-        longer_s = wait_s - self.reader.wait_s
-        reader = self.reader._replace(wait_s=wait_s, told_wait_s=told_wait_s)
+        longer_s = wait_s - self.prefill_engine.wait_s
+        prefill_engine = self.prefill_engine._replace(
+            wait_s=wait_s, reported_wait_s=reported_wait_s
+        )
         return self._replace(
-            decode=self.decode if self.prefill else reader,
-            prefill=reader if self.prefill else None,
+            decode=self.decode if self.prefill else prefill_engine,
+            prefill=prefill_engine if self.prefill else None,
             first_token_s=self.first_token_s + longer_s,
             cost=self.cost + longer_s,
         )
@@ -173,7 +175,7 @@
 class _PrefillEstimate(NamedTuple):
     """How an engine prefills a prompt, with or without a KV copy."""
 
-    time: engine_speeds.ReadingTime
+    time: engine_speeds.PrefillTime
     copy_s: float
     fetch_from: fleet.Server | None
     cached_tokens: int
@@ -249,14 +251,14 @@
         shape, transferred_tokens, source.server, decode.server
     )
     first_token_s = (
-        transfer_s + decode.slot_wait_s + speeds.takeover_s * decode.pace
+        transfer_s + decode.slot_wait_s + speeds.takeover_s * decode.slowdown
     )
     return Plan(
         decode,
         source,
         None,
         first_token_s,
-        engine_speeds.ReadingTime(0.0, 0.0, 0.0),
+        engine_speeds.PrefillTime(0.0, 0.0, 0.0),
         transfer_s,
         shape.tokens,
         first_token_s
@@ -307,7 +309,7 @@
         + estimate.total_s
         + _transfer_s(shape, transferred_tokens, prefill.server, decode.server)
         + decode.slot_wait_s
-        + speeds.takeover_s * decode.pace
+        + speeds.takeover_s * decode.slowdown
     )
     cost = (
         first_token_s
@@ -345,7 +347,9 @@
     """
     speed = _speed(speeds, engine)
     held_tokens = engine.cached_tokens
-    without_copy = speed.reading(shape.tokens, held_tokens).paced(engine.pace)
+    without_copy = speed.prefill_time(shape.tokens, held_tokens).slowed(
+        engine.slowdown
+    )
     holder = _other_holder(engine, holders)
     if holder is None:
         return _PrefillEstimate(without_copy, 0.0, None, held_tokens)
@@ -355,11 +359,11 @@
         shape, max(0, gained_tokens), holder.server, engine.server
     )
     if gained_tokens <= 0:
-        part_s = speed.reading(holder.cached_tokens, 0).work_s
+        part_s = speed.prefill_time(holder.cached_tokens, 0).work_s
         source = holder.server if part_s > copy_s else None
         return _PrefillEstimate(without_copy, 0.0, source, held_tokens)
-    with_copy = speed.reading(shape.tokens, holder.cached_tokens)
-    with_copy = with_copy.paced(engine.pace)
+    with_copy = speed.prefill_time(shape.tokens, holder.cached_tokens)
+    with_copy = with_copy.slowed(engine.slowdown)
     if copy_s + with_copy.work_s >= without_copy.work_s:
         return _PrefillEstimate(without_copy, 0.0, None, held_tokens)
     return _PrefillEstimate(
@@ -422,7 +426,7 @@
 
 def _stream_cost_s(decode: EngineView) -> float:
     """Returns the cost of generating at an engine, besides its queue."""
-    zone_cost_s = 0.0 if decode.is_near else OTHER_ZONE_STREAM_COST_S
+    zone_cost_s = 0.0 if decode.is_same_zone else OTHER_ZONE_STREAM_COST_S
     return _engine_cost_s(decode) + zone_cost_s
 
 
@@ -434,6 +438,6 @@
     return (
         engine.running_share * FULL_BATCH_COST_S
         + (SUSPECT_COST_S if engine.is_suspected else 0.0)
-        + (0.0 if engine.is_near else OTHER_ZONE_COST_S)
+        + (0.0 if engine.is_same_zone else OTHER_ZONE_COST_S)
         - (HOME_BONUS_S if engine.is_home else 0.0)
     )
--- a/src/mulberrywharf/policy/retry_budget.py
+++ b/src/mulberrywharf/policy/retry_budget.py
@@ -21,9 +21,9 @@
 
     Attributes:
         retry_share: Retries that each first attempt adds to the budgets.
-        floor_per_s: Retries per second that the node's budget gains in any
-            case.
-        customer_floor_per_s: The same for the budget of each customer.
+        min_retries_per_s: Retries per second that the node's budget gains in
+            any case.
+        customer_min_retries_per_s: The same for the budget of each customer.
         burst_count: Maximum retries in the node's budget.
         customer_burst_count: Maximum retries in a customer's budget.
         attempts_limit_count: Maximum attempts of one request.
@@ -34,8 +34,8 @@
     """
 
     retry_share: float = 0.1
-    floor_per_s: float = 1.0
-    customer_floor_per_s: float = 0.2
+    min_retries_per_s: float = 1.0
+    customer_min_retries_per_s: float = 0.2
     burst_count: float = 20.0
     customer_burst_count: float = 5.0
     attempts_limit_count: int = 3
@@ -72,11 +72,11 @@
     """The request should be retried after a delay.
 
     Attributes:
-        after_s: Delay before the retry.
+        delay_s: Delay before the retry.
         is_resume: Whether to continue after the tokens already delivered.
     """
 
-    after_s: float
+    delay_s: float
     is_resume: bool = False
 
 
@@ -96,7 +96,7 @@
     def __init__(self, settings: RetrySettings, now_s: float):
         self._settings = settings
         self._node_bucket = token_bucket.TokenBucket(
-            settings.floor_per_s, settings.burst_count, now_s
+            settings.min_retries_per_s, settings.burst_count, now_s
         )
         self._customer_buckets: collections.OrderedDict[
             str, token_bucket.TokenBucket
@@ -121,7 +121,7 @@
             self._node_bucket,
             self._customer_bucket(customer, now_s),
         ):
-            bucket.fill(now_s)
+            bucket.refill(now_s)
             bucket.take(-earned)
 
     def decide(
@@ -148,8 +148,8 @@
                     "every allowed attempt failed", outcome_so_far
                 )
             )
-        after_s = self._backoff_s(attempt, rng)
-        if after_s + attempt.expected_s >= attempt.time_left_s:
+        delay_s = self._backoff_s(attempt, rng)
+        if delay_s + attempt.expected_s >= attempt.time_left_s:
             return GiveUp(
                 errors.DeadlineExceededError(
                     "another attempt would not finish before the deadline",
@@ -160,7 +160,7 @@
             return GiveUp(
                 _budget_spent_error("the retry budget is spent", outcome_so_far)
             )
-        return Retry(after_s, is_resume=verdict.may_resume)
+        return Retry(delay_s, is_resume=verdict.may_resume)
 
     def _backoff_s(self, attempt: FailedAttempt, rng: random.Random) -> float:
         settings = self._settings
@@ -183,7 +183,7 @@
         bucket = self._customer_buckets.get(customer)
         if bucket is None:
             bucket = token_bucket.TokenBucket(
-                self._settings.customer_floor_per_s,
+                self._settings.customer_min_retries_per_s,
                 self._settings.customer_burst_count,
                 now_s,
             )
--- a/src/mulberrywharf/policy/role_planner.py
+++ b/src/mulberrywharf/policy/role_planner.py
@@ -53,7 +53,7 @@
         options: Weights and limits.
         now_unix_s: Current wall clock time.
     """
-    if view.in_change_count > 0:
+    if view.changing_count > 0:
         return Stay("an engine in the zone is already being changed")
     if view.target is not None:
         return _plan_for_target(view.engines, view.target)
@@ -193,8 +193,12 @@
     The age of the demand shortens the horizon, because the current mix has
     already lasted that long.
     """
-    horizon_s = max(0.0, options.horizon_s - demand.age_s - options.away_s)
-    return (after - before) * horizon_s - (before - during) * options.away_s
+    horizon_s = max(
+        0.0, options.horizon_s - demand.age_s - options.unavailable_s
+    )
+    return (after - before) * horizon_s - (
+        before - during
+    ) * options.unavailable_s
 
 
 @functools.singledispatch
--- a/src/mulberrywharf/policy/server_choice.py
+++ b/src/mulberrywharf/policy/server_choice.py
@@ -33,33 +33,36 @@
 
     Attributes:
         server: The server.
-        own_count: This node's requests in flight at the server.
-        others_count: Estimated requests in flight there from other nodes.
+        own_in_flight_count: This node's requests in flight at the server.
+        others_in_flight_count: Estimated requests in flight there from other
+            nodes.
         failure_share: Fraction of its recent answers that were failures.
-        pace: Its recent answer time relative to its peers; 1 if equal, more if
-            it is slower.
+        slowdown: Its recent answer time relative to its peers; 1 if equal, more
+            if it is slower.
         is_suspected: Whether it recently did not answer.
-        is_near: Whether it is in this node's availability zone.
+        is_same_zone: Whether it is in this node's availability zone.
     """
 
     server: fleet.Server
-    own_count: int = 0
-    others_count: float = 0.0
+    own_in_flight_count: int = 0
+    others_in_flight_count: float = 0.0
     failure_share: float = 0.0
-    pace: float = 1.0
+    slowdown: float = 1.0
     is_suspected: bool = False
-    is_near: bool = True
+    is_same_zone: bool = True
 
 
 def cost(candidate: Candidate) -> float:
     """Returns the cost of one more request; 1 is that of all slots in use."""
-    busy_count = candidate.own_count + candidate.others_count + 1
+    busy_count = (
+        candidate.own_in_flight_count + candidate.others_in_flight_count + 1
+    )
     occupied_share = busy_count / max(1, candidate.server.slots_count)
     return (
-        occupied_share * candidate.pace
+        occupied_share * candidate.slowdown
         + FAILURE_COST * candidate.failure_share
         + (SUSPECT_COST if candidate.is_suspected else 0.0)
-        + (0.0 if candidate.is_near else OTHER_ZONE_COST)
+        + (0.0 if candidate.is_same_zone else OTHER_ZONE_COST)
     )
 
 
--- a/src/mulberrywharf/policy/suspicion.py
+++ b/src/mulberrywharf/policy/suspicion.py
@@ -54,17 +54,17 @@
         live: VMs that may get new work.
         suspected: VMs that most observers no longer receive heartbeats from.
         leaving: VMs that finish their current work and get no new work.
-        distrusted: Whether the suspicions are ignored because too many VMs are
-            suspected; ``live`` then includes the suspected ones.
+        is_distrusted: Whether the suspicions are ignored because too many VMs
+            are suspected; ``live`` then includes the suspected ones.
     """
 
     live: frozenset[str]
     suspected: frozenset[str]
     leaving: frozenset[str]
-    distrusted: bool
+    is_distrusted: bool
 
 
-def judge(
+def evaluate(
     observations: Iterable[Observation],
     vms: Sequence[fleet.VmRecord],
     now_s: float,
@@ -88,12 +88,12 @@
         for vm_id in staying
         if _is_suspected(newest.get(vm_id, {}), settings)
     )
-    distrusted = len(suspected) > settings.distrust_share * len(staying)
+    is_distrusted = len(suspected) > settings.distrust_share * len(staying)
     return Membership(
-        live=staying if distrusted else staying - suspected,
+        live=staying if is_distrusted else staying - suspected,
         suspected=suspected,
         leaving=leaving,
-        distrusted=distrusted,
+        is_distrusted=is_distrusted,
     )
 
 
--- a/src/mulberrywharf/policy/token_bucket.py
+++ b/src/mulberrywharf/policy/token_bucket.py
@@ -25,12 +25,12 @@
         self, rate_per_s: float, capacity: float, now_s: float
     ) -> None:
         """Changes rate and capacity; tokens above the capacity are dropped."""
-        self.fill(now_s)
+        self.refill(now_s)
         self._rate_per_s = rate_per_s
         self._capacity = capacity
         self.level = min(self.level, capacity)
 
-    def fill(self, now_s: float) -> None:
+    def refill(self, now_s: float) -> None:
         """Adds the tokens since the last call; ignores times before it."""
         elapsed_s = now_s - self._filled_s
         if elapsed_s <= 0:
@@ -45,7 +45,7 @@
         An amount above the capacity, which could otherwise never be taken, may
         be taken once the bucket is full. The debt then delays later requests.
         """
-        self.fill(now_s)
+        self.refill(now_s)
         if self._capacity <= 0:
             return float("inf")
         missing = min(amount, self._capacity) - self.level
--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -145,7 +145,7 @@
         self._notices.on_notice(
             self._account.on_notice,
             self._account.loads.reported,
-            self._account.demand.told,
+            self._account.demand.own_demands,
             self._account.loads.of_roles,
         )
         self._servers.on_change(self._on_servers_change)
--- a/src/mulberrywharf/requests/places.py
+++ b/src/mulberrywharf/requests/places.py
@@ -289,7 +289,7 @@
         uncached_tokens = (
             slot_request.shape.prompt_tokens - choice.cached_tokens
         )
-        self._index.note_sent(
+        self._index.record_prefill(
             choice.prefill.vm_id,
             slot_request.shape.prompt_block_hashes,
             self.now_s(),
@@ -328,7 +328,7 @@
         has_slot: bool,
         views: list[fleet.EngineView],
     ) -> admission.Admit | admission.Wait | admission.Shed:
-        demand = admission.Demand(
+        requirements = admission.RequestRequirements(
             time_left_s=slot_request.deadline_s - self._clock.monotonic_s(),
             priority=slot_request.shape.priority,
             first_token_target_s=slot_request.first_token_target_s,
@@ -340,7 +340,7 @@
         ahead_count = (
             len(model_queue.waiting) + model_queue.dispatched_count + 1
         )
-        outlook = admission.Outlook(
+        estimate = admission.AdmissionEstimate(
             first_token_s=choice.first_token_s,
             total_s=total_s,
             # Each slot becomes free once per duration of a request.
@@ -348,7 +348,7 @@
             queued_count=len(model_queue.waiting),
             has_slot=has_slot,
         )
-        return admission.decide(demand, outlook, self._admission)
+        return admission.decide(requirements, estimate, self._admission)
 
     def _count_admission(self, slot_request: SlotRequest, result: str) -> None:
         _admissions_total.inc(
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -133,7 +133,7 @@
             outcome_so_far = outcome.combine(
                 outcome_so_far, attempted.err_value.outcome
             )
-            gevent.sleep(decision.after_s)
+            gevent.sleep(decision.delay_s)
 
     def _attempt(
         self,
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -31,10 +31,10 @@
 
     def block(self, suspects: crash_suspects.CrashSuspects) -> None:
         for server_key in (1, 2):
-            end = crash_suspects.End(
+            end = crash_suspects.ServerEnd(
                 server_key, False, self.clock.monotonic_s()
             )
-            suspects.note_end(FINGERPRINT, end)
+            suspects.record_server_end(FINGERPRINT, end)
         self.records.write_soon()
 
     def is_stored(self) -> bool:
@@ -70,7 +70,7 @@
         suspects = self.start()
         self.block(suspects)
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        suspects.note_whole(FINGERPRINT, self.clock.monotonic_s())
+        suspects.record_completed(FINGERPRINT, self.clock.monotonic_s())
         self.records.remove(FINGERPRINT)
         self.assertTrue(
             builders_platform.wait_until(lambda: not self.is_stored())
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -82,8 +82,8 @@
 
     def report_end(self, server_key: int) -> None:
         now_s = self._clock.monotonic_s()
-        end = crash_suspects.End(server_key, False, now_s)
-        self.suspects.note_end(FINGERPRINT, end)
+        end = crash_suspects.ServerEnd(server_key, False, now_s)
+        self.suspects.record_server_end(FINGERPRINT, end)
         self.reports.tell(FINGERPRINT)
 
     def is_blocking(self) -> bool:
@@ -132,7 +132,7 @@
         self.first.report_end(1)
         self.first.report_end(2)
         self.assert_blocking(self.second)
-        self.second.suspects.note_whole(
+        self.second.suspects.record_completed(
             FINGERPRINT, clock.SystemClock().monotonic_s()
         )
         self.second.reports.broadcast_cleared(FINGERPRINT)
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -11,8 +11,8 @@
 
 def end(
     server_key: int, at_s: float = 0.0, *, made_output: bool = False
-) -> crash_suspects.End:
-    return crash_suspects.End(server_key, made_output, at_s)
+) -> crash_suspects.ServerEnd:
+    return crash_suspects.ServerEnd(server_key, made_output, at_s)
 
 
 class BlockedTest(unittest.TestCase):
@@ -23,8 +23,8 @@
         return self.suspects.blocked(now_s)
 
     def test_request_is_a_recent_suspect_only_without_output(self) -> None:
-        self.suspects.note_end(CULPRIT, end(10))
-        self.suspects.note_end(OTHER, end(10, made_output=True))
+        self.suspects.record_server_end(CULPRIT, end(10))
+        self.suspects.record_server_end(OTHER, end(10, made_output=True))
         self.assertTrue(self.suspects.is_recent_suspect(CULPRIT, 0.0))
         self.assertFalse(self.suspects.is_recent_suspect(OTHER, 0.0))
         self.assertFalse(
@@ -35,7 +35,7 @@
         self.assertEqual(self.suspects.ended_servers(), {10})
 
     def test_one_end_blocks_no_request(self) -> None:
-        self.suspects.note_end(CULPRIT, end(10))
+        self.suspects.record_server_end(CULPRIT, end(10))
         self.assertEqual(self.blocked(), [])
 
     def test_only_request_on_both_ended_servers_is_blocked(self) -> None:
@@ -45,7 +45,7 @@
             (CULPRIT, 11),
             (3, 11),
         ]:
-            self.suspects.note_end(fingerprint, end(server_key))
+            self.suspects.record_server_end(fingerprint, end(server_key))
         self.assertEqual(self.blocked(), [CULPRIT])
 
     def test_two_common_requests_are_not_blocked_until_one_completes(
@@ -54,20 +54,22 @@
         for fingerprint, server_key in itertools.product(
             (CULPRIT, OTHER), (10, 11)
         ):
-            self.suspects.note_end(fingerprint, end(server_key))
+            self.suspects.record_server_end(fingerprint, end(server_key))
         self.assertEqual(self.blocked(), [])
-        self.suspects.note_whole(OTHER, 0.5)
+        self.suspects.record_completed(OTHER, 0.5)
         self.assertEqual(self.blocked(), [CULPRIT])
 
     def test_request_with_output_is_blocked_only_at_the_third_end(self) -> None:
         for server_key in (10, 11, 12):
             self.assertEqual(self.blocked(), [])
-            self.suspects.note_end(CULPRIT, end(server_key, made_output=True))
+            self.suspects.record_server_end(
+                CULPRIT, end(server_key, made_output=True)
+            )
         self.assertEqual(self.blocked(), [CULPRIT])
 
     def test_the_same_end_counts_once(self) -> None:
-        self.assertTrue(self.suspects.note_end(CULPRIT, end(10)))
-        self.assertFalse(self.suspects.note_end(CULPRIT, end(10, 0.2)))
+        self.assertTrue(self.suspects.record_server_end(CULPRIT, end(10)))
+        self.assertFalse(self.suspects.record_server_end(CULPRIT, end(10, 0.2)))
         self.assertEqual(self.blocked(), [])
 
     def test_blocking_does_not_depend_on_the_order_of_reports(self) -> None:
@@ -80,12 +82,12 @@
         for order in itertools.permutations(reports):
             suspects = crash_suspects.CrashSuspects()
             for fingerprint, server_end in order:
-                suspects.note_end(fingerprint, server_end)
+                suspects.record_server_end(fingerprint, server_end)
             self.assertEqual(suspects.blocked(1.0), [CULPRIT])
 
     def test_blocking_expires(self) -> None:
         for server_key, at_s in ((10, 0.0), (11, 5.0)):
-            self.suspects.note_end(CULPRIT, end(server_key, at_s))
+            self.suspects.record_server_end(CULPRIT, end(server_key, at_s))
         self.assertEqual(self.suspects.blocked_for_s(CULPRIT, 65.0), 540.0)
         self.assertEqual(self.blocked(604.0), [CULPRIT])
         self.assertEqual(self.blocked(605.0), [])
@@ -97,18 +99,18 @@
         self,
     ) -> None:
         suspects = crash_suspects.CrashSuspects()
-        suspects.note_whole(OTHER, 0.0)
+        suspects.record_completed(OTHER, 0.0)
         for server_key in (10, 11, 12):
-            suspects.note_end(OTHER, end(server_key, 1.0))
+            suspects.record_server_end(OTHER, end(server_key, 1.0))
         self.assertEqual(suspects.blocked(1.0), [])
 
     def test_request_can_be_blocked_again_some_time_after_it_completed(
         self,
     ) -> None:
         suspects = crash_suspects.CrashSuspects()
-        suspects.note_whole(CULPRIT, 0.0)
+        suspects.record_completed(CULPRIT, 0.0)
         for number in range(3):
-            suspects.note_end(CULPRIT, end(number, 11.0 + number))
+            suspects.record_server_end(CULPRIT, end(number, 11.0 + number))
         self.assertEqual(suspects.blocked(14.0), [CULPRIT])
 
 
@@ -117,7 +119,7 @@
         suspects = crash_suspects.CrashSuspects()
         limit_count = crash_suspects.SUSPECTS_LIMIT_COUNT
         for fingerprint in range(limit_count + 5):
-            suspects.note_end(fingerprint, end(1, fingerprint * 0.001))
+            suspects.record_server_end(fingerprint, end(1, fingerprint * 0.001))
         self.assertEqual(suspects.ends(0, 2.0), ())
         self.assertEqual(len(suspects.ends(5, 2.0)), 1)
 
--- a/tests/test_engine_account.py
+++ b/tests/test_engine_account.py
@@ -12,10 +12,10 @@
 )
 from mulberrywharf.peers import codec
 from mulberrywharf.policy import (
+    load_estimates,
     part_caches,
     part_homes,
     prompt_placement,
-    usual_load,
 )
 from mulberrywharf.routes import table
 from tests import builders_routes as build
@@ -82,7 +82,8 @@
         away = [
             part_key
             for part_key in range(2_000)
-            if part_homes.homes(part_key, (_LOCAL, _REMOTE), 1) == [_REMOTE]
+            if part_homes.home_engines_of(part_key, (_LOCAL, _REMOTE), 1)
+            == [_REMOTE]
         ]
         self.assertGreater(len(away), 100)
         for part_key in away:
@@ -120,7 +121,7 @@
         at_home = next(
             shared_id
             for shared_id in map(str, range(100))
-            if part_homes.homes(
+            if part_homes.home_engines_of(
                 part_caches.chain([(shared_id, 1)])[0].held.key,
                 (_LOCAL, _REMOTE),
                 1,
@@ -275,7 +276,7 @@
             self.view(_REMOTE).running_share, self.view(_LOCAL).running_share
         )
 
-    def report(self, load: usual_load.Load, zone: str = "zone-b") -> None:
+    def report(self, load: load_estimates.Load, zone: str = "zone-b") -> None:
         """Applies a notice with the mean load of another zone's engines."""
         reported = codec.RoleLoad(codec.key_of(_REMOTE.service), False, load)
         notice = codec.Notice(
@@ -291,13 +292,13 @@
         their loads.
         """
         self.make_busy(_LOCAL, 6)
-        self.report(usual_load.Load(0.25, 0.125))
+        self.report(load_estimates.Load(0.25, 0.125))
         remote = self.view(_REMOTE)
         self.assertAlmostEqual(remote.running_share, 0.25, places=2)
         self.assertAlmostEqual(remote.wait_s, 0.125, places=2)
 
     def test_a_report_of_a_third_zone_is_not_applied(self) -> None:
-        self.report(usual_load.Load(0.75, 0.5), zone="zone-c")
+        self.report(load_estimates.Load(0.75, 0.5), zone="zone-c")
         self.assertEqual(self.view(_REMOTE).running_share, 0.0)
 
     def test_an_old_zone_report_expires(self) -> None:
@@ -306,10 +307,13 @@
         A zone reports full engines and is then cut off. Its last report was
         used until a newer one came.
         """
-        self.report(usual_load.Load(2.0, 5.0))
+        self.report(load_estimates.Load(2.0, 5.0))
         zone_loads = self.account.loads._zone_loads
         for kind, (load, reported_s) in list(zone_loads.items()):
-            zone_loads[kind] = load, reported_s - usual_load.TOLD_AGE_S - 0.1
+            zone_loads[kind] = (
+                load,
+                reported_s - load_estimates.MAX_REPORT_AGE_S - 0.1,
+            )
         self.assertEqual(self.view(_REMOTE).running_share, 0.0)
 
     def test_only_local_engines_are_reported_by_role(self) -> None:
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -141,7 +141,7 @@
         prompt = " ".join(f"w{i}" for i in range(6_400))
         hashes = prefix_index.prompt_block_hashes(prompt)
         index = prefix_index.PrefixIndex.from_config()
-        index.note_sent("holder", hashes, _NOW_S)
+        index.record_prefill("holder", hashes, _NOW_S)
         holder = builders_fleet.view("holder", waiting_prompt_tokens=1_000)
         others = [builders_fleet.view(f"e{i}") for i in range(30)]
         request = _request(prompt_tokens=6_400, prompt_block_hashes=hashes)
@@ -191,7 +191,7 @@
         prompt = " ".join(["w"] * 6_400)
         hashes = prefix_index.prompt_block_hashes(prompt)
         index = prefix_index.PrefixIndex.from_config()
-        index.note_sent("second", hashes, _NOW_S)
+        index.record_prefill("second", hashes, _NOW_S)
         request = _request(prompt_tokens=6_400, prompt_block_hashes=hashes)
         choice = _choose(self._views(), request, index=index).unwrap()
         self.assertFalse(choice.is_split)
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -26,17 +26,19 @@
     ) -> float:
         """Simulates an answer; returns actual over estimated duration."""
         tokens = self.rng.choice((300, 1_000, 4_000, 12_000, 30_000))
-        expected = self.learned.speeds.prefill.reading(tokens, 0)
-        took_s = actual.reading(tokens, 0).total_s * self.rng.uniform(0.9, 1.1)
+        expected = self.learned.speeds.prefill.prefill_time(tokens, 0)
+        took_s = actual.prefill_time(tokens, 0).total_s * self.rng.uniform(
+            0.9, 1.1
+        )
         took_s += late_s
-        self.learned.learn_reading(PREFILL, expected, 0.0, took_s, 0.0)
+        self.learned.learn_prefill(PREFILL, expected, 0.0, took_s, 0.0)
         return took_s / expected.total_s
 
     def error(self, actual: engine_speeds.RoleSpeed) -> float:
         """Returns the relative error of a typical prompt's estimate."""
         tokens = 10_000
-        estimate_s = self.learned.speeds.prefill.reading(tokens, 0).total_s
-        return abs(estimate_s / actual.reading(tokens, 0).total_s - 1.0)
+        estimate_s = self.learned.speeds.prefill.prefill_time(tokens, 0).total_s
+        return abs(estimate_s / actual.prefill_time(tokens, 0).total_s - 1.0)
 
     def test_engines_of_any_speed_are_learned(self) -> None:
         """Estimates are half of the actual time, and queues look short.
@@ -75,21 +77,21 @@
 
     def test_short_prompts_correct_the_fixed_overhead(self) -> None:
         for _ in range(100):
-            expected = self.learned.speeds.decode.reading(50, 0)
-            self.learned.learn_reading(DECODE, expected, 0.0, 0.05, 0.0)
+            expected = self.learned.speeds.decode.prefill_time(50, 0)
+            self.learned.learn_prefill(DECODE, expected, 0.0, 0.05, 0.0)
         self.assertAlmostEqual(
-            self.learned.speeds.decode.begin_s, 0.05, delta=0.01
+            self.learned.speeds.decode.overhead_s, 0.05, delta=0.01
         )
 
     def test_slowdown_of_one_engine_is_learned_and_decays(self) -> None:
         slow = PREFILL._replace(start=build.start("slow"))
         for _ in range(30):
             for server, factor in ((PREFILL, 1.0), (slow, 4.0), (DECODE, 1.0)):
-                expected = SLOW.reading(8_000, 0).paced(
+                expected = SLOW.prefill_time(8_000, 0).slowed(
                     self.learned.pace(server.server_id, 0.0)
                 )
-                took_s = SLOW.reading(8_000, 0).total_s * factor
-                self.learned.learn_reading(server, expected, 0.0, took_s, 0.0)
+                took_s = SLOW.prefill_time(8_000, 0).total_s * factor
+                self.learned.learn_prefill(server, expected, 0.0, took_s, 0.0)
         self.assertGreater(self.learned.pace("slow", 0.0), 2.0)
         self.assertLess(self.learned.pace("p", 0.0), 1.3)
         self.assertLess(self.learned.pace("slow", 30.0), 1.2)
--- a/tests/test_forwarding_policy.py
+++ b/tests/test_forwarding_policy.py
@@ -30,14 +30,16 @@
         return made._replace(**changes)
 
     def test_the_less_loaded_server_is_chosen(self) -> None:
-        busy = self.candidate("busy", own_count=2, others_count=1.0)
+        busy = self.candidate(
+            "busy", own_in_flight_count=2, others_in_flight_count=1.0
+        )
         self.assertEqual(self.choose(busy, self.candidate("idle")), "idle")
 
     def test_the_own_zone_is_preferred_until_it_is_more_loaded(self) -> None:
         near = self.candidate("near")
-        far = self.candidate("far", is_near=False)
+        far = self.candidate("far", is_same_zone=False)
         self.assertEqual(self.choose(near, far), "near")
-        fuller = near._replace(own_count=2)
+        fuller = near._replace(own_in_flight_count=2)
         self.assertEqual(self.choose(fuller, far), "far")
 
     def test_a_server_that_fails_requests_is_avoided(self) -> None:
@@ -48,18 +50,22 @@
         """
         failing = self.candidate("failing", failure_share=0.4)
         self.assertEqual(
-            self.choose(failing, self.candidate("sound", own_count=3)), "sound"
+            self.choose(
+                failing, self.candidate("sound", own_in_flight_count=3)
+            ),
+            "sound",
         )
 
     def test_a_slow_server_is_avoided_at_lower_load(self) -> None:
-        slow = self.candidate("slow", pace=5.0)
+        slow = self.candidate("slow", slowdown=5.0)
         self.assertEqual(
-            self.choose(slow, self.candidate("sound", own_count=2)), "sound"
+            self.choose(slow, self.candidate("sound", own_in_flight_count=2)),
+            "sound",
         )
 
     def test_a_suspected_server_is_a_last_resort(self) -> None:
         suspected = self.candidate("suspected", is_suspected=True)
-        full = self.candidate("full", own_count=12)
+        full = self.candidate("full", own_in_flight_count=12)
         self.assertEqual(self.choose(suspected, full), "full")
         self.assertEqual(self.choose(suspected), "suspected")
 
@@ -116,9 +122,11 @@
             build.start("s"), request.ReportedLoad(3, 1, 6), 10.0
         )
         self.assertAlmostEqual(
-            self.book.others_count(build.start("s"), 10.0), 3.0
+            self.book.others_in_flight_count(build.start("s"), 10.0), 3.0
+        )
+        self.assertLess(
+            self.book.others_in_flight_count(build.start("s"), 12.0), 0.5
         )
-        self.assertLess(self.book.others_count(build.start("s"), 12.0), 0.5)
 
     def test_a_lost_server_is_suspected_for_a_while(self) -> None:
         self.book.lost(build.start("s"), 10.0)
@@ -172,7 +180,7 @@
             for _ in range(30):
                 self.book.succeeded(build.start(name), answer_s)
         candidates = self.book.candidates(servers, 0.0)
-        by_name = {one.server.server_id: one.pace for one in candidates}
+        by_name = {one.server.server_id: one.slowdown for one in candidates}
         self.assertAlmostEqual(by_name["a"], 1.0)
         self.assertAlmostEqual(by_name["c"], 5.0, delta=0.1)
 
@@ -180,7 +188,7 @@
         self.book.began(build.start("busy"), 0.0)
         self.book.failed(build.start("idle"))
         self.book.keep_only([])
-        self.assertEqual(self.book.own_count(build.start("busy")), 1)
+        self.assertEqual(self.book.own_in_flight_count(build.start("busy")), 1)
         (idle,) = self.book.candidates([build.server("idle")], 0.0)
         self.assertEqual(idle.failure_share, 0.0)
 
@@ -244,7 +252,7 @@
         return self.caches.cached_tokens(build.start("e"), self.chain)
 
     def note(self, *parts: part_caches.HeldPart) -> None:
-        self.caches.note_read(build.start("e"), parts, 1000)
+        self.caches.record_cached(build.start("e"), parts, 1000)
 
     def test_a_prefilled_part_is_cached(self) -> None:
         self.assertEqual(self.cached(), 0)
@@ -270,7 +278,7 @@
         """
         self.note(self.part)
         for _ in range(20):
-            self.caches.note_own(build.start("e"), 50, 1000)
+            self.caches.record_unshared(build.start("e"), 50, 1000)
         self.assertEqual(self.cached(), 0)
 
     def test_an_engine_that_left_has_nothing_cached(self) -> None:
@@ -292,7 +300,7 @@
 
     def read(self, *names: str) -> None:
         held = [part.held for part in self.chain(*names)]
-        self.caches.note_read(build.start("e"), held, self.MEMORY_TOKENS)
+        self.caches.record_cached(build.start("e"), held, self.MEMORY_TOKENS)
 
     def cached(self, *names: str) -> int:
         return self.caches.cached_tokens(build.start("e"), self.chain(*names))
@@ -329,7 +337,9 @@
 
     def test_a_reported_part_implies_all_parts_before_it(self) -> None:
         reported = self.chain("a", "b")[-1].held
-        self.caches.note_read(build.start("e"), (reported,), self.MEMORY_TOKENS)
+        self.caches.record_cached(
+            build.start("e"), (reported,), self.MEMORY_TOKENS
+        )
         self.assertEqual(self.cached("a", "b", "own"), 2_000)
 
 
@@ -371,8 +381,8 @@
     def setUp(self) -> None:
         self.waits = observed_waits.ObservedWaits()
 
-    def send(self, sent_s: float) -> observed_waits.Awaited:
-        awaited = observed_waits.Awaited("e", "read", sent_s, 0.1)
+    def send(self, sent_s: float) -> observed_waits.PendingPrompt:
+        awaited = observed_waits.PendingPrompt("e", "read", sent_s, 0.1)
         self.waits.sent(awaited)
         return awaited
 
@@ -458,16 +468,16 @@
     def test_the_share_is_limited(self) -> None:
         work = background_work.BackgroundWork()
         work.add(50.0, 0.0)
-        self.assertEqual(work.share(9, 3, 0.0), background_work.LARGEST_SHARE)
+        self.assertEqual(work.share(9, 3, 0.0), background_work.MAX_SHARE)
 
 
 class PromptAdmissionTest(unittest.TestCase):
     def decide(self, **changes: object) -> prompt_admission.Refusal | None:
-        prospect = prompt_admission.Prospect(
+        estimate = prompt_admission.AdmissionEstimate(
             first_token_s=0.2, queue_s=0.1, target_s=0.4, left_s=5.0
         )
         return prompt_admission.decide(
-            prospect._replace(**changes), random.Random(1)
+            estimate._replace(**changes), random.Random(1)
         )
 
     def test_a_request_in_time_is_admitted(self) -> None:
@@ -496,10 +506,10 @@
 
     def test_retry_after_has_jitter(self) -> None:
         rng = random.Random(1)
-        prospect = prompt_admission.Prospect(0.9, 0.7, 0.4, 5.0)
+        estimate = prompt_admission.AdmissionEstimate(0.9, 0.7, 0.4, 5.0)
         waits = set()
         for _ in range(20):
-            refusal = prompt_admission.decide(prospect, rng)
+            refusal = prompt_admission.decide(estimate, rng)
             assert refusal is not None
             waits.add(refusal.retry_after_s)
         self.assertGreater(max(waits) - min(waits), 0.3)
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -146,7 +146,7 @@
     def test_events_pass_unchanged(self) -> None:
         engine = self.respond_with(HEAD + chunks(event(1), event(2) + event(3)))
         self.assertEqual(self.body(engine), event(1) + event(2) + event(3))
-        self.assertEqual(self.book.own_count("s0"), 0)
+        self.assertEqual(self.book.own_in_flight_count("s0"), 0)
 
     def test_answer_head_comes_from_the_engine(self) -> None:
         answer = self.open(self.respond_with(HEAD + chunks(event(1))))
@@ -247,7 +247,7 @@
         answer.blocks.close()
         builders_engines.gevent.sleep(0.05)
         self.assertEqual(ended, [b""])
-        self.assertEqual(self.book.own_count("s0"), 0)
+        self.assertEqual(self.book.own_in_flight_count("s0"), 0)
 
 
 class CrashTest(GenerationCase):
@@ -291,10 +291,10 @@
 
         def refuse(sock: Any, _: bytes) -> None:
             for server_key in (1, 2):
-                end = crash_suspects.End(
+                end = crash_suspects.ServerEnd(
                     server_key, False, self.clock.monotonic_s()
                 )
-                suspects.note_end(fingerprint, end)
+                suspects.record_server_end(fingerprint, end)
             sock.sendall(refusal())
 
         suspects = self.crashes._suspects
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -42,7 +42,7 @@
             wait_until(
                 lambda n=node: n.mesh.membership().suspected == {dead.vm_id}
             )
-            self.assertFalse(node.mesh.membership().distrusted)
+            self.assertFalse(node.mesh.membership().is_distrusted)
             self.assertNotIn(dead.record, node.mesh.live_entry_vms())
 
     def test_a_node_that_comes_back_is_live_again(self):
@@ -79,7 +79,7 @@
         self.wait_connected(nodes)
         for other in nodes[1:]:
             drop_from(nodes[0], other.vm_id)
-        wait_until(lambda: nodes[0].mesh.membership().distrusted)
+        wait_until(lambda: nodes[0].mesh.membership().is_distrusted)
         self.assertEqual(len(nodes[0].mesh.live_entry_vms()), 4)
 
     def test_leaving_is_known_at_once(self):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 
 from mulberrywharf import clock, fleet
 from mulberrywharf.peers import codec, datagrams, directory, notices
-from mulberrywharf.policy import part_caches, usual_load
+from mulberrywharf.policy import load_estimates, part_caches
 from tests import builders_platform
 from tests import builders_routes as build
 
@@ -62,8 +62,8 @@
             (21, 22),
             13,
             (
-                codec.RoleLoad(11, True, usual_load.Load(0.25, 0.75)),
-                codec.RoleLoad(11, False, usual_load.Load(1.5, 0.0)),
+                codec.RoleLoad(11, True, load_estimates.Load(0.25, 0.75)),
+                codec.RoleLoad(11, False, load_estimates.Load(1.5, 0.0)),
             ),
         )
         self.assertEqual(codec.decode(codec.encode(notice)).unwrap(), notice)
@@ -158,7 +158,7 @@
         self.assertEqual(placement.engine_key, codec.key_of("near"))
 
     def test_role_loads_are_sent_to_other_zones(self) -> None:
-        role_loads = (codec.RoleLoad(3, True, usual_load.Load(0.5, 0.25)),)
+        role_loads = (codec.RoleLoad(3, True, load_estimates.Load(0.5, 0.25)),)
         received: list[codec.Notice] = []
         self.two.on_notice(received.append)
         self.one.on_notice(lambda _: None, role_loads=lambda: role_loads)
--- a/tests/test_reading_queue.py
+++ b/tests/test_prefill_queue.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from mulberrywharf.policy import reading_queue
+from mulberrywharf.policy import prefill_queue
 
 URGENT, NORMAL = 0, 2
 
 
 class ReadingQueueTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.queue = reading_queue.ReadingQueue(0.0)
+        self.queue = prefill_queue.PrefillQueue(0.0)
 
     def add(
         self,
@@ -47,9 +47,9 @@
         self.add(3, 0.03, URGENT)
         self.assert_waits(0.23, URGENT)
         self.assert_waits(0.63)
-        self.queue.read((1, 1), 0.2)
+        self.queue.finish((1, 1), 0.2)
         self.assert_waits(0.03, URGENT, at_s=0.2)
-        self.queue.read((1, 3), 0.23)
+        self.queue.finish((1, 3), 0.23)
         self.assert_waits(0.4, URGENT, at_s=0.23)
 
     def test_too_short_estimate_does_not_empty_the_queue(self) -> None:
@@ -62,21 +62,21 @@
         for number in (1, 2, 3):
             self.add(number, 0.2)
         self.assert_waits(0.4, at_s=0.4)
-        self.queue.read((1, 1), 0.4)
+        self.queue.finish((1, 1), 0.4)
         self.assert_waits(0.4, at_s=0.4)
-        self.queue.read((1, 2), 0.8)
+        self.queue.finish((1, 2), 0.8)
         self.assert_waits(0.2, at_s=0.8)
 
     def test_too_long_estimate_is_corrected_by_the_report(self) -> None:
         self.add(1, 0.5)
         self.add(2, 0.5)
-        self.queue.read((1, 1), 0.1)
+        self.queue.finish((1, 1), 0.1)
         self.assert_waits(0.5, at_s=0.1)
 
     def test_lost_report_is_made_up_for_by_the_next(self) -> None:
         for number in (1, 2, 3):
             self.add(number, 0.2)
-        self.queue.read((1, 2), 0.4)
+        self.queue.finish((1, 2), 0.4)
         self.assert_waits(0.2, at_s=0.4)
 
     def test_withdrawn_prompt_is_removed(self) -> None:
@@ -98,17 +98,17 @@
         self.add(1, 0.2)
         self.add(2, 0.2)
         self.assert_waits(0.2, at_s=0.4)
-        self.assert_waits(0.0, at_s=0.4 + reading_queue.OVERDUE_S)
+        self.assert_waits(0.0, at_s=0.4 + prefill_queue.OVERDUE_S)
 
     def test_work_and_length_of_a_queue_are_bounded(self) -> None:
         self.add(1, 4000.0)
-        self.assert_waits(reading_queue.MAX_WORK_S)
-        for number in range(2, 2 * reading_queue.MAX_PROMPTS_PER_PRIORITY):
+        self.assert_waits(prefill_queue.MAX_WORK_S)
+        for number in range(2, 2 * prefill_queue.MAX_PROMPTS_PER_PRIORITY):
             self.add(number, 0.0)
 
     def test_known_and_idle_times(self) -> None:
         self.add(1, 0.2, at_s=3.0)
-        self.assertEqual(self.queue.known_s(5.0), 5.0)
+        self.assertEqual(self.queue.counted_s(5.0), 5.0)
         self.assertEqual(self.queue.idle_s(5.0), 2.0)
 
 
--- a/tests/test_prefix_index.py
+++ b/tests/test_prefix_index.py
@@ -62,8 +62,8 @@
 
     def test_engines_are_counted_separately(self):
         index = _index()
-        index.note_sent("engine-1", _HASHES, 0.0)
-        index.note_sent("engine-2", _HASHES[:2], 0.0)
+        index.record_prefill("engine-1", _HASHES, 0.0)
+        index.record_prefill("engine-2", _HASHES[:2], 0.0)
         self.assertEqual(
             index.cached_block_counts(_HASHES, 0.0),
             {"engine-1": 4, "engine-2": 2},
@@ -96,7 +96,7 @@
 
     def test_first_sequence_number_is_no_gap(self):
         index = _index()
-        index.note_sent("engine-1", _HASHES, 0.0)
+        index.record_prefill("engine-1", _HASHES, 0.0)
         index.apply("engine-1", [_stored(700, 0)], 700, 1.0)
         self.assertEqual(self._count(index, 100.0), 4)
 
@@ -117,14 +117,14 @@
 
     def test_entries_expire_after_lifetime(self):
         index = _index(lifetime_s=300.0)
-        index.note_sent("engine-1", _HASHES, 0.0)
+        index.record_prefill("engine-1", _HASHES, 0.0)
         self.assertEqual(self._count(index, 299.0), 4)
         self.assertEqual(self._count(index, 301.0), 0)
 
     def test_forget_drops_entries_of_one_engine(self):
         index = _index()
-        index.note_sent("engine-1", _HASHES, 0.0)
-        index.note_sent("engine-2", _HASHES, 0.0)
+        index.record_prefill("engine-1", _HASHES, 0.0)
+        index.record_prefill("engine-2", _HASHES, 0.0)
         index.forget("engine-1")
         self.assertEqual(
             index.cached_block_counts(_HASHES, 0.0), {"engine-2": 4}
@@ -133,10 +133,10 @@
 
     def test_least_recently_used_block_is_dropped_first(self):
         index = _index(entries_limit_count=4)
-        index.note_sent("engine-1", _HASHES[:1], 0.0)
-        index.note_sent("engine-1", ["1", "2", "3"], 0.0)
+        index.record_prefill("engine-1", _HASHES[:1], 0.0)
+        index.record_prefill("engine-1", ["1", "2", "3"], 0.0)
         self.assertEqual(self._count(index), 1)  # marks it as recently used
-        index.note_sent("engine-1", ["4"], 0.0)
+        index.record_prefill("engine-1", ["4"], 0.0)
         self.assertEqual(self._count(index), 1)
         self.assertEqual(index.cached_block_counts(["1"], 0.0), {})
 
--- a/tests/test_prompt_placement.py
+++ b/tests/test_prompt_placement.py
@@ -44,7 +44,7 @@
 
     def test_long_prompt_is_prefilled_at_a_prefill_engine(self) -> None:
         plan = best(SHAPE, [self.prefill], [self.decode])
-        self.assertEqual(plan.reader.server.server_id, "p1")
+        self.assertEqual(plan.prefill_engine.server.server_id, "p1")
         self.assertEqual(plan.decode.server.server_id, "d1")
 
     def test_short_prompt_is_prefilled_at_its_decode_engine(self) -> None:
@@ -62,12 +62,12 @@
     def test_prompt_goes_to_the_engine_that_holds_its_part(self) -> None:
         holder = view("p2", "prefill", cached_tokens=13_000, wait_s=0.03)
         plan = best(SHAPE, [self.prefill, holder], [self.decode])
-        self.assertEqual(plan.reader.server.server_id, "p2")
+        self.assertEqual(plan.prefill_engine.server.server_id, "p2")
 
     def test_prompt_avoids_a_holder_with_a_long_queue(self) -> None:
         holder = view("p2", "prefill", cached_tokens=13_000, wait_s=0.8)
         plan = best(SHAPE, [self.prefill, holder], [self.decode])
-        self.assertNotEqual(plan.reader.server.server_id, "p2")
+        self.assertNotEqual(plan.prefill_engine.server.server_id, "p2")
 
     def test_missing_part_is_fetched_from_its_holder(self) -> None:
         holder = self.decode._replace(cached_tokens=13_000, wait_s=0.5)
@@ -87,7 +87,7 @@
         second = self.decode._replace(cached_tokens=13_000)
         plan = best(SHAPE, [first], [second])
         assert plan.fetch_from is not None
-        self.assertNotEqual(plan.fetch_from, plan.reader.server)
+        self.assertNotEqual(plan.fetch_from, plan.prefill_engine.server)
 
     def test_nothing_is_fetched_from_a_suspected_engine(self) -> None:
         holder = self.decode._replace(cached_tokens=13_000, is_suspected=True)
@@ -109,13 +109,13 @@
         reported idle. A queue whose prompts the node did not follow was assumed
         to be 0.1 s longer than reported.
         """
-        far = view("p2", "prefill", wait_s=0.05, is_near=False)
+        far = view("p2", "prefill", wait_s=0.05, is_same_zone=False)
         busy = self.prefill._replace(wait_s=0.05)
         plan = best(SHAPE, [busy, far], [self.decode])
-        self.assertEqual(plan.reader.server.server_id, "p1")
+        self.assertEqual(plan.prefill_engine.server.server_id, "p1")
         busier = self.prefill._replace(wait_s=0.08)
         plan = best(SHAPE, [busier, far], [self.decode])
-        self.assertEqual(plan.reader.server.server_id, "p2")
+        self.assertEqual(plan.prefill_engine.server.server_id, "p2")
 
     def test_there_is_no_plan_without_a_decode_engine(self) -> None:
         self.assertEqual(
@@ -123,9 +123,9 @@
         )
 
     def test_slow_engine_is_avoided(self) -> None:
-        slow = self.prefill._replace(pace=4.0)
+        slow = self.prefill._replace(slowdown=4.0)
         plan = best(SHAPE, [slow, view("p2", "prefill")], [self.decode])
-        self.assertEqual(plan.reader.server.server_id, "p2")
+        self.assertEqual(plan.prefill_engine.server.server_id, "p2")
 
     def test_transfer_between_zones_takes_longer(self) -> None:
         far = self.prefill._replace(
@@ -141,16 +141,16 @@
         self.engines = [build.server(f"e{number}") for number in range(6)]
 
     def test_homes_do_not_depend_on_the_order_of_engines(self) -> None:
-        one = part_homes.homes(7, self.engines)
-        two = part_homes.homes(7, reversed(self.engines))
+        one = part_homes.home_engines_of(7, self.engines)
+        two = part_homes.home_engines_of(7, reversed(self.engines))
         self.assertEqual(one, two)
         self.assertEqual(len(one), part_homes.HOMES_COUNT)
 
     def test_leaving_engine_moves_only_its_own_parts(self) -> None:
         moved = 0
         for number in range(300):
-            before = part_homes.homes(number, self.engines)[0]
-            after = part_homes.homes(number, self.engines[1:])[0]
+            before = part_homes.home_engines_of(number, self.engines)[0]
+            after = part_homes.home_engines_of(number, self.engines[1:])[0]
             if before == self.engines[0]:
                 continue
             moved += before != after
@@ -165,7 +165,7 @@
 
     def test_sample_of_a_large_fleet_includes_the_homes(self) -> None:
         engines = [build.server(f"e{number}") for number in range(100)]
-        homes = part_homes.homes(7, engines)
+        homes = part_homes.home_engines_of(7, engines)
         found = part_homes.sample(homes, engines, random.Random(1))
         self.assertEqual(found[:3], homes)
         self.assertEqual(len(set(found)), part_homes.SAMPLE_COUNT)
@@ -215,10 +215,10 @@
                 [views["p1"], views["p2"]],
                 [views["d1"], views["d2"], views["d3"]],
             )
-            reader = plan.reader.server.server_id
-            queues.add(reader, plan.prefill_work_s, now_s)
+            prefill_engine_id = plan.prefill_engine.server.server_id
+            queues.add(prefill_engine_id, plan.prefill_work_s, now_s)
             longest_s = max(longest_s, plan.first_token_s)
-            for name in {reader, plan.decode.server.server_id}:
+            for name in {prefill_engine_id, plan.decode.server.server_id}:
                 copies += part not in held[name]
                 held[name][part] = SHAPE.shared_tokens
         return longest_s, copies
--- a/tests/test_queue_owners.py
+++ b/tests/test_queue_owners.py
@@ -72,7 +72,7 @@
         sent = queue_codec.encode(queue_codec.Waits(7, (wait,)))
         (decoded,) = queue_codec.decode(sent).unwrap().waits  # type: ignore[union-attr]
         self.assertGreater(decoded.wait_s, 60.0)
-        self.assertEqual(decoded.known_s, 0.0)
+        self.assertEqual(decoded.counted_s, 0.0)
 
 
 class Peers:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -102,8 +102,8 @@
             attempt = _attempt(attempt_count=attempt_count)
             waits = [budget.decide(attempt, rng, 0.0) for _ in range(50)]
             with self.subTest(attempt_count=attempt_count):
-                self.assertLessEqual(max(w.after_s for w in waits), bound_s)
-                self.assertLess(min(w.after_s for w in waits), bound_s / 2)
+                self.assertLessEqual(max(w.delay_s for w in waits), bound_s)
+                self.assertLess(min(w.delay_s for w in waits), bound_s / 2)
 
 
 class BudgetTest(unittest.TestCase):
@@ -114,7 +114,7 @@
         several times. The budget limits retries to a tenth of the first
         attempts plus the burst.
         """
-        budget = _budget(floor_per_s=0.0, customer_floor_per_s=0.0)
+        budget = _budget(min_retries_per_s=0.0, customer_min_retries_per_s=0.0)
         retries = 0
         for _ in range(1_000):
             budget.on_first_attempt("prairie", 0.0)
@@ -147,7 +147,7 @@
     @given(st.lists(st.booleans(), max_size=300))
     @settings(derandomize=True, deadline=None)
     def test_retries_never_exceed_the_earned_share_and_the_burst(self, fails):
-        budget = _budget(floor_per_s=0.0, customer_floor_per_s=0.0)
+        budget = _budget(min_retries_per_s=0.0, customer_min_retries_per_s=0.0)
         retries = 0
         for count, fail in enumerate(fails, start=1):
             budget.on_first_attempt("prairie", 0.0)
--- a/tests/test_role_planner.py
+++ b/tests/test_role_planner.py
@@ -5,7 +5,7 @@
 from mulberrywharf.policy import planner_baselines, role_planner
 
 _NOW_S = 10_000.0
-_OPTIONS = role_planner.PlannerSettings(away_s=5.0)
+_OPTIONS = role_planner.PlannerSettings(unavailable_s=5.0)
 _PROMPT_HEAVY = role_planner.Demand(60_000.0, 2_000.0, age_s=1.0)
 
 
@@ -63,7 +63,7 @@
             e._replace(last_change_unix_s=_NOW_S - 5.0) for e in _view().engines
         )
         cases = (
-            ("another engine is being changed", _view(in_change_count=1), {}),
+            ("another engine is being changed", _view(changing_count=1), {}),
             ("demand is unknown", _view(demand=None), {}),
             (
                 "demand is too old",
--- a/tests/test_role_split.py
+++ b/tests/test_role_split.py
@@ -3,7 +3,7 @@
 import unittest
 
 from mulberrywharf import fleet
-from mulberrywharf.policy import read_demand, role_split
+from mulberrywharf.policy import prefill_demand, role_split
 from tests import builders_routes as build
 
 SLOTS_COUNT = 64
@@ -134,7 +134,7 @@
 
 class ReadDemandTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.demand = read_demand.ReadDemand()
+        self.demand = prefill_demand.PrefillDemand()
 
     def note(self, rate: float, for_s: float) -> None:
         for step in range(int(for_s * 10)):
@@ -142,7 +142,7 @@
 
     def test_total_is_unknown_at_the_start(self) -> None:
         self.note(1.0, 1.0)
-        self.assertIsNone(self.demand.total(1, 1.0))
+        self.assertIsNone(self.demand.total_engines(1, 1.0))
 
     def test_rate_is_not_biased_towards_zero_at_the_start(self) -> None:
         """A fleet takes half a minute to notice that roles must change.
@@ -151,22 +151,22 @@
         in the average.
         """
         self.note(1.0, 3.0)
-        total = self.demand.total(1, 3.0)
+        total = self.demand.total_engines(1, 3.0)
         assert total is not None
         self.assertAlmostEqual(total, 1.0, delta=0.1)
 
     def test_demands_of_gateways_are_added_up(self) -> None:
         self.note(1.0, 3.0)
-        self.demand.hear(1, 2.0, 3.0)
-        self.demand.hear(1, 2.5, 3.0)
-        total = self.demand.total(2, 3.0)
+        self.demand.record_report(1, 2.0, 3.0)
+        self.demand.record_report(1, 2.5, 3.0)
+        total = self.demand.total_engines(2, 3.0)
         assert total is not None
         self.assertAlmostEqual(total, 3.5, delta=0.1)
 
     def test_gateways_without_a_report_count_like_the_others(self) -> None:
         self.note(1.0, 3.0)
-        self.demand.hear(1, 2.0, -10.0)
-        total = self.demand.total(3, 3.0)
+        self.demand.record_report(1, 2.0, -10.0)
+        total = self.demand.total_engines(3, 3.0)
         assert total is not None
         self.assertAlmostEqual(total, 3.0, delta=0.3)
 
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -105,7 +105,9 @@
         self.book.reported(before.start, request.ReportedLoad(6, 9, 6), now_s)
         after = self.restart(LATER)
         self.assertTrue(self.book.may_use(after.start, now_s))
-        self.assertEqual(self.book.others_count(after.start, now_s), 0.0)
+        self.assertEqual(
+            self.book.others_in_flight_count(after.start, now_s), 0.0
+        )
 
     def test_requests_of_the_earlier_start_are_not_counted(self) -> None:
         """Guards against counting streams that broke off in the restart."""
@@ -113,9 +115,9 @@
         self.book.began(before.start, 0.0)
         after = self.restart(LATER)
         self.book.keep_only([after.start])
-        self.assertEqual(self.book.own_count(after.start), 0)
+        self.assertEqual(self.book.own_in_flight_count(after.start), 0)
         self.book.ended(before.start)
-        self.assertEqual(self.book.own_count(after.start), 0)
+        self.assertEqual(self.book.own_in_flight_count(after.start), 0)
 
     def test_late_notices_about_the_earlier_start_are_ignored(self) -> None:
         """A peer's notice about the earlier start arrives after the restart."""
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -45,17 +45,17 @@
         make a node suspected.
         """
         cut = {("entry-0", "entry-1"), ("entry-1", "entry-0")}
-        membership = suspicion.judge(_observations(cut), _VMS, _NOW_S)
+        membership = suspicion.evaluate(_observations(cut), _VMS, _NOW_S)
         self.assertEqual(membership.live, set(_NODES))
         self.assertFalse(membership.suspected)
 
     def test_node_that_all_others_suspect_is_suspected(self):
-        membership = suspicion.judge(
+        membership = suspicion.evaluate(
             _observations(_all_suspect("entry-4")), _VMS, _NOW_S
         )
         self.assertEqual(membership.suspected, {"entry-4"})
         self.assertEqual(membership.live, set(_NODES[:4]))
-        self.assertFalse(membership.distrusted)
+        self.assertFalse(membership.is_distrusted)
 
     def test_isolated_observer_keeps_all_nodes_live(self):
         """Guards against an isolated node dropping the whole fleet.
@@ -70,14 +70,14 @@
             )
             if observation.observer_id == "entry-0"
         ]
-        membership = suspicion.judge(observations, _VMS, _NOW_S)
-        self.assertTrue(membership.distrusted)
+        membership = suspicion.evaluate(observations, _VMS, _NOW_S)
+        self.assertTrue(membership.is_distrusted)
         self.assertEqual(membership.live, set(_NODES))
         self.assertEqual(len(membership.suspected), 4)
 
     def test_expired_observations_are_ignored(self):
         old = _observations(_all_suspect("entry-4"), observed_s=_NOW_S - 10)
-        membership = suspicion.judge(old, _VMS, _NOW_S)
+        membership = suspicion.evaluate(old, _VMS, _NOW_S)
         self.assertFalse(membership.suspected)
 
     def test_newest_observation_of_an_observer_counts(self):
@@ -86,7 +86,7 @@
             before + _observations(()),
             _observations(()) + before,
         ):
-            membership = suspicion.judge(observations, _VMS, _NOW_S)
+            membership = suspicion.evaluate(observations, _VMS, _NOW_S)
             self.assertFalse(membership.suspected)
 
     def test_observation_of_itself_does_not_count(self):
@@ -99,19 +99,19 @@
             suspicion.Observation("entry-4", "entry-4", False, _NOW_S),
             suspicion.Observation("entry-0", "entry-4", True, _NOW_S),
         ]
-        membership = suspicion.judge(observations, _VMS, _NOW_S)
+        membership = suspicion.evaluate(observations, _VMS, _NOW_S)
         self.assertEqual(membership.suspected, {"entry-4"})
 
     def test_leaving_vm_gets_no_new_work_even_when_distrusted(self):
         vms = [*_VMS[:4], _VMS[4]._replace(state="leaving")]
         everyone = {(a, b) for a in _NODES for b in _NODES}
-        membership = suspicion.judge(_observations(everyone), vms, _NOW_S)
-        self.assertTrue(membership.distrusted)
+        membership = suspicion.evaluate(_observations(everyone), vms, _NOW_S)
+        self.assertTrue(membership.is_distrusted)
         self.assertEqual(membership.leaving, {"entry-4"})
         self.assertEqual(membership.live, set(_NODES[:4]))
 
     def test_vm_without_observations_is_live(self):
-        membership = suspicion.judge([], _VMS, _NOW_S)
+        membership = suspicion.evaluate([], _VMS, _NOW_S)
         self.assertEqual(membership.live, set(_NODES))
 
     @given(
@@ -122,7 +122,7 @@
     )
     @settings(derandomize=True, deadline=None)
     def test_at_least_half_of_the_fleet_stays_live(self, suspects):
-        membership = suspicion.judge(_observations(suspects), _VMS, _NOW_S)
+        membership = suspicion.evaluate(_observations(suspects), _VMS, _NOW_S)
         self.assertGreaterEqual(len(membership.live), len(_NODES) / 2)
         self.assertLessEqual(membership.suspected, set(_NODES))
 
