--- a/bench/crash_play.py
+++ b/bench/crash_play.py
@@ -202,8 +202,8 @@
     def end(self) -> None:
         self._is_over = True
 
-    def write_soon(self) -> None:
-        pause_s = self._play.rng.uniform(*crash_records.WRITTEN_WITHIN_S)
+    def schedule_write(self) -> None:
+        pause_s = self._play.rng.uniform(*crash_records.WRITE_DELAY_RANGE_S)
         self._play.loop.later(pause_s, self._write_now)
 
     def _write_now(self) -> None:
@@ -226,8 +226,10 @@
 class _Call:
     """One request of a caller, and its attempts."""
 
-    def __init__(self, wanted: request.RoutedRequest, culprit: int | None):
-        self.wanted = wanted
+    def __init__(
+        self, routed_request: request.RoutedRequest, culprit: int | None
+    ):
+        self.routed_request = routed_request
         self.culprit = culprit
         self.tries_left_count = 2
         self.runs_left_count = RUNS_LIMIT_COUNT
@@ -298,7 +300,7 @@
             one.address for one in self._play.gateways if one is not self
         )
 
-    def on_datagram(self, kind: bytes, take: Any) -> None:
+    def set_handler(self, kind: bytes, take: Any) -> None:
         self.take = take
 
     def send(
@@ -380,17 +382,17 @@
 
     def _next_call(self) -> None:
         self._calls_count += 1
-        wanted = self._wanted(f"call-{next(self._numbers)}")
-        self._come(_Call(wanted, None))
+        routed_request = self._routed_request(f"call-{next(self._numbers)}")
+        self._come(_Call(routed_request, None))
         pause_s = self.rng.expovariate(self._scene.calls_per_s)
         self.loop.later(pause_s, self._next_call)
 
     def _again(self, culprit: int) -> None:
-        self._come(_Call(self._wanted(f"culprit-{culprit}"), culprit))
+        self._come(_Call(self._routed_request(f"culprit-{culprit}"), culprit))
         pause_s = self.rng.uniform(*self._scene.again_s)
         self.loop.later(pause_s, self._again, culprit)
 
-    def _wanted(self, body: str) -> request.RoutedRequest:
+    def _routed_request(self, body: str) -> request.RoutedRequest:
         return request.RoutedRequest(
             body,
             "POST",
@@ -409,7 +411,7 @@
         call.runs_left_count = RUNS_LIMIT_COUNT
         gateway = self.rng.choice(self.gateways)
         try:
-            gateway.watch.check(call.wanted)
+            gateway.watch.check(call.routed_request)
         except errors.CrashingRequestError:
             self._blocked_count += call.culprit is None
             return
@@ -442,7 +444,7 @@
     def _finish(self, engine: _Engine, number: int) -> None:
         run = engine.runs.pop(number, None)
         if run is not None:
-            run.gateway.watch.ended_whole(run.call.wanted)
+            run.gateway.watch.note_completed(run.call.routed_request)
 
     def _crash(self, engine: _Engine, number: int) -> None:
         if number not in engine.runs:
@@ -467,16 +469,16 @@
         gateway = run.gateway
         if gateway not in self.gateways:
             return
-        gateway.watch.broke_off(
-            crash_watch.Run(
-                run.call.wanted,
+        gateway.watch.note_connection_lost(
+            crash_watch.RequestRun(
+                run.call.routed_request,
                 run.server.start,
                 run.server.address,
                 run.began_s,
             ),
             made_output=made_output,
         )
-        if gateway.watch.is_blocked(run.call.wanted):
+        if gateway.watch.is_blocked(run.call.routed_request):
             self._fail(run.call)
         else:
             self.loop.later(
--- a/bench/gateway_slopes.py
+++ b/bench/gateway_slopes.py
@@ -2,7 +2,7 @@
 
 Run as ``python -m bench.gateway_slopes``. It prints, for fleets of several
 sizes, the processor time of placing a long and a short prompt, the memory of
-the account, and the bytes of one notice to all who are told.
+the estimates, and the bytes of one notice to all who are told.
 """
 
 import random
@@ -12,15 +12,15 @@
 
 from mulberrywharf import clock, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_pool,
     request,
-    server_book,
+    server_tracker,
     time_limits,
 )
 from mulberrywharf.peers import (
-    codec,
     datagrams,
+    notice_codec,
     queue_codec,
     queue_owners,
 )
@@ -62,11 +62,11 @@
 
     gateways_count = 9
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Hears of every engine."""
         return True
 
-    def add(self, *placement: object) -> None:
+    def add_placement(self, *placement: object) -> None:
         """Drops the placement."""
 
 
@@ -95,26 +95,30 @@
 
 
 def _place_ms(engines_count: int, *, is_long: bool) -> tuple[float, float]:
-    """Returns processor milliseconds a placing, and MB of the account."""
+    """Returns processor milliseconds a placing, and MB of the estimates."""
     rng = random.Random(1)
     system_clock = clock.SystemClock()
-    book = server_book.ServerBook("zone-0")
+    tracker = server_tracker.ServerTracker("zone-0")
     tracemalloc.start()
-    account = engine_account.EngineAccount(
-        book, system_clock, _NoNotices(), lambda _: _ENGINE.kv_tokens
+    estimates = engine_estimates.EngineEstimates(
+        tracker, system_clock, _NoNotices(), lambda _: _ENGINE.kv_tokens
     )
     pool = engine_pool.EnginePool(
-        _AllServers(_engines(engines_count)), book, account, system_clock, rng
+        _AllServers(_engines(engines_count)),
+        tracker,
+        estimates,
+        system_clock,
+        rng,
     )
 
     def place() -> None:
         now_s = system_clock.monotonic_s()
-        wanted = request.RoutedRequest(
+        routed_request = request.RoutedRequest(
             "id", "POST", "/", "/", "host", (), b"", now_s, now_s + 60.0
         )._replace(prompt=_prompt(rng, is_long=is_long))
-        limit = time_limits.TimeLimit.of(wanted, _ROUTE, system_clock)
+        limit = time_limits.TimeLimit.of(routed_request, _ROUTE, system_clock)
         pool.place(
-            wanted,
+            routed_request,
             _ROUTE,
             _SERVICE,
             limit,
@@ -143,12 +147,12 @@
         short_ms, _ = _place_ms(count, is_long=False)
         print(f"{count:7d}  {long_ms:7.3f}  {short_ms:8.3f}  {held_mb:10.2f}")
     placements = tuple(
-        codec.Placement(
+        notice_codec.Placement(
             number, 0.1, (part_caches.HeldPart(number, 13_300),), 3_720
         )
         for number in range(2)
     )
-    datagram = codec.encode(codec.Notice(1, 1, placements))
+    datagram = notice_codec.encode(notice_codec.Notice(1, 1, placements))
     notice_bytes = len(datagram) + datagrams.DATAGRAM_OVERHEAD_BYTES
     print(f"one notice of a handed over prompt: {notice_bytes} bytes a peer")
     print(f"owners of queues: {_queue_bytes()} bytes a prompt")
@@ -158,11 +162,15 @@
     """Returns what owners of queues cost for one prompt, by who sends it."""
     keys = tuple(range(2**31, 2**31 + queue_owners.ENGINES_PER_OWNER_COUNT))
     waits = tuple(queue_codec.EngineWait(key, 0.25, 60.0) for key in keys)
-    asker = [queue_codec.Ask(2**20, 2, keys)] * queue_owners.ASKED_COUNT
-    owner = [queue_codec.Waits(2**20, waits)] * queue_owners.ASKED_COUNT
+    asker = [
+        queue_codec.WaitQuery(2**20, 2, keys)
+    ] * queue_owners.MAX_ASKED_OWNERS_COUNT
+    owner = [
+        queue_codec.Waits(2**20, waits)
+    ] * queue_owners.MAX_ASKED_OWNERS_COUNT
     told = [
-        queue_codec.Work(keys[0], 2**31, 2**20, "placed", 2, 0.125),
-        queue_codec.Work(keys[0], 2**31, 2**20, "read"),
+        queue_codec.PromptUpdate(keys[0], 2**31, 2**20, "placed", 2, 0.125),
+        queue_codec.PromptUpdate(keys[0], 2**31, 2**20, "read"),
     ]
     return {
         "asker": sum(map(_datagram_bytes, [*asker, *told])),
--- a/bench/platform_calls.py
+++ b/bench/platform_calls.py
@@ -160,7 +160,7 @@
     kinds = sorted({kind for w in windows for kind in w.idle_calls_by_kind})
     slopes = {kind: slope_per_node(windows, kind) for kind in kinds}
     largest = windows[-1]
-    reopening_per_s = 1 / (0.875 * watch.REOPEN_S)
+    reopening_per_s = 1 / (0.875 * watch.DEFAULT_SILENCE_TIMEOUT_S)
     per_node = sum(slopes.values()) + reopening_per_s
     return {
         "lease_ttl_s": ttl_s,
--- a/bench/policy_retries.py
+++ b/bench/policy_retries.py
@@ -186,7 +186,7 @@
         )
     )
     waits_s: list[float] = []
-    asked_count = 0
+    max_asked_owners_count = 0
     refused_count = 0
     free_s = 0.0
     for arrived_s, customer in _flood_arrivals(seed):
@@ -203,7 +203,7 @@
             _Waiting(customer, arrived_s),
             cost=100,
         )
-        asked_count += customer != "flooding"
+        max_asked_owners_count += customer != "flooding"
         lost = [queued.displaced] if queued.displaced else []
         refused_count += sum(t.item.customer != "flooding" for t in lost)
         refused_count += queued.ticket is None and customer != "flooding"
@@ -211,7 +211,7 @@
     return {
         "quiet_wait_p50_s": round(waits_s[len(waits_s) // 2], 3),
         "quiet_wait_p95_s": round(waits_s[int(len(waits_s) * 0.95)], 3),
-        "quiet_refused_share": round(refused_count / asked_count, 4),
+        "quiet_refused_share": round(refused_count / max_asked_owners_count, 4),
     }
 
 
--- a/bench/prompt_play.py
+++ b/bench/prompt_play.py
@@ -1,6 +1,6 @@
 """Plays prompts on engines whose speed nobody tells, in virtual time.
 
-The gateways' decisions are the product's own: pools, accounts and notices.
+The gateways' decisions are the product's own: pools, estimates and notices.
 Engines are queues that read one prompt after the other, at a speed of their
 own, and keep the parts that they read; gateways see answers and each other's
 notices, late by a few milliseconds, and nothing else.
@@ -30,16 +30,16 @@
 from bench import engine_model
 from mulberrywharf import errors, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_loads,
     engine_pool,
     request,
-    server_book,
+    server_tracker,
     time_limits,
 )
 from mulberrywharf.peers import (
-    codec,
     datagrams,
+    notice_codec,
     notices,
     queue_codec,
     queue_owners,
@@ -97,7 +97,7 @@
         zones_count: Availability zones.
         prefills_count: Engines that prefill.
         decodes_count: Engines that answer.
-        tells_all: Whether gateways tell each other of all work; otherwise of
+        is_full_mesh: Whether gateways tell each other of all work; otherwise of
             the work at engines of their zone, and how busy these are.
         engines_tell: Whether answers tell how many requests an engine runs.
         has_owners: Whether one gateway keeps the queue of an engine, where
@@ -111,14 +111,14 @@
     zones_count: int = GATEWAYS_COUNT
     prefills_count: int = PREFILLS_COUNT
     decodes_count: int = DECODES_COUNT
-    tells_all: bool = True
+    is_full_mesh: bool = True
     engines_tell: bool = False
     has_owners: bool = True
     notices_wait: bool = True
 
 
 SMALL = Fleet(notices_wait=False)
-LARGE = Fleet(60, 3, 16, 29, tells_all=False, engines_tell=True)
+LARGE = Fleet(60, 3, 16, 29, is_full_mesh=False, engines_tell=True)
 """As one operator's grown deployment: 20 gateways and 15 engines a zone."""
 
 
@@ -273,7 +273,7 @@
         self._shape = shape
         self.gateways_count = shape.gateways_count
         self.zone = f"zone-{sender % shape.zones_count}"
-        self.account: engine_account.EngineAccount | None = None
+        self.estimates: engine_estimates.EngineEstimates | None = None
         self.others: list[_Notices] = []
         self._pending: dict[
             str, dict[tuple[int, tuple[part_caches.HeldPart, ...]], Any]
@@ -287,8 +287,8 @@
         )
         self._bytes.take(datagrams.SENT_BURST_BYTES)
 
-    def hears_of(self, server: fleet.Server) -> bool:
-        return self._shape.tells_all or server.availability_zone == self.zone
+    def receives_notices_for(self, server: fleet.Server) -> bool:
+        return self._shape.is_full_mesh or server.availability_zone == self.zone
 
     def has_bytes(self) -> bool:
         """Tells whether bytes are left."""
@@ -300,23 +300,23 @@
         self._bytes.refill(self._timeline.now_s)
         self._bytes.take(len(datagram) + datagrams.DATAGRAM_OVERHEAD_BYTES)
 
-    def add(
+    def add_placement(
         self,
         server: fleet.Server,
         work_s: float,
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        key = codec.key_of_server(server.start), parts
+        key = notice_codec.hash_server_start(server.start), parts
         pending = self._pending.setdefault(server.availability_zone, {})
-        before = pending.get(key, codec.Placement(key[0], 0.0, parts, 0))
+        before = pending.get(key, notice_codec.Placement(key[0], 0.0, parts, 0))
         pending[key] = before._replace(
             work_s=before.work_s + work_s,
             own_tokens=before.own_tokens + own_tokens,
         )
         if not self._is_sending:
             self._is_sending = True
-            at_s = self._timeline.now_s + notices.COLLECTING_S
+            at_s = self._timeline.now_s + notices.BATCH_DELAY_S
             self._timeline.at(at_s, self._send)
 
     def _send(self, *_: object) -> None:
@@ -328,24 +328,24 @@
         self._timeline.at(at_s, self._sent)
 
     def _send_zone(
-        self, zone: str, placements: list[codec.Placement], at_s: float
+        self, zone: str, placements: list[notice_codec.Placement], at_s: float
     ) -> float:
         """Sends a notice as soon as its bytes are there; returns when."""
-        assert self.account is not None
-        loads = self.account.loads.reported(zone)
-        notice = codec.Notice(
+        assert self.estimates is not None
+        loads = self.estimates.loads.recent_reports(zone)
+        notice = notice_codec.Notice(
             self.sender,
             1,
-            codec.fitting(placements),
-            loads=loads[: codec.LOADS_LIMIT_COUNT],
+            notice_codec.fit_datagram(placements),
+            loads=loads[: notice_codec.LOADS_LIMIT_COUNT],
         )
         whom = [
             other
             for other in self.others
-            if self._shape.tells_all or other.zone == zone
+            if self._shape.is_full_mesh or other.zone == zone
         ]
         cost = len(whom) * (
-            len(codec.encode(notice)) + datagrams.DATAGRAM_OVERHEAD_BYTES
+            len(notice_codec.encode(notice)) + datagrams.DATAGRAM_OVERHEAD_BYTES
         )
         if self._shape.notices_wait:
             at_s += self._bytes.wait_s(cost, at_s)
@@ -356,18 +356,18 @@
     def _sent(self, *_: object) -> None:
         self._is_sending = bool(self._pending)
         if self._is_sending:
-            at_s = self._timeline.now_s + notices.COLLECTING_S
+            at_s = self._timeline.now_s + notices.BATCH_DELAY_S
             self._timeline.at(at_s, self._send)
 
     def tell_zones(self, rng: random.Random) -> None:
         """Tells one gateway of each other zone how busy this zone is."""
-        assert self.account is not None
-        told = codec.Notice(
+        assert self.estimates is not None
+        told = notice_codec.Notice(
             self.sender,
             1,
             (),
-            zone_key=codec.key_of(self.zone),
-            role_loads=self.account.loads.of_roles(),
+            zone_key=notice_codec.hash_name(self.zone),
+            role_loads=self.estimates.loads.mean_load_by_role(),
         )
         by_zone: dict[str, list[_Notices]] = collections.defaultdict(list)
         for other in self.others:
@@ -377,12 +377,12 @@
         self._tell(told, whom, self._timeline.now_s)
 
     def _tell(
-        self, notice: codec.Notice, whom: "list[_Notices]", at_s: float
+        self, notice: notice_codec.Notice, whom: "list[_Notices]", at_s: float
     ) -> None:
         for other in whom:
-            assert other.account is not None
+            assert other.estimates is not None
             self._timeline.at(
-                at_s + NOTICE_DELAY_S, other.account.on_notice, notice
+                at_s + NOTICE_DELAY_S, other.estimates.on_notice, notice
             )
 
 
@@ -411,14 +411,14 @@
         self._numbers = itertools.count()
 
     @property
-    def asked_count(self) -> int:
+    def max_asked_owners_count(self) -> int:
         return (
-            queue_owners.ASKED_COUNT
+            queue_owners.MAX_ASKED_OWNERS_COUNT
             if self._told.has_bytes()
-            else queue_owners.ASKED_IN_DEBT_COUNT
+            else queue_owners.MAX_ASKED_OWNERS_OVER_BUDGET_COUNT
         )
 
-    def follow(self, known: Sequence[fleet.Server]) -> None:
+    def set_engines(self, known: Sequence[fleet.Server]) -> None:
         """Deals the engines of each zone and role out to their owners."""
         kinds_of = collections.defaultdict(list)
         for server in known:
@@ -433,7 +433,7 @@
                     f"kind-{number}", key % count
                 )
 
-    def owner(self, server: fleet.Server) -> fleet.Address | None:
+    def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         return self._owners[server.start]
 
     def waits(
@@ -441,17 +441,17 @@
         engines: Sequence[fleet.Server],
         priority: int,
         part_keys: tuple[int, ...] = (),
-    ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
+    ) -> Mapping[fleet.ServerStart, queue_owners.ReportedWait]:
         now_s = self._timeline.now_s
         wait = queue_codec.EngineWait(1, 1.0, 1.0)
-        asked = collections.Counter(self.owner(one) for one in engines)
+        asked = collections.Counter(self.queue_owner(one) for one in engines)
         for count in asked.values():
-            ask = queue_codec.Ask(1, priority, (1,) * count, part_keys)
+            ask = queue_codec.WaitQuery(1, priority, (1,) * count, part_keys)
             waits = queue_codec.Waits(1, (wait,) * count)
             self._told.spend(queue_codec.encode(ask))
             self._told.spend(queue_codec.encode(waits))
         return {
-            engine.start: queue_owners.ToldWait(
+            engine.start: queue_owners.ReportedWait(
                 self._queues[engine.start].wait_s(priority, now_s),
                 True,
                 self._held_count(engine, part_keys),
@@ -466,52 +466,60 @@
         held = [self._caches.holds(engine.start, key) for key in part_keys]
         return len(held) - held[::-1].index(True) if True in held else 0
 
-    def placed(
+    def report_placed(
         self,
         server: fleet.Server,
         work_s: float,
         priority: int,
         parts: tuple[part_caches.HeldPart, ...] = (),
         own_tokens: int = 0,
-    ) -> queue_owners.Ticket:
-        ticket = queue_owners.Ticket(server, next(self._numbers))
-        work = self._work(ticket, "placed")._replace(
+    ) -> queue_owners.PlacementId:
+        placement_id = queue_owners.PlacementId(server, next(self._numbers))
+        work = self._work(placement_id, "placed")._replace(
             work_s=work_s,
             priority=priority,
             parts=parts,
             own_tokens=own_tokens,
         )
-        self._tell(ticket, work)
-        return ticket
+        self._tell(placement_id, work)
+        return placement_id
 
-    def read(self, ticket: queue_owners.Ticket) -> None:
-        self._tell(ticket, self._work(ticket, "read"))
+    def report_prefilled(self, placement_id: queue_owners.PlacementId) -> None:
+        self._tell(placement_id, self._work(placement_id, "read"))
 
-    def withdrawn(self, ticket: queue_owners.Ticket) -> None:
-        self._tell(ticket, self._work(ticket, "withdrawn"))
+    def report_withdrawn(self, placement_id: queue_owners.PlacementId) -> None:
+        self._tell(placement_id, self._work(placement_id, "withdrawn"))
 
     def _work(
-        self, ticket: queue_owners.Ticket, matter: queue_codec.WorkMatter
-    ) -> queue_codec.Work:
-        return queue_codec.Work(1, self._told.sender, ticket.number, matter)
+        self,
+        placement_id: queue_owners.PlacementId,
+        event: queue_codec.PromptEvent,
+    ) -> queue_codec.PromptUpdate:
+        return queue_codec.PromptUpdate(
+            1, self._told.sender, placement_id.number, event
+        )
 
     def _tell(
-        self, ticket: queue_owners.Ticket, work: queue_codec.Work
+        self,
+        placement_id: queue_owners.PlacementId,
+        work: queue_codec.PromptUpdate,
     ) -> None:
         self._told.spend(queue_codec.encode(work))
         at_s = self._timeline.now_s + NOTICE_DELAY_S
-        self._timeline.at(at_s, self._note, ticket, work)
+        self._timeline.at(at_s, self._note, placement_id, work)
 
     def _note(
-        self, ticket: queue_owners.Ticket, work: queue_codec.Work
+        self,
+        placement_id: queue_owners.PlacementId,
+        work: queue_codec.PromptUpdate,
     ) -> None:
         now_s = self._timeline.now_s
-        queue = self._queues[ticket.server.start]
+        queue = self._queues[placement_id.server.start]
         placement = work.sender, work.number
-        match work.matter:
+        match work.event:
             case "placed":
                 queue.add(placement, work.work_s, work.priority, now_s)
-                engine = ticket.server.start
+                engine = placement_id.server.start
                 self._caches.record_unshared(
                     engine, work.own_tokens, MEMORY_TOKENS
                 )
@@ -590,7 +598,7 @@
             if not learns:
                 fixed = _FixedSpeeds()
                 fixed._speeds = _speeds_of(SPEEDS["fast"])
-                gateway.account._speeds[SERVICE] = fixed
+                gateway.estimates._speeds[SERVICE] = fixed
         self._begun: list[float] = []
         self._refused_count = 0
         self._ratios: list[float] = []
@@ -601,7 +609,7 @@
         for _ in range(requests_count):
             at_s += self._rng.expovariate(self._rate_per_s())
             self._timeline.at(at_s, self._ask, self._rng.randrange(10**9))
-        if not self._shape.tells_all:
+        if not self._shape.is_full_mesh:
             self._timeline.at(0.0, self._tell_zones, at_s)
         self._timeline.run_until(at_s + 60.0)
         target_s = self._target_s()
@@ -646,23 +654,23 @@
     def _make_gateway(self, number: int) -> "_Gateway":
         servers = [one.server for one in self._engines.values()]
         told = _Notices(self._timeline, number, self._shape)
-        book = server_book.ServerBook(told.zone)
+        tracker = server_tracker.ServerTracker(told.zone)
         queues = None
-        if self._shape.has_owners and not self._shape.tells_all:
+        if self._shape.has_owners and not self._shape.is_full_mesh:
             queues = _Owners(self._timeline, told, self._queues, self._caches)
-        account = engine_account.EngineAccount(
-            book, self._clock, told, lambda _: MEMORY_TOKENS, queues
+        estimates = engine_estimates.EngineEstimates(
+            tracker, self._clock, told, lambda _: MEMORY_TOKENS, queues
         )
-        told.account = account
-        account.follow(tuple(servers))
+        told.estimates = estimates
+        estimates.set_engines(tuple(servers))
         pool = engine_pool.EnginePool(
             _Listed(servers),  # type: ignore[arg-type]
-            book,
-            account,
+            tracker,
+            estimates,
             self._clock,
             random.Random(number),
         )
-        return _Gateway(account, pool, book, told)
+        return _Gateway(estimates, pool, tracker, told)
 
     def _server(self, name: str, role: fleet.Role, number: int) -> fleet.Server:
         return fleet.Server(
@@ -696,7 +704,7 @@
     def _ask(self, number: int) -> None:
         gateway = self._gateways[number % self._shape.gateways_count]
         now_s = self._timeline.now_s
-        wanted = self._request(number, now_s)
+        routed_request = self._request(number, now_s)
         route = table.Route(
             name="route",
             host="callers.example",
@@ -707,10 +715,10 @@
             target_s=self._target_s(),
             has_prompt=True,
         )
-        limit = time_limits.TimeLimit.of(wanted, route, self._clock)
+        limit = time_limits.TimeLimit.of(routed_request, route, self._clock)
         try:
             placed = gateway.pool.place(
-                wanted,
+                routed_request,
                 route,
                 _SERVICE,
                 limit,
@@ -720,57 +728,61 @@
         except errors.OverloadedError:
             self._refused_count += 1
             return
-        assert wanted.prompt is not None
+        assert routed_request.prompt is not None
         prefill_engine = self._engines[
             placed.plan.prefill_engine.server.server_id
         ]
-        awaited = gateway.account.prefill_sent(placed)
-        begins_s = prefill_engine.read(wanted.prompt, now_s)
+        awaited = gateway.estimates.prefill_sent(placed)
+        begins_s = prefill_engine.read(routed_request.prompt, now_s)
         self._timeline.at(
-            begins_s, self._read, gateway, wanted, placed, awaited
+            begins_s, self._read, gateway, routed_request, placed, awaited
         )
 
     def _read(self, *read: object) -> None:
-        gateway, wanted, placed, awaited = read
+        gateway, routed_request, placed, awaited = read
         assert isinstance(gateway, _Gateway)
-        assert isinstance(wanted, request.RoutedRequest)
-        assert isinstance(placed, engine_account.Placed)
-        account = gateway.account
-        expected_s = account.expected_s(placed, awaited)  # type: ignore[arg-type]
-        took_s = self._timeline.now_s - wanted.arrived_s
+        assert isinstance(routed_request, request.RoutedRequest)
+        assert isinstance(placed, engine_estimates.Placed)
+        estimates = gateway.estimates
+        expected_s = estimates.expected_s(placed, awaited)  # type: ignore[arg-type]
+        took_s = self._timeline.now_s - routed_request.arrived_s
         self._ratios.append(took_s / expected_s)
-        account.answer_began(placed, awaited)  # type: ignore[arg-type]
+        estimates.answer_began(placed, awaited)  # type: ignore[arg-type]
         if placed.plan.prefill is None:
-            self._answer(gateway, wanted, placed.plan.decode.server)
+            self._answer(gateway, routed_request, placed.plan.decode.server)
             return
-        taken = gateway.pool.take_over(
-            wanted,
+        taken = gateway.pool.place_decode(
+            routed_request,
             _SERVICE,
             placed.plan.prefill.server,
             excluded=frozenset(),
         )
-        self._answer(gateway, wanted, taken.plan.decode.server)
+        self._answer(gateway, routed_request, taken.plan.decode.server)
 
     def _answer(
         self,
         gateway: "_Gateway",
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         server: fleet.Server,
     ) -> None:
         now_s = self._timeline.now_s
-        self._begun.append(now_s - wanted.arrived_s)
-        gateway.book.began(server.start, now_s)
+        self._begun.append(now_s - routed_request.arrived_s)
+        gateway.tracker.began(server.start, now_s)
         running_count = self._engines[server.server_id].answer(now_s)
         if self._shape.engines_tell:
             load = request.ReportedLoad(running_count, 0, SLOTS_COUNT)
-            gateway.book.reported(server.start, load, now_s)
-        self._timeline.at(now_s + RUN_S, gateway.book.ended, server.start)
+            gateway.tracker.reported(server.start, load, now_s)
+        self._timeline.at(now_s + RUN_S, gateway.tracker.ended, server.start)
 
     def _request(self, number: int, now_s: float) -> request.RoutedRequest:
         rng = random.Random(number)
         if self._prompts.short_share > rng.random():
-            return self._wanted(number, now_s, self._short_parts(number, rng))
-        return self._wanted(number, now_s, self._long_parts(number, rng))
+            return self._routed_request(
+                number, now_s, self._short_parts(number, rng)
+            )
+        return self._routed_request(
+            number, now_s, self._long_parts(number, rng)
+        )
 
     def _short_parts(
         self, number: int, rng: random.Random
@@ -794,7 +806,7 @@
         ]
         return [*parts, request.PromptPart(f"own-{number}", own_tokens)]
 
-    def _wanted(
+    def _routed_request(
         self, number: int, now_s: float, parts: list[request.PromptPart]
     ) -> request.RoutedRequest:
         tokens = sum(part.tokens for part in parts)
@@ -813,9 +825,9 @@
 
 
 class _Gateway(NamedTuple):
-    account: engine_account.EngineAccount
+    estimates: engine_estimates.EngineEstimates
     pool: engine_pool.EnginePool
-    book: server_book.ServerBook
+    tracker: server_tracker.ServerTracker
     notices: _Notices
 
 
--- a/bench/store_restores.py
+++ b/bench/store_restores.py
@@ -29,7 +29,7 @@
     crash_records,
     directory,
     notices,
-    store_news,
+    revision_exchange,
 )
 from mulberrywharf.platform import documents, store
 from mulberrywharf.platform_service import key_value, watch
@@ -96,15 +96,17 @@
         peers = directory.PeerDirectory(
             self.client, f"vm-{number}", address, zone, f"{number:08x}"
         )
-        told = notices.WorkNotices(address, peers, number, zone, system_clock)
-        news = store_news.StoreNews(
+        told = notices.NoticeExchange(
+            address, peers, number, zone, system_clock
+        )
+        news = revision_exchange.RevisionExchange(
             told, self._watches, lambda: self.client.era
         )
         self.routes = follower.RouteFollower(
-            self.client, source, patience=news.patience_for_routes
+            self.client, source, timeouts=news.routes_watch_timeouts
         )
         self.servers = servers.ServerList(
-            self.client, source, patience=news.patience
+            self.client, source, timeouts=news.watch_timeouts
         )
         self.servers.on_change(news.on_change)
         self.routes.on_change(lambda _: news.on_change())
--- a/proofs/request_checks.py
+++ b/proofs/request_checks.py
@@ -114,10 +114,12 @@
     )
 
 
-def _is_repeated(run_ids: list[str], asked_count: int) -> bool:
+def _is_repeated(run_ids: list[str], max_asked_owners_count: int) -> bool:
     """Whether the runs under one caller's id are more than its calls."""
     by_run_id = collections.Counter(run_ids)
-    return max(by_run_id.values()) > 1 or len(run_ids) > max(1, asked_count)
+    return max(by_run_id.values()) > 1 or len(run_ids) > max(
+        1, max_asked_owners_count
+    )
 
 
 def _customers(history: histories.History) -> dict[str, str]:
--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from mulberrywharf import clock, errors, fleet, metrics, server_ends
-from mulberrywharf.peers import codec
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.policy import crash_suspects
 
 PROBE_WAIT_S = 0.05
@@ -47,17 +47,17 @@
         ...
 
 
-class Run(NamedTuple):
+class RequestRun(NamedTuple):
     """A request that was sent to a server.
 
     Attributes:
-        wanted: The request.
+        request: The request.
         start: The server process.
         address: Where the server listens.
         began_s: Monotonic time at which it was sent, None if unknown.
     """
 
-    wanted: Request
+    request: Request
     start: fleet.ServerStart
     address: fleet.Address
     began_s: float | None = None
@@ -99,7 +99,7 @@
         """Sets the callback that runs after each read of the records."""
         ...
 
-    def write_soon(self) -> None:
+    def schedule_write(self) -> None:
         """Schedules an update that writes missing records."""
         ...
 
@@ -108,7 +108,7 @@
         ...
 
 
-class Alone:
+class NullReportsAndRecords:
     """Reports and records that do nothing, for nodes without either."""
 
     def on_report(self, callback: Callable[[int], None]) -> None:
@@ -123,7 +123,7 @@
     def on_read(self, callback: Callable[[], None]) -> None:
         """Ignores the callback, as there are no records."""
 
-    def write_soon(self) -> None:
+    def schedule_write(self) -> None:
         """Does nothing."""
 
     def remove(self, fingerprint: int) -> None:
@@ -166,7 +166,7 @@
         self._clock = system_clock
 
     @classmethod
-    def of_node_alone(cls, system_clock: clock.Clock) -> "CrashWatch":
+    def standalone(cls, system_clock: clock.Clock) -> "CrashWatch":
         """Creates one for a node without reports and records.
 
         Such a node knows servers only by their IDs.
@@ -175,7 +175,7 @@
             system_clock: Measures ages.
         """
         prober = server_ends.TcpProber(_CONNECT_TIMEOUT_S)
-        no_peers = Alone()
+        no_peers = NullReportsAndRecords()
         return cls(
             server_ends.ServerEnds(prober, system_clock),
             crash_suspects.CrashSuspects(),
@@ -231,11 +231,11 @@
         alive = [
             server
             for server in servers
-            if codec.key_of_server(server.start) not in ended
+            if notice_codec.hash_server_start(server.start) not in ended
         ]
         return alive if len(alive) > 1 else []
 
-    def ended_whole(self, request: Request) -> None:
+    def note_completed(self, request: Request) -> None:
         """Records that a server answered a request completely."""
         fingerprint = request.fingerprint()
         now_s = self._clock.monotonic_s()
@@ -243,7 +243,9 @@
             self._reports.broadcast_cleared(fingerprint)
             self._records.remove(fingerprint)
 
-    def broke_off(self, run: Run, *, made_output: bool) -> None:
+    def note_connection_lost(
+        self, run: RequestRun, *, made_output: bool
+    ) -> None:
         """Checks whether a server exited after its exchange was interrupted.
 
         Waits only briefly for the probe of the server; a later result is
@@ -260,11 +262,11 @@
         # result is processed.
         probing.join(timeout=_PENDING_RESULT_TIMEOUT_S)
 
-    def _probe_and_note_end(self, run: Run, made_output: bool) -> None:
+    def _probe_and_note_end(self, run: RequestRun, made_output: bool) -> None:
         ended_s = self._ends.ended_s(run.start, run.address)
         if ended_s is None:
             return
-        fingerprint = run.wanted.fingerprint()
+        fingerprint = run.request.fingerprint()
         _ends_total.inc({"made_output": str(made_output).lower()})
         end = crash_suspects.ServerEnd(
             self._server_key(run.start, ended_s), made_output, ended_s
@@ -272,7 +274,7 @@
         if self._suspects.record_server_end(fingerprint, end):
             self._reports.tell(fingerprint)
         logger.bind(
-            request_id=run.wanted.request_id,
+            request_id=run.request.request_id,
             fingerprint=f"{fingerprint:016x}",
             server_id=run.start.server_id,
             ran_s=None
@@ -283,12 +285,12 @@
         ).warning("a server ended while it worked on a request")
         self._on_new_end(fingerprint)
         if fingerprint in self._blocked:
-            self._records.write_soon()
+            self._records.schedule_write()
 
     def _server_key(self, start: fleet.ServerStart, ended_s: float) -> int:
         if self._restarts_are_visible:
-            return codec.key_of_server(start)
-        return codec.key_of(f"{start} {ended_s}")
+            return notice_codec.hash_server_start(start)
+        return notice_codec.hash_name(f"{start} {ended_s}")
 
     def _on_new_end(self, fingerprint: int) -> None:
         now_s = self._clock.monotonic_s()
--- a/src/mulberrywharf/forwarding/engine_account.py
+++ b/src/mulberrywharf/forwarding/engine_estimates.py
@@ -10,11 +10,11 @@
     engine_loads,
     prompt_demand,
     prompt_parts,
-    queue_accounts,
+    queue_owner_client,
     request,
-    server_book,
+    server_tracker,
 )
-from mulberrywharf.peers import codec, queue_owners
+from mulberrywharf.peers import notice_codec, queue_owners
 from mulberrywharf.policy import (
     background_work,
     engine_queues,
@@ -50,11 +50,11 @@
         """Number of gateways, this one included."""
         ...
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Tells whether this gateway gets notices of all work at an engine."""
         ...
 
-    def add(
+    def add_placement(
         self,
         server: fleet.Server,
         work_s: float,
@@ -82,17 +82,17 @@
         is_in_order: Whether the engine prefills the prompt after everything
             that was queued before it, so that its answer may correct the
             estimate.
-        owner_ticket: The prompt's entry at the owner of the prefill queue, None
-            where queues have no owners.
+        owner_placement_id: The prompt's entry at the owner of the prefill
+            queue, None where queues have no owners.
     """
 
     plan: prompt_placement.Plan
     ticket: engine_queues.Ticket
     is_in_order: bool
-    owner_ticket: queue_owners.Ticket | None = None
+    owner_placement_id: queue_owners.PlacementId | None = None
 
 
-class EngineAccount:
+class EngineEstimates:
     """Estimates of the queues, caches, batches and waits of all engines.
 
     Attributes:
@@ -102,16 +102,16 @@
 
     def __init__(
         self,
-        book: server_book.ServerBook,
+        tracker: server_tracker.ServerTracker,
         system_clock: clock.Clock,
         notices: Notices,
         memory_tokens: Callable[[str], int],
-        queues: queue_accounts.QueueAccounts | None = None,
+        queues: queue_owner_client.QueueOwnerClient | None = None,
     ):
         """Initializes the estimates; no engine is known.
 
         Args:
-            book: This gateway's request counts and observations per server.
+            tracker: This gateway's request counts and observations per server.
             system_clock: Source of monotonic time.
             notices: Sends placements to the other gateways.
             memory_tokens: Returns the KV cache capacity, in tokens, of an
@@ -119,12 +119,12 @@
             queues: Queue owners, for fleets where not every gateway receives
                 notices of all placements; None if every gateway does.
         """
-        self._book = book
-        self._queue_accounts = queues or queue_accounts.NoQueueAccounts()
+        self._tracker = tracker
+        self._queue_owners = queues or queue_owner_client.NullQueueOwnerClient()
         self._clock = system_clock
         self._queues = engine_queues.EngineQueues()
         self.loads = engine_loads.EngineLoads(
-            book, self._queues, notices, system_clock
+            tracker, self._queues, notices, system_clock
         )
         self._observed_waits = observed_waits.ObservedWaits()
         self._slot_waits = slot_waits.SlotWaits()
@@ -147,13 +147,13 @@
         self._server_by_key: dict[int, fleet.Server] = {}
         self._decodes_by_service: dict[str, list[fleet.Server]] = {}
 
-    def follow(self, known: tuple[fleet.Server, ...]) -> None:
+    def set_engines(self, known: tuple[fleet.Server, ...]) -> None:
         """Updates the engines; drops the state of those that ended.
 
         An engine that restarted has an empty cache and runs nothing. Its
         learned speed is kept, because it depends on the machine.
         """
-        self._queue_accounts.follow(known)
+        self._queue_owners.set_engines(known)
         starts = frozenset(server.start for server in known)
         self._queues.keep_only(starts)
         self._observed_waits.keep_only(starts)
@@ -165,11 +165,12 @@
         before = {one.start: one.role for one in self._server_by_key.values()}
         for server in known:
             if before.get(server.start, server.role) != server.role:
-                self._book.changed(server.start)
+                self._tracker.role_change_seen(server.start)
         self._server_by_key = {
-            codec.key_of_server(server.start): server for server in known
+            notice_codec.hash_server_start(server.start): server
+            for server in known
         }
-        self.loads.follow(self._server_by_key)
+        self.loads.set_engines(self._server_by_key)
         self._decodes_by_service = {}
         for server in known:
             if server.role == "decode" and not server.is_draining:
@@ -190,7 +191,7 @@
         Gateways don't announce short prompts, so this one extrapolates from
         its own. Queue owners count them, and the factor is 1 then.
         """
-        if self._queue_accounts.is_used:
+        if self._queue_owners.is_used:
             return 1.0
         taken_share = self._background_work[role].share(
             self._notices.gateways_count,
@@ -218,7 +219,7 @@
         now_s = self._clock.monotonic_s()
         start = server.start
         slowdown *= self._speeds[server.service].pace(server.server_id, now_s)
-        (candidate,) = self._book.candidates([server], now_s)
+        (candidate,) = self._tracker.candidates([server], now_s)
         load = self.loads.load(candidate, now_s)
         running_count = load.running_share * server.slots_count
         slot_wait_s = max(
@@ -256,7 +257,7 @@
         that another engine held. With it, 1.2 of 14.5 million were.
         """
         held_tokens = self._caches.cached_tokens(server.start, parts)
-        if not is_home or self._notices.hears_of(server):
+        if not is_home or self._notices.receives_notices_for(server):
             return held_tokens
         home_part = prompt_parts.home_part_of(parts)
         if home_part is None:
@@ -264,22 +265,22 @@
         likely_tokens = int(self._home_hit_rate.rate * home_part.end_tokens)
         return max(held_tokens, likely_tokens)
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Tells whether this gateway gets notices of all work at an engine."""
-        return self._notices.hears_of(server)
+        return self._notices.receives_notices_for(server)
 
     @property
-    def asked_count(self) -> int:
+    def max_asked_owners_count(self) -> int:
         """Number of owners that may be asked for one prompt; 0 without any."""
         return (
-            self._queue_accounts.asked_count
-            if self._queue_accounts.is_used
+            self._queue_owners.max_asked_owners_count
+            if self._queue_owners.is_used
             else 0
         )
 
-    def owner(self, server: fleet.Server) -> fleet.Address | None:
+    def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway."""
-        return self._queue_accounts.owner(server)
+        return self._queue_owners.queue_owner(server)
 
     def sample(
         self,
@@ -298,14 +299,14 @@
             candidates: All engines of the role.
             rng: Samples the other engines.
         """
-        if not self._queue_accounts.is_used:
+        if not self._queue_owners.is_used:
             return part_homes.sample(homes_first, candidates, rng)
-        owners = {self.owner(home) for home in homes_first}
+        owners = {self.queue_owner(home) for home in homes_first}
         return part_homes.sample(
             homes_first,
             candidates,
             rng,
-            is_preferred=lambda one: self.owner(one) in owners,
+            is_preferred=lambda one: self.queue_owner(one) in owners,
         )
 
     def query_waits(
@@ -313,7 +314,7 @@
         engines: Sequence[fleet.Server],
         priority: int,
         part_keys: tuple[int, ...],
-    ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
+    ) -> Mapping[fleet.ServerStart, queue_owners.ReportedWait]:
         """Asks queue owners for waits, and updates the own queue estimates.
 
         Args:
@@ -324,16 +325,16 @@
         Returns:
             The answers that came in time, by engine.
         """
-        reported = self._queue_accounts.waits(engines, priority, part_keys)
+        reported = self._queue_owners.waits(engines, priority, part_keys)
         now_s = self._clock.monotonic_s()
         for start, wait in reported.items():
-            if wait.is_whole:
+            if wait.is_complete:
                 self._queues.set_wait(start, wait.wait_s, now_s)
         return reported
 
     def record_placement(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         service: table.Service,
         plan: prompt_placement.Plan,
         priority: int = LEAST_PRIORITY,
@@ -341,7 +342,7 @@
         """Records a plan and announces it to peers or to the queue's owner.
 
         Args:
-            wanted: The request.
+            routed_request: The request.
             service: The service whose engines serve it.
             plan: The chosen plan.
             priority: Priority of the request, 0 is served first.
@@ -350,32 +351,36 @@
         work_s = plan.prefill_work_s
         now_s = self._clock.monotonic_s()
         ticket = self._queues.add(prefill_start, work_s, now_s)
-        if service.engine is None or wanted.prompt is None:
+        if service.engine is None or routed_request.prompt is None:
             return Placed(plan, ticket, is_in_order=False)
-        if self._queue_accounts.is_used:
+        if self._queue_owners.is_used:
             reported = prompt_parts.reported_parts(
-                prompt_parts.chain_of(wanted.prompt)
+                prompt_parts.chain_of(routed_request.prompt)
             )
-            owner_ticket = self._queue_accounts.placed(
+            owner_placement_id = self._queue_owners.report_placed(
                 plan.prefill_engine.server,
                 work_s,
                 min(priority, LEAST_PRIORITY),
                 reported,
-                wanted.prompt.tokens - sum(part.tokens for part in reported),
+                routed_request.prompt.tokens
+                - sum(part.tokens for part in reported),
             )
             # Peers only need the cached parts. The work is reported as 0: in a
             # large fleet notices arrive seconds late, when it is done.
             self._note_prompt(
-                wanted.prompt,
+                routed_request.prompt,
                 plan.prefill_engine.server,
                 0.0,
                 service.engine.kv_tokens,
             )
             return Placed(
-                plan, ticket, is_in_order=False, owner_ticket=owner_ticket
+                plan,
+                ticket,
+                is_in_order=False,
+                owner_placement_id=owner_placement_id,
             )
         is_announced = self._note_prompt(
-            wanted.prompt,
+            routed_request.prompt,
             plan.prefill_engine.server,
             work_s,
             service.engine.kv_tokens,
@@ -390,15 +395,15 @@
 
     def record_takeover(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         service: table.Service,
         plan: prompt_placement.Plan,
     ) -> Placed:
         """Records that an engine decodes an already prefilled prompt."""
         engine = plan.decode.server
-        if service.engine is not None and wanted.prompt is not None:
+        if service.engine is not None and routed_request.prompt is not None:
             self._note_prompt(
-                wanted.prompt, engine, 0.0, service.engine.kv_tokens
+                routed_request.prompt, engine, 0.0, service.engine.kv_tokens
             )
         now_s = self._clock.monotonic_s()
         ticket = self._queues.add(engine.start, 0.0, now_s)
@@ -444,8 +449,8 @@
         self._observed_waits.answered(awaited, now_s)
         if awaited.kind == "read" and placed.is_in_order:
             self._queues.finished(placed.ticket, now_s)
-        if awaited.kind == "read" and placed.owner_ticket is not None:
-            self._queue_accounts.read(placed.owner_ticket)
+        if awaited.kind == "read" and placed.owner_placement_id is not None:
+            self._queue_owners.report_prefilled(placed.owner_placement_id)
         self._update_speeds(placed, awaited, now_s)
 
     def _update_speeds(
@@ -465,7 +470,7 @@
         learned = self._speeds[plan.decode.server.service]
         if awaited.kind == "read":
             if (
-                self._queue_accounts.is_used
+                self._queue_owners.is_used
                 and not _was_prefilled_without_queueing(plan)
             ):
                 return
@@ -489,8 +494,8 @@
             awaited: The result of ``prefill_sent`` or ``decode_sent``.
         """
         self._observed_waits.failed(awaited)
-        if awaited.kind == "read" and placed.owner_ticket is not None:
-            self._queue_accounts.withdrawn(placed.owner_ticket)
+        if awaited.kind == "read" and placed.owner_placement_id is not None:
+            self._queue_owners.report_withdrawn(placed.owner_placement_id)
 
     def ended(self, server: fleet.Server, run_s: float) -> None:
         """Records that an engine has finished a stream.
@@ -501,14 +506,14 @@
         """
         self._slot_waits.note_run(server.start, run_s)
 
-    def on_notice(self, notice: codec.Notice) -> None:
+    def on_notice(self, notice: notice_codec.Notice) -> None:
         """Applies another gateway's placements, demand and load reports."""
         now_s = self._clock.monotonic_s()
         self.loads.on_notice(notice)
         for engine_key in notice.changing:
             server = self._server_by_key.get(engine_key)
             if server is not None:
-                self._book.changing(server.start, now_s)
+                self._tracker.role_change_ordered(server.start, now_s)
         self.demand.on_notice(notice)
         for placement in notice.placements:
             server = self._server_by_key.get(placement.engine_key)
@@ -530,11 +535,11 @@
     def _owns_queue_of(self, server: fleet.Server) -> bool:
         """Tells whether this gateway owns an engine's queue."""
         return (
-            self._queue_accounts.is_used
-            and self._queue_accounts.owner(server) is None
+            self._queue_owners.is_used
+            and self._queue_owners.queue_owner(server) is None
         )
 
-    def note_counted(
+    def record_remote_prompt(
         self,
         engine_key: int,
         parts: tuple[part_caches.HeldPart, ...],
@@ -543,7 +548,7 @@
         """Records what another gateway's prompt adds to an engine's cache.
 
         Args:
-            engine_key: The engine, see ``codec.key_of_server``.
+            engine_key: The engine, see ``notice_codec.hash_server_start``.
             parts: Long shared parts of the prompt, in order.
             own_tokens: Tokens of the rest of the prompt.
         """
@@ -558,7 +563,7 @@
         """Returns how many leading parts of a prompt an engine has cached.
 
         Args:
-            engine_key: The engine, see ``codec.key_of_server``.
+            engine_key: The engine, see ``notice_codec.hash_server_start``.
             part_keys: Keys of the parts, in order. An engine that holds a part
                 also holds all parts before it.
         """
@@ -612,7 +617,7 @@
         reported = prompt_parts.reported_parts(parts)
         if not reported:
             self._caches.record_cached(engine.start, held, memory_tokens)
-            if self._queue_accounts.is_used:
+            if self._queue_owners.is_used:
                 return False
             # Short prompts are numerous and spread evenly over the gateways.
             # Instead of announcing them, each gateway extrapolates the others'
@@ -627,7 +632,7 @@
         self._record_home_hit(engine, reported)
         self._caches.record_cached(engine.start, held, memory_tokens)
         own_tokens = prompt.tokens - sum(part.tokens for part in reported)
-        self._notices.add(engine, work_s, reported, own_tokens)
+        self._notices.add_placement(engine, work_s, reported, own_tokens)
         return True
 
     def _record_home_hit(
@@ -648,7 +653,9 @@
         """Tells whether an engine is a home whose work is all known here."""
         # Prefill engines are left out: they copy missing parts from other
         # engines, so their hits say nothing about homes.
-        if server.role == "prefill" or not self._notices.hears_of(server):
+        if server.role == "prefill" or not self._notices.receives_notices_for(
+            server
+        ):
             return False
         decodes = self._decodes_by_service.get(server.service, ())
         return server in part_homes.home_engines_of(part_key, decodes, count=1)
--- a/src/mulberrywharf/forwarding/engine_loads.py
+++ b/src/mulberrywharf/forwarding/engine_loads.py
@@ -3,8 +3,8 @@
 from typing import Protocol
 
 from mulberrywharf import clock, fleet
-from mulberrywharf.forwarding import server_book
-from mulberrywharf.peers import codec
+from mulberrywharf.forwarding import server_tracker
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.policy import engine_queues, load_estimates, server_choice
 
 RELAYED_LOAD_MAX_AGE_S = 0.5
@@ -28,7 +28,7 @@
 class NoticeScope(Protocol):
     """Tells which engines' placements this gateway gets notices of."""
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Tells whether this gateway gets notices of all work at an engine."""
         ...
 
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        book: server_book.ServerBook,
+        tracker: server_tracker.ServerTracker,
         queues: engine_queues.EngineQueues,
         notices: NoticeScope,
         system_clock: clock.Clock,
@@ -57,12 +57,12 @@
         """Initializes the loads; no engine is known.
 
         Args:
-            book: Own and reported requests per engine.
+            tracker: Own and reported requests per engine.
             queues: Estimated prefill queues of the engines.
             notices: Tells which engines' placements are announced here.
             system_clock: Source of monotonic time.
         """
-        self._book = book
+        self._tracker = tracker
         self._queues = queues
         self._notices = notices
         self._clock = system_clock
@@ -76,7 +76,7 @@
             _ZoneServiceRole, tuple[load_estimates.Load, float]
         ] = {}
 
-    def follow(self, known: dict[int, fleet.Server]) -> None:
+    def set_engines(self, known: dict[int, fleet.Server]) -> None:
         """Replaces the known engines, given by their keys in notices."""
         self._server_by_key = known
         self._zone_by_start = {
@@ -89,52 +89,54 @@
         self, candidate: server_choice.Candidate, now_s: float
     ) -> load_estimates.Load:
         """Returns the estimated load of an engine."""
-        if self._notices.hears_of(candidate.server):
+        if self._notices.receives_notices_for(candidate.server):
             return self._observed_load(candidate, now_s)
         return load_estimates.raised_to(
             self._known_load(candidate, now_s),
             self._believed(candidate.server, now_s),
         )
 
-    def reported(self, availability_zone: str) -> tuple[codec.Load, ...]:
+    def recent_reports(
+        self, availability_zone: str
+    ) -> tuple[notice_codec.Load, ...]:
         """Returns the recent load reports of a zone's engines."""
         now_s = self._clock.monotonic_s()
         return tuple(
-            codec.Load(
-                codec.key_of_server(start),
+            notice_codec.Load(
+                notice_codec.hash_server_start(start),
                 load.requests_count,
                 now_s - reported_s,
             )
-            for start, load, reported_s in self._book.reported_since(
+            for start, load, reported_s in self._tracker.reported_since(
                 now_s - RELAYED_LOAD_MAX_AGE_S
             )
             if self._zone_by_start.get(start) == availability_zone
         )
 
-    def of_roles(self) -> tuple[codec.RoleLoad, ...]:
+    def mean_load_by_role(self) -> tuple[notice_codec.RoleLoad, ...]:
         """Returns the mean load of the engines with full notices, by role."""
         now_s = self._clock.monotonic_s()
         kinds = {
             (one.service, one.role)
             for one in self._server_by_key.values()
-            if one.role is not None and self._notices.hears_of(one)
+            if one.role is not None and self._notices.receives_notices_for(one)
         }
         return tuple(
-            codec.RoleLoad(
-                codec.key_of(service),
+            notice_codec.RoleLoad(
+                notice_codec.hash_name(service),
                 role == "prefill",
                 self._mean_load((service, role), now_s),
             )
             for service, role in sorted(kinds)
         )
 
-    def on_notice(self, notice: codec.Notice) -> None:
+    def on_notice(self, notice: notice_codec.Notice) -> None:
         """Applies the loads in another gateway's notice."""
         now_s = self._clock.monotonic_s()
         for load in notice.loads:
             server = self._server_by_key.get(load.engine_key)
             if server is not None:
-                self._book.note_requests_count(
+                self._tracker.note_requests_count(
                     server.start, load.requests_count, now_s - load.age_s
                 )
         for report in notice.role_loads:
@@ -160,7 +162,9 @@
         """Returns the load of an engine with full notices."""
         server = candidate.server
         known = self._known_load(candidate, now_s)
-        unknown_share = 1.0 - self._book.others_load(server.start, now_s).weight
+        unknown_share = (
+            1.0 - self._tracker.others_load(server.start, now_s).weight
+        )
         mean_share = self._told_share((server.service, server.role), now_s)
         return known._replace(
             running_share=known.running_share + unknown_share * mean_share
@@ -171,8 +175,8 @@
     ) -> load_estimates.Load:
         """Returns the estimated load of an engine without full notices."""
         kind = (
-            codec.key_of(server.availability_zone),
-            codec.key_of(server.service),
+            notice_codec.hash_name(server.availability_zone),
+            notice_codec.hash_name(server.service),
             server.role == "prefill",
         )
         load, reported_s = self._zone_loads.get(kind, _NO_LOAD)
@@ -186,7 +190,7 @@
         if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
         reports = [
-            (self._book.others_load(one.start, now_s), one.slots_count)
+            (self._tracker.others_load(one.start, now_s), one.slots_count)
             for one in self._observed_engines(kind)
         ]
         weight = sum(load.weight for load, _ in reports)
@@ -207,7 +211,7 @@
             for one in self._server_by_key.values()
             if (one.service, one.role) == kind
             and not one.is_draining
-            and self._notices.hears_of(one)
+            and self._notices.receives_notices_for(one)
         ]
 
     def _mean_load(
@@ -217,7 +221,7 @@
         found, found_s = self._mean_loads.get(kind, _NO_LOAD)
         if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
-        observed = self._book.candidates(self._observed_engines(kind), now_s)
+        observed = self._tracker.candidates(self._observed_engines(kind), now_s)
         found = load_estimates.mean(
             [self._observed_load(candidate, now_s) for candidate in observed]
         )
--- a/src/mulberrywharf/forwarding/engine_pool.py
+++ b/src/mulberrywharf/forwarding/engine_pool.py
@@ -8,10 +8,10 @@
 
 from mulberrywharf import clock, errors, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     prompt_parts,
     request,
-    server_book,
+    server_tracker,
     servers,
     time_limits,
 )
@@ -57,7 +57,7 @@
 
     def with_reported_waits(
         self,
-        reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+        reported: Mapping[fleet.ServerStart, queue_owners.ReportedWait],
         parts: tuple[part_caches.ChainPart, ...],
     ) -> "_Candidates":
         """Returns a copy with the waits that queue owners reported.
@@ -85,8 +85,8 @@
     def __init__(
         self,
         server_list: servers.ServerList,
-        book: server_book.ServerBook,
-        account: engine_account.EngineAccount,
+        tracker: server_tracker.ServerTracker,
+        estimates: engine_estimates.EngineEstimates,
         system_clock: clock.Clock,
         rng: random.Random,
     ):
@@ -94,21 +94,21 @@
 
         Args:
             server_list: The registered engines.
-            book: Tells which of them are reachable.
-            account: Load, caches and queues of the engines.
+            tracker: Tells which of them are reachable.
+            estimates: Load, caches and queues of the engines.
             system_clock: Source of monotonic time.
             rng: Samples engines, and adds jitter to admission decisions and
                 to Retry-After.
         """
         self._server_list = server_list
-        self._book = book
-        self._account = account
+        self._tracker = tracker
+        self._estimates = estimates
         self._clock = system_clock
         self._rng = rng
 
     def place(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         service: table.Service,
         limit: time_limits.TimeLimit,
@@ -116,11 +116,11 @@
         excluded: frozenset[fleet.ServerStart],
         may_refuse: bool,
         allowed_servers: ServerFilter = list,
-    ) -> engine_account.Placed:
+    ) -> engine_estimates.Placed:
         """Chooses the cheapest plan and records it.
 
         Args:
-            wanted: The request.
+            routed_request: The request.
             route: The route that it matched.
             service: The service whose engines may serve it.
             limit: Its time limit.
@@ -135,12 +135,12 @@
             OverloadedError: The first token would come too late.
         """
         candidates = self._candidates(
-            wanted, service, excluded, allowed_servers
+            routed_request, service, excluded, allowed_servers
         )
         plans = candidates.plans()
-        if wanted.prompt is not None and service.engine is not None:
+        if routed_request.prompt is not None and service.engine is not None:
             plans = self._replan_with_reported_waits(
-                candidates, plans, route.priority, wanted.prompt
+                candidates, plans, route.priority, routed_request.prompt
             )
         if not plans:
             raise errors.NoEngineError(
@@ -149,27 +149,27 @@
             )
         plan = plans[0]
         if may_refuse:
-            self._account.demand.note(wanted, service)
-            self._refuse_if_late(wanted, route, plan, limit)
-        placed = self._account.record_placement(
-            wanted, service, plan, route.priority
+            self._estimates.demand.note(routed_request, service)
+            self._refuse_if_late(routed_request, route, plan, limit)
+        placed = self._estimates.record_placement(
+            routed_request, service, plan, route.priority
         )
-        self._log_placement(wanted, route, plan)
+        self._log_placement(routed_request, route, plan)
         return placed
 
-    def take_over(
+    def place_decode(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         service: table.Service,
         source: fleet.Server,
         *,
         excluded: frozenset[fleet.ServerStart],
         allowed_servers: ServerFilter = list,
-    ) -> engine_account.Placed:
+    ) -> engine_estimates.Placed:
         """Chooses the engine that decodes an already prefilled prompt.
 
         Args:
-            wanted: The request.
+            routed_request: The request.
             service: The service whose engines may serve it.
             source: The engine that prefilled the prompt.
             excluded: Engines that already failed this request.
@@ -182,15 +182,15 @@
         decodes = allowed_servers(
             [one for one in usable if one.role != "prefill"]
         )
-        parts = prompt_parts.chain_of(wanted.prompt)
+        parts = prompt_parts.chain_of(routed_request.prompt)
         plans = prompt_placement.takeovers(
-            _prompt_shape(wanted, service, parts),
-            self._account.speeds(service.name),
+            _prompt_shape(routed_request, service, parts),
+            self._estimates.speeds(service.name),
             prompt_placement.EngineView(source),
             self._views(
                 decodes,
                 parts,
-                self._account.background_slowdown("decode", decodes),
+                self._estimates.background_slowdown("decode", decodes),
             ),
         )
         if not plans:
@@ -198,9 +198,11 @@
                 f"no engine of {service.name} is left to go on",
                 retry_after_s=self._retry_after_s(service),
             )
-        placed = self._account.record_takeover(wanted, service, plans[0])
+        placed = self._estimates.record_takeover(
+            routed_request, service, plans[0]
+        )
         logger.bind(
-            request_id=wanted.request_id,
+            request_id=routed_request.request_id,
             decode_id=placed.plan.decode.server.server_id,
             prefill_id=source.server_id,
             unlisted=self._server_list.unlisted(
@@ -218,14 +220,18 @@
             for server in self._server_list.usable(service.name)
             if server.role != "prefill"
         ]
-        rest_left_s = self._book.rest_left_s(
+        retry_after_left_s = self._tracker.retry_after_left_s(
             answering, self._clock.monotonic_s()
         )
-        return RETRY_WITHOUT_ENGINE_S if rest_left_s is None else rest_left_s
+        return (
+            RETRY_WITHOUT_ENGINE_S
+            if retry_after_left_s is None
+            else retry_after_left_s
+        )
 
     def _refuse_if_late(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         plan: prompt_placement.Plan,
         limit: time_limits.TimeLimit,
@@ -241,7 +247,7 @@
         if refusal is None:
             return
         logger.bind(
-            request_id=wanted.request_id,
+            request_id=routed_request.request_id,
             route=route.name,
             first_token_s=round(plan.first_token_s, 3),
             queue_s=round(estimate.queue_s, 3),
@@ -268,24 +274,24 @@
         asks the owners of the first few plans' queues. If the best plan then
         depends on a queue of another owner, it asks that owner too.
         """
-        asked_count = self._account.asked_count
-        if not asked_count:
+        max_asked_owners_count = self._estimates.max_asked_owners_count
+        if not max_asked_owners_count:
             return plans
         parts = prompt_parts.reported_chain(prompt_parts.chain_of(prompt))
         keys = tuple(part.held.key for part in parts)
         asked: set[fleet.Address | None] = set()
-        for count in (asked_count, 1):
+        for count in (max_asked_owners_count, 1):
             best = plans[0].prefill_engine.server if plans else None
-            if best is None or self._account.owner(best) in asked:
+            if best is None or self._estimates.queue_owner(best) in asked:
                 break
             owners = self._queue_owners(plans, count)
             asked |= owners
             prefill_engines = {plan.prefill_engine.server for plan in plans}
-            reported = self._account.query_waits(
+            reported = self._estimates.query_waits(
                 [
                     one
                     for one in prefill_engines
-                    if self._account.owner(one) in owners
+                    if self._estimates.queue_owner(one) in owners
                 ],
                 priority,
                 keys,
@@ -308,47 +314,47 @@
         """
         found: set[fleet.Address | None] = set()
         for plan in plans:
-            found.add(self._account.owner(plan.prefill_engine.server))
+            found.add(self._estimates.queue_owner(plan.prefill_engine.server))
             if len(found) >= count:
                 break
         return found
 
     def _candidates(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         service: table.Service,
         excluded: frozenset[fleet.ServerStart],
         allowed_servers: ServerFilter,
     ) -> _Candidates:
         usable = self._usable(service, excluded)
-        parts = prompt_parts.chain_of(wanted.prompt)
+        parts = prompt_parts.chain_of(routed_request.prompt)
         prefills = allowed_servers(
             [one for one in usable if one.role == "prefill"]
         )
         decodes = allowed_servers(
             [one for one in usable if one.role != "prefill"]
         )
-        if service.engine is None or wanted.prompt is None:
+        if service.engine is None or routed_request.prompt is None:
             prefills = []
         return _Candidates(
-            _prompt_shape(wanted, service, parts),
-            self._account.speeds(service.name),
+            _prompt_shape(routed_request, service, parts),
+            self._estimates.speeds(service.name),
             self._views(
                 prefills,
                 parts,
-                self._account.background_slowdown("prefill", prefills),
+                self._estimates.background_slowdown("prefill", prefills),
             ),
             self._views(
                 decodes,
                 parts,
-                self._account.background_slowdown("decode", decodes),
+                self._estimates.background_slowdown("decode", decodes),
             ),
         )
 
     def _usable(
         self, service: table.Service, excluded: frozenset[fleet.ServerStart]
     ) -> list[fleet.Server]:
-        return self._book.reachable(
+        return self._tracker.reachable(
             (
                 server
                 for server in self._server_list.usable(service.name)
@@ -365,9 +371,9 @@
     ) -> list[prompt_placement.EngineView]:
         shared = prompt_parts.home_part_of(parts)
         homes = self._home_engines(shared, candidates) if shared else []
-        sampled = self._account.sample(homes, candidates, self._rng)
+        sampled = self._estimates.sample(homes, candidates, self._rng)
         return [
-            self._account.view(
+            self._estimates.view(
                 one, parts, slowdown, is_home=bool(homes) and one is homes[0]
             )
             for one in sampled
@@ -385,7 +391,8 @@
         observed = [
             one
             for one in candidates
-            if one.role == "prefill" and self._account.hears_of(one)
+            if one.role == "prefill"
+            and self._estimates.receives_notices_for(one)
         ]
         return part_homes.home_engines_of(
             shared.held.key, observed or candidates
@@ -393,13 +400,13 @@
 
     def _log_placement(
         self,
-        wanted: request.RoutedRequest,
+        routed_request: request.RoutedRequest,
         route: table.Route,
         plan: prompt_placement.Plan,
     ) -> None:
         prefill = plan.prefill.server.server_id if plan.prefill else None
         logger.bind(
-            request_id=wanted.request_id,
+            request_id=routed_request.request_id,
             route=route.name,
             decode_id=plan.decode.server.server_id,
             prefill_id=prefill,
@@ -411,7 +418,9 @@
             fetch_from=str(plan.fetch_from.address)
             if plan.fetch_from
             else None,
-            prompt_tokens=wanted.prompt.tokens if wanted.prompt else None,
+            prompt_tokens=routed_request.prompt.tokens
+            if routed_request.prompt
+            else None,
             cached_tokens=plan.cached_tokens,
             queue_s=round(plan.queue_s, 4),
             told_wait_s=plan.prefill_engine.reported_wait_s,
@@ -422,7 +431,7 @@
 
 def _plans_with_reported_waits(
     plans: list[prompt_placement.Plan],
-    reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+    reported: Mapping[fleet.ServerStart, queue_owners.ReportedWait],
 ) -> list[prompt_placement.Plan]:
     """Returns the plans with the reported waits, the cheapest first.
 
@@ -441,7 +450,7 @@
 
 def _view_with_reported_wait(
     view: prompt_placement.EngineView,
-    reported: Mapping[fleet.ServerStart, queue_owners.ToldWait],
+    reported: Mapping[fleet.ServerStart, queue_owners.ReportedWait],
     parts: tuple[part_caches.ChainPart, ...],
 ) -> prompt_placement.EngineView:
     """Returns an engine's view with the wait and cache its owner reported."""
@@ -456,19 +465,19 @@
 
 
 def _effective_wait_s(
-    view: prompt_placement.EngineView, wait: queue_owners.ToldWait
+    view: prompt_placement.EngineView, wait: queue_owners.ReportedWait
 ) -> float:
     """Returns the wait at an engine by its queue owner's report.
 
     An owner that has not yet seen the whole queue can only raise the estimate.
     """
     wait_s = wait.wait_s + view.slot_wait_s
-    return wait_s if wait.is_whole else max(wait_s, view.wait_s)
+    return wait_s if wait.is_complete else max(wait_s, view.wait_s)
 
 
 def _effective_cached_tokens(
     view: prompt_placement.EngineView,
-    wait: queue_owners.ToldWait,
+    wait: queue_owners.ReportedWait,
     parts: tuple[part_caches.ChainPart, ...],
 ) -> int:
     """Returns the leading tokens an engine has cached, by its owner's report.
@@ -486,14 +495,14 @@
 
 
 def _prompt_shape(
-    wanted: request.RoutedRequest,
+    routed_request: request.RoutedRequest,
     service: table.Service,
     parts: tuple[part_caches.ChainPart, ...],
 ) -> prompt_placement.PromptShape:
     engine = service.engine
     shared = prompt_parts.home_part_of(parts)
     return prompt_placement.PromptShape(
-        tokens=wanted.prompt.tokens if wanted.prompt else 0,
+        tokens=routed_request.prompt.tokens if routed_request.prompt else 0,
         shared_tokens=shared.end_tokens if shared else 0,
         kv_token_bytes=engine.kv_token_bytes if engine else 0.0,
         link_bytes_per_s=engine.link_bytes_per_s if engine else 1.0,
--- a/src/mulberrywharf/forwarding/generation.py
+++ b/src/mulberrywharf/forwarding/generation.py
@@ -14,12 +14,12 @@
 
 from mulberrywharf import clock, crash_watch, errors, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_pool,
     events,
-    exchanges,
     request,
-    server_book,
+    server_client,
+    server_tracker,
     time_limits,
 )
 from mulberrywharf.policy import observed_waits, repeat_budget, stream_gaps
@@ -50,13 +50,13 @@
     blocks: Iterator[bytes]
 
 
-class Parts(NamedTuple):
+class Dependencies(NamedTuple):
     """Components shared by all generations.
 
     Attributes:
         pool: Chooses the engines for each prompt.
-        account: Tracks the work that the engines have.
-        book: State of the engines, from this node's own exchanges.
+        estimates: Tracks the work that the engines have.
+        tracker: State of the engines, from this node's own exchanges.
         client: Sends the attempts.
         budget: Limits repeats.
         crashes: Blocks requests that crash servers.
@@ -64,9 +64,9 @@
     """
 
     pool: engine_pool.EnginePool
-    account: engine_account.EngineAccount
-    book: server_book.ServerBook
-    client: exchanges.ServerClient
+    estimates: engine_estimates.EngineEstimates
+    tracker: server_tracker.ServerTracker
+    client: server_client.ServerClient
     budget: repeat_budget.RepeatBudget
     crashes: crash_watch.CrashWatch
     system_clock: clock.Clock
@@ -75,8 +75,8 @@
 class Generations:
     """Forwards requests to engines."""
 
-    def __init__(self, parts: Parts):
-        self._parts = parts
+    def __init__(self, dependencies: Dependencies):
+        self._dependencies = dependencies
 
     def open(
         self,
@@ -90,17 +90,19 @@
             RequestError: There is no answer; the error's outcome tells whether
                 the request may have run.
         """
-        self._parts.crashes.check(routed_request)
-        now_s = self._parts.system_clock.monotonic_s()
-        self._parts.budget.note_request(service.name, now_s)
-        return _Generation(self._parts, routed_request, route, service).open()
+        self._dependencies.crashes.check(routed_request)
+        now_s = self._dependencies.system_clock.monotonic_s()
+        self._dependencies.budget.note_request(service.name, now_s)
+        return _Generation(
+            self._dependencies, routed_request, route, service
+        ).open()
 
 
 class _Run(NamedTuple):
     """An answer that is being read, and the engine that generates it."""
 
     server: fleet.Server
-    answer: exchanges.StartedAnswer
+    answer: server_client.StartedAnswer
     began_s: float
 
 
@@ -117,18 +119,18 @@
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: Dependencies,
         routed_request: request.RoutedRequest,
         route: table.Route,
         service: table.Service,
     ):
-        self._parts = parts
+        self._dependencies = dependencies
         self._routed_request = routed_request
         self._route = route
         self._service = service
         self._may_run_again = kinds.may_run_again(route.kind)
         self._limit = time_limits.TimeLimit.of(
-            routed_request, route, parts.system_clock
+            routed_request, route, dependencies.system_clock
         )
         self._excluded: set[fleet.ServerStart] = set()
         self._sends_count = 0
@@ -189,14 +191,14 @@
         prefilled = self._prefilled
         if prefilled is None:
             return None
-        if self._parts.system_clock.monotonic_s() < prefilled.expires_s:
+        if self._dependencies.system_clock.monotonic_s() < prefilled.expires_s:
             return prefilled
         self._prefilled = None
         return None
 
-    def _place(self) -> engine_account.Placed:
+    def _place(self) -> engine_estimates.Placed:
         try:
-            return self._parts.pool.place(
+            return self._dependencies.pool.place(
                 self._routed_request,
                 self._route,
                 self._service,
@@ -208,9 +210,9 @@
         except errors.NoEngineError as error:
             raise self._no_engine_error(error) from error
 
-    def _place_decode(self, prefilled: _Prefilled) -> engine_account.Placed:
+    def _place_decode(self, prefilled: _Prefilled) -> engine_estimates.Placed:
         try:
-            return self._parts.pool.take_over(
+            return self._dependencies.pool.place_decode(
                 self._routed_request,
                 self._service,
                 prefilled.server,
@@ -223,7 +225,7 @@
     def _allowed_servers(
         self, servers: Sequence[fleet.Server]
     ) -> list[fleet.Server]:
-        return self._parts.crashes.allowed_servers(
+        return self._dependencies.crashes.allowed_servers(
             self._routed_request, servers
         )
 
@@ -236,21 +238,21 @@
         return errors.BackEndLostError(error.message, outcome=self._outcome)
 
     def _prefill(
-        self, placed: engine_account.Placed, server: fleet.Server
+        self, placed: engine_estimates.Placed, server: fleet.Server
     ) -> Result[_Prefilled, errors.EngineError]:
         attempt = self._attempt(server)._replace(
             prefill_only=True, fetch_from=_fetch_from(placed)
         )
-        began_s = self._parts.system_clock.monotonic_s()
-        awaited = self._parts.account.prefill_sent(placed)
+        began_s = self._dependencies.system_clock.monotonic_s()
+        awaited = self._dependencies.estimates.prefill_sent(placed)
         try:
-            with _InFlightRequest(self._parts.book, server, began_s):
+            with _InFlightRequest(self._dependencies.tracker, server, began_s):
                 result = self._prefill_exchange(attempt)
         except BaseException:
-            self._parts.account.failed(placed, awaited)
+            self._dependencies.estimates.failed(placed, awaited)
             raise
         self._note_outcome(placed, awaited, result)
-        expected_s = self._parts.account.expected_s(placed, awaited)
+        expected_s = self._dependencies.estimates.expected_s(placed, awaited)
         self._record_attempt(attempt, began_s, expected_s, result)
         return result.map(lambda cache: self._record_prefill(cache, server))
 
@@ -260,25 +262,25 @@
         self._was_prefilled = True
         engine = self._service.engine
         ttl_s = engine.handle_ttl_s if engine else 0.0
-        now_s = self._parts.system_clock.monotonic_s()
+        now_s = self._dependencies.system_clock.monotonic_s()
         return _Prefilled(cache, server, now_s + ttl_s)
 
     def _note_outcome(
         self,
-        placed: engine_account.Placed,
+        placed: engine_estimates.Placed,
         awaited: observed_waits.PendingPrompt,
         outcome: Result[object, errors.EngineError],
     ) -> None:
         if isinstance(outcome, Ok):
-            self._parts.account.answer_began(placed, awaited)
+            self._dependencies.estimates.answer_began(placed, awaited)
         else:
-            self._parts.account.failed(placed, awaited)
+            self._dependencies.estimates.failed(placed, awaited)
 
     def _prefill_exchange(
         self, attempt: request.Attempt
     ) -> Result[request.CacheHandle, errors.EngineError]:
         # Prefilling a prompt twice is harmless for every kind of request.
-        began_s = self._parts.system_clock.monotonic_s()
+        began_s = self._dependencies.system_clock.monotonic_s()
         sent = self._send(attempt, may_run_again=True)
         if isinstance(sent, Err):
             self._report_possible_crash(attempt.server, began_s, sent.err_value)
@@ -300,11 +302,13 @@
             self._note_answer_failed(attempt.server)
             message = f"{attempt.server.address} failed to prefill the prompt"
             return Err(errors.AnswerLostError(message))
-        self._parts.book.succeeded(attempt.server.start)
-        return self._parts.client.decode_handle(attempt.server, body.ok_value)
+        self._dependencies.tracker.succeeded(attempt.server.start)
+        return self._dependencies.client.decode_handle(
+            attempt.server, body.ok_value
+        )
 
     def _generate(
-        self, placed: engine_account.Placed
+        self, placed: engine_estimates.Placed
     ) -> Result[_Run, errors.EngineError]:
         server = placed.plan.decode.server
         prefilled, self._prefilled = self._prefilled, None
@@ -316,26 +320,26 @@
             fetch_from=_fetch_from(placed) if prefills_itself else None,
             last_event_id=self._last_event_id,
         )
-        began_s = self._parts.system_clock.monotonic_s()
+        began_s = self._dependencies.system_clock.monotonic_s()
         previous_outcome = self._outcome
         self._outcome = "unknown"
-        account = self._parts.account
+        estimates = self._dependencies.estimates
         note_sent = (
-            account.prefill_sent if prefills_itself else account.decode_sent
+            estimates.prefill_sent if prefills_itself else estimates.decode_sent
         )
         awaited = note_sent(placed)
-        self._parts.book.began(server.start, began_s)
+        self._dependencies.tracker.began(server.start, began_s)
         try:
             sent = self._send(attempt, may_run_again=self._may_run_again)
         except BaseException:
-            account.failed(placed, awaited)
-            self._parts.book.ended(server.start)
+            estimates.failed(placed, awaited)
+            self._dependencies.tracker.ended(server.start)
             raise
         self._note_outcome(placed, awaited, sent)
-        expected_s = account.expected_s(placed, awaited)
+        expected_s = estimates.expected_s(placed, awaited)
         self._record_attempt(attempt, began_s, expected_s, sent)
         if isinstance(sent, Err):
-            self._parts.book.ended(server.start)
+            self._dependencies.tracker.ended(server.start)
             self._report_possible_crash(server, began_s, sent.err_value)
             if isinstance(sent.err_value, errors.EngineUnreachableError):
                 # Nothing was sent, so another engine can use the handle.
@@ -353,14 +357,14 @@
             self._routed_request,
             server,
             self._limit.for_server_s(),
-            priority=min(engine_account.LEAST_PRIORITY, self._route.priority),
+            priority=min(engine_estimates.LEAST_PRIORITY, self._route.priority),
         )
 
     def _send(
         self, attempt: request.Attempt, *, may_run_again: bool
-    ) -> Result[exchanges.StartedAnswer, errors.EngineError]:
+    ) -> Result[server_client.StartedAnswer, errors.EngineError]:
         self._sends_count += 1
-        return self._parts.client.send(
+        return self._dependencies.client.send(
             attempt, may_run_again=may_run_again, wait_s=self._limit.wait_s()
         )
 
@@ -373,8 +377,8 @@
         if self._outcome == "unknown" and not self._may_run_again:
             raise errors.BackEndLostError(error.message, outcome="unknown")
         if self._outcome == "not-run":
-            self._parts.crashes.check(self._routed_request)
-        elif self._parts.crashes.is_blocked(self._routed_request):
+            self._dependencies.crashes.check(self._routed_request)
+        elif self._dependencies.crashes.is_blocked(self._routed_request):
             raise errors.BackEndLostError(error.message, outcome="unknown")
         is_limit_reached = (
             self._sends_count >= _SENDS_LIMIT_COUNT
@@ -403,8 +407,8 @@
             raise self._final_error("the repeat budget is exhausted")
 
     def _take_repeat(self) -> bool:
-        now_s = self._parts.system_clock.monotonic_s()
-        return self._parts.budget.take(self._service.name, now_s)
+        now_s = self._dependencies.system_clock.monotonic_s()
+        return self._dependencies.budget.take(self._service.name, now_s)
 
     def _final_error(self, message: str) -> errors.RequestError:
         if self._outcome == "unknown":
@@ -432,7 +436,7 @@
         """Yields one engine's events; returns the error if it broke off."""
         splitter = events.EventSplitter()
         exchange = run.answer.exchange
-        began_s = self._parts.system_clock.monotonic_s()
+        began_s = self._dependencies.system_clock.monotonic_s()
         gaps = stream_gaps.StreamGaps(began_s)
         try:
             while True:
@@ -454,12 +458,14 @@
                     break
                 block = self._new_events(splitter, received.ok_value)
                 if block:
-                    gaps.note(self._parts.system_clock.monotonic_s())
+                    gaps.note(self._dependencies.system_clock.monotonic_s())
                     yield block
-            self._parts.book.succeeded(run.server.start)
-            self._parts.account.ended(run.server, self._since_s(began_s))
+            self._dependencies.tracker.succeeded(run.server.start)
+            self._dependencies.estimates.ended(
+                run.server, self._since_s(began_s)
+            )
             if run.answer.head.is_success:
-                self._parts.crashes.ended_whole(self._routed_request)
+                self._dependencies.crashes.note_completed(self._routed_request)
             if splitter.pending:
                 yield splitter.pending
             exchange.finish()
@@ -469,7 +475,7 @@
             return error
         finally:
             exchange.close()
-            self._parts.book.ended(run.server.start)
+            self._dependencies.tracker.ended(run.server.start)
             self._log_stream(run.server, gaps)
 
     def _log_stream(
@@ -502,7 +508,7 @@
         run = self._start_within_limit()
         if not run.answer.head.is_success:
             run.answer.exchange.close()
-            self._parts.book.ended(run.server.start)
+            self._dependencies.tracker.ended(run.server.start)
             raise errors.BackEndLostError(
                 f"{run.server.address} did not resume the stream",
                 outcome="unknown",
@@ -517,8 +523,8 @@
 
     def _note_answer_lost(self, server: fleet.Server) -> None:
         self._excluded.add(server.start)
-        now_s = self._parts.system_clock.monotonic_s()
-        self._parts.book.lost(server.start, now_s)
+        now_s = self._dependencies.system_clock.monotonic_s()
+        self._dependencies.tracker.connection_lost(server.start, now_s)
 
     def _report_possible_crash(
         self,
@@ -529,27 +535,31 @@
         made_output: bool = False,
     ) -> None:
         if crash_watch.may_be_crash(error):
-            run = crash_watch.Run(
+            run = crash_watch.RequestRun(
                 self._routed_request, server.start, server.address, began_s
             )
-            self._parts.crashes.broke_off(run, made_output=made_output)
+            self._dependencies.crashes.note_connection_lost(
+                run, made_output=made_output
+            )
 
     def _note_answer_failed(self, server: fleet.Server) -> None:
         self._excluded.add(server.start)
-        self._parts.book.failed(server.start)
+        self._dependencies.tracker.failed(server.start)
 
     def _release_cache(self) -> None:
         prefilled, self._prefilled = self._prefilled, None
         if prefilled is None:
             return
-        now_s = self._parts.system_clock.monotonic_s()
+        now_s = self._dependencies.system_clock.monotonic_s()
         # A resting engine gets no release request either; the KV cache that
         # it holds expires by itself.
-        if not self._parts.book.is_resting(prefilled.server.start, now_s):
-            self._parts.client.release(prefilled.cache)
+        if not self._dependencies.tracker.is_paused(
+            prefilled.server.start, now_s
+        ):
+            self._dependencies.client.release(prefilled.cache)
 
     def _since_s(self, began_s: float) -> float:
-        return self._parts.system_clock.monotonic_s() - began_s
+        return self._dependencies.system_clock.monotonic_s() - began_s
 
     def _record_attempt(
         self,
@@ -569,7 +579,9 @@
             took_s=round(self._since_s(began_s), 4),
             expected_s=round(expected_s, 4),
             left_s=round(self._limit.left_s(), 3),
-            reported=self._parts.book.last_report(attempt.server.start),
+            reported=self._dependencies.tracker.last_report(
+                attempt.server.start
+            ),
             result="ok" if isinstance(outcome, Ok) else outcome.err_value.code,
         ).info("attempt")
 
@@ -579,22 +591,22 @@
 
     def __init__(
         self,
-        book: server_book.ServerBook,
+        tracker: server_tracker.ServerTracker,
         server: fleet.Server,
         now_s: float,
     ):
-        self._book = book
+        self._tracker = tracker
         self._now_s = now_s
         self._start = server.start
 
     def __enter__(self) -> None:
-        self._book.began(self._start, self._now_s)
+        self._tracker.began(self._start, self._now_s)
 
     def __exit__(self, *failure: object) -> None:
-        self._book.ended(self._start)
+        self._tracker.ended(self._start)
 
 
-def _fetch_from(placed: engine_account.Placed) -> fleet.Address | None:
+def _fetch_from(placed: engine_estimates.Placed) -> fleet.Address | None:
     source = placed.plan.fetch_from
     return source.address if source is not None else None
 
--- a/src/mulberrywharf/forwarding/plain_call.py
+++ b/src/mulberrywharf/forwarding/plain_call.py
@@ -14,9 +14,9 @@
 
 from mulberrywharf import clock, crash_watch, errors, fleet
 from mulberrywharf.forwarding import (
-    exchanges,
     request,
-    server_book,
+    server_client,
+    server_tracker,
     servers,
     time_limits,
 )
@@ -45,12 +45,12 @@
     body: bytes
 
 
-class Parts(NamedTuple):
+class Dependencies(NamedTuple):
     """Components shared by all calls.
 
     Attributes:
         server_list: The servers of each service.
-        book: State of the servers, from this node's own exchanges.
+        tracker: State of the servers, from this node's own exchanges.
         client: Sends the attempts.
         budget: Limits repeats.
         crashes: Blocks requests that crash servers.
@@ -59,8 +59,8 @@
     """
 
     server_list: servers.ServerList
-    book: server_book.ServerBook
-    client: exchanges.ServerClient
+    tracker: server_tracker.ServerTracker
+    client: server_client.ServerClient
     budget: repeat_budget.RepeatBudget
     crashes: crash_watch.CrashWatch
     system_clock: clock.Clock
@@ -70,8 +70,8 @@
 class PlainCalls:
     """Forwards requests to plain services."""
 
-    def __init__(self, parts: Parts):
-        self._parts = parts
+    def __init__(self, dependencies: Dependencies):
+        self._dependencies = dependencies
 
     def call(
         self,
@@ -90,10 +90,12 @@
             RequestError: There is no answer; the error's outcome tells whether
                 the request may have run.
         """
-        parts = self._parts
-        parts.crashes.check(routed_request)
-        parts.budget.note_request(service, parts.system_clock.monotonic_s())
-        return _Call(parts, routed_request, route, service).run()
+        dependencies = self._dependencies
+        dependencies.crashes.check(routed_request)
+        dependencies.budget.note_request(
+            service, dependencies.system_clock.monotonic_s()
+        )
+        return _Call(dependencies, routed_request, route, service).run()
 
 
 class _Call:
@@ -101,12 +103,12 @@
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: Dependencies,
         routed_request: request.RoutedRequest,
         route: table.Route,
         service: str,
     ):
-        self._parts = parts
+        self._dependencies = dependencies
         self._routed_request = routed_request
         self._route = route
         self._service = service
@@ -116,7 +118,7 @@
         self._outcome: errors.Outcome = "not-run"
         self._failure_answer: WholeAnswer | None = None
         self._limit = time_limits.TimeLimit.of(
-            routed_request, route, parts.system_clock
+            routed_request, route, dependencies.system_clock
         )
 
     def run(self) -> WholeAnswer:
@@ -147,37 +149,37 @@
                 return self._give_up("no further attempt is allowed")
 
     def _choose(self) -> server_choice.Candidate | None:
-        now_s = self._parts.system_clock.monotonic_s()
+        now_s = self._dependencies.system_clock.monotonic_s()
         usable = [
             server
-            for server in self._parts.server_list.usable(self._service)
+            for server in self._dependencies.server_list.usable(self._service)
             if server.start not in self._tried
         ]
-        reachable = self._parts.book.reachable(usable, now_s)
-        allowed = self._parts.crashes.allowed_servers(
+        reachable = self._dependencies.tracker.reachable(usable, now_s)
+        allowed = self._dependencies.crashes.allowed_servers(
             self._routed_request, reachable
         )
-        candidates = self._parts.book.candidates(allowed, now_s)
-        return server_choice.choose(candidates, self._parts.rng)
+        candidates = self._dependencies.tracker.candidates(allowed, now_s)
+        return server_choice.choose(candidates, self._dependencies.rng)
 
     def _attempt(
         self, chosen: server_choice.Candidate
     ) -> Result[WholeAnswer, errors.EngineError]:
         server = chosen.server
-        book = self._parts.book
+        tracker = self._dependencies.tracker
         attempt = request.Attempt(
             self._routed_request, server, self._limit.for_server_s()
         )
-        began_s = self._parts.system_clock.monotonic_s()
+        began_s = self._dependencies.system_clock.monotonic_s()
         previous_outcome = self._outcome
         # The request may have run until the attempt reports otherwise.
         self._outcome = "unknown"
-        book.began(server.start, began_s)
+        tracker.began(server.start, began_s)
         try:
             attempted = self._exchange(attempt)
         finally:
-            book.ended(server.start)
-        took_s = self._parts.system_clock.monotonic_s() - began_s
+            tracker.ended(server.start)
+        took_s = self._dependencies.system_clock.monotonic_s() - began_s
         if isinstance(attempted, Err):
             self._report_possible_crash(server, began_s, attempted.err_value)
             if attempted.err_value.outcome == "not-run":
@@ -194,15 +196,17 @@
         self, server: fleet.Server, began_s: float, error: errors.EngineError
     ) -> None:
         if crash_watch.may_be_crash(error):
-            run = crash_watch.Run(
+            run = crash_watch.RequestRun(
                 self._routed_request, server.start, server.address, began_s
             )
-            self._parts.crashes.broke_off(run, made_output=False)
+            self._dependencies.crashes.note_connection_lost(
+                run, made_output=False
+            )
 
     def _exchange(
         self, attempt: request.Attempt
     ) -> Result[WholeAnswer, errors.EngineError]:
-        sent = self._parts.client.send(
+        sent = self._dependencies.client.send(
             attempt,
             may_run_again=self._may_run_again,
             wait_s=self._limit.wait_s(),
@@ -219,12 +223,12 @@
             raise
         answer.exchange.finish()
         if isinstance(body, Err):
-            self._parts.book.lost(
+            self._dependencies.tracker.connection_lost(
                 attempt.server.start,
-                self._parts.system_clock.monotonic_s(),
+                self._dependencies.system_clock.monotonic_s(),
             )
             return body
-        if answer.head.is_success and not answer.head.has_receipt:
+        if answer.head.is_success and not answer.head.has_signature:
             message = (
                 f"{attempt.server.address} sent an answer without a signature"
             )
@@ -235,11 +239,11 @@
         self, server: fleet.Server, head: request.AnswerHead, took_s: float
     ) -> None:
         if head.is_success:
-            self._parts.crashes.ended_whole(self._routed_request)
+            self._dependencies.crashes.note_completed(self._routed_request)
         if head.status >= _FAILURE_STATUS:
-            self._parts.book.failed(server.start)
+            self._dependencies.tracker.failed(server.start)
         else:
-            self._parts.book.succeeded(server.start, took_s)
+            self._dependencies.tracker.succeeded(server.start, took_s)
 
     def _is_retryable(self, answer: WholeAnswer) -> bool:
         return answer.head.status >= _FAILURE_STATUS and self._may_run_again
@@ -250,7 +254,7 @@
         """Tells whether the request may be sent to another server."""
         if self._runs_count >= self._route.attempts_limit_count:
             return False
-        if self._parts.crashes.is_blocked(self._routed_request):
+        if self._dependencies.crashes.is_blocked(self._routed_request):
             return False
         if isinstance(attempted, Err) and isinstance(
             attempted.err_value, errors.EngineUnreachableError
@@ -259,8 +263,8 @@
             return True
         if self._outcome == "unknown" and not self._may_run_again:
             return False
-        now_s = self._parts.system_clock.monotonic_s()
-        return self._parts.budget.take(self._service, now_s)
+        now_s = self._dependencies.system_clock.monotonic_s()
+        return self._dependencies.budget.take(self._service, now_s)
 
     def _give_up(self, reason: str) -> WholeAnswer:
         if self._failure_answer is not None:
@@ -269,18 +273,22 @@
             raise errors.BackEndLostError(
                 f"the server failed: {reason}", outcome="unknown"
             )
-        self._parts.crashes.check(self._routed_request)
+        self._dependencies.crashes.check(self._routed_request)
         raise errors.OverloadedError(
             f"not run: {reason}", retry_after_s=self._retry_after_s()
         )
 
     def _retry_after_s(self) -> float:
-        now_s = self._parts.system_clock.monotonic_s()
-        usable = self._parts.server_list.usable(self._service)
-        rest_left_s = self._parts.book.rest_left_s(usable, now_s)
-        if rest_left_s is not None:
-            return rest_left_s
-        return self._parts.rng.uniform(RETRY_AFTER_LEAST_S, RETRY_AFTER_MOST_S)
+        now_s = self._dependencies.system_clock.monotonic_s()
+        usable = self._dependencies.server_list.usable(self._service)
+        retry_after_left_s = self._dependencies.tracker.retry_after_left_s(
+            usable, now_s
+        )
+        if retry_after_left_s is not None:
+            return retry_after_left_s
+        return self._dependencies.rng.uniform(
+            RETRY_AFTER_LEAST_S, RETRY_AFTER_MOST_S
+        )
 
     def _log(
         self,
@@ -297,7 +305,7 @@
             request_id=self._routed_request.request_id,
             route=self._route.name,
             server_id=chosen.server.server_id,
-            unlisted=self._parts.server_list.unlisted(
+            unlisted=self._dependencies.server_list.unlisted(
                 [chosen.server.server_id]
             ),
             own_count=chosen.own_in_flight_count,
--- a/src/mulberrywharf/forwarding/prompt_demand.py
+++ b/src/mulberrywharf/forwarding/prompt_demand.py
@@ -5,7 +5,7 @@
 
 from mulberrywharf import clock
 from mulberrywharf.forwarding import request
-from mulberrywharf.peers import codec
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.policy import engine_speeds, prefill_demand
 from mulberrywharf.routes import table
 
@@ -34,7 +34,7 @@
         )
 
     def note(
-        self, wanted: request.RoutedRequest, service: table.Service
+        self, routed_request: request.RoutedRequest, service: table.Service
     ) -> None:
         """Counts a caller's prompt, whether it is served or refused.
 
@@ -45,10 +45,10 @@
         it and they need no prefill engine.
 
         Args:
-            wanted: The request.
+            routed_request: The request.
             service: The service that it asks for.
         """
-        prompt = wanted.prompt
+        prompt = routed_request.prompt
         if service.engine is None or prompt is None:
             return
         shared_tokens = sum(part.tokens for part in prompt.parts[:-1])
@@ -58,11 +58,13 @@
             now_s = self._clock.monotonic_s()
             self._demands[service.name].note(prefill_time.work_s, now_s)
 
-    def own_demands(self) -> tuple[codec.Demand, ...]:
+    def own_demands(self) -> tuple[notice_codec.Demand, ...]:
         """Returns this gateway's own demand, for notices to peers."""
         now_s = self._clock.monotonic_s()
         return tuple(
-            codec.Demand(codec.key_of(service), demand.own_engines(now_s))
+            notice_codec.Demand(
+                notice_codec.hash_name(service), demand.own_engines(now_s)
+            )
             for service, demand in self._demands.items()
         )
 
@@ -76,10 +78,10 @@
             self._gateways_count(), self._clock.monotonic_s()
         )
 
-    def on_notice(self, notice: codec.Notice) -> None:
+    def on_notice(self, notice: notice_codec.Notice) -> None:
         """Applies the demand in another gateway's notice."""
         now_s = self._clock.monotonic_s()
         for report in notice.demands:
             for service, demand in self._demands.items():
-                if codec.key_of(service) == report.service_key:
+                if notice_codec.hash_name(service) == report.service_key:
                     demand.record_report(notice.sender, report.engines, now_s)
--- a/src/mulberrywharf/forwarding/queue_accounts.py
+++ b/src/mulberrywharf/forwarding/queue_owner_client.py
@@ -8,7 +8,7 @@
 from mulberrywharf.policy import part_caches
 
 
-class QueueAccounts(Protocol):
+class QueueOwnerClient(Protocol):
     """Asks and informs the gateways that own engines' prefill queues.
 
     The owner of a queue counts all prompts at the engine, whichever gateway
@@ -21,15 +21,15 @@
         ...
 
     @property
-    def asked_count(self) -> int:
+    def max_asked_owners_count(self) -> int:
         """Number of owners that may be asked for one prompt now."""
         ...
 
-    def follow(self, known: Sequence[fleet.Server]) -> None:
+    def set_engines(self, known: Sequence[fleet.Server]) -> None:
         """Replaces the known engines."""
         ...
 
-    def owner(self, server: fleet.Server) -> fleet.Address | None:
+    def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway."""
         ...
 
@@ -38,7 +38,7 @@
         engines: Sequence[fleet.Server],
         priority: int,
         part_keys: tuple[int, ...] = (),
-    ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
+    ) -> Mapping[fleet.ServerStart, queue_owners.ReportedWait]:
         """Asks the owners how long a prompt would wait at engines.
 
         Args:
@@ -51,14 +51,14 @@
         """
         ...
 
-    def placed(
+    def report_placed(
         self,
         server: fleet.Server,
         work_s: float,
         priority: int,
         parts: tuple[part_caches.HeldPart, ...] = (),
         own_tokens: int = 0,
-    ) -> queue_owners.Ticket:
+    ) -> queue_owners.PlacementId:
         """Reports to the owner that a prompt was sent to an engine.
 
         Args:
@@ -73,25 +73,25 @@
         """
         ...
 
-    def read(self, ticket: queue_owners.Ticket) -> None:
+    def report_prefilled(self, placement_id: queue_owners.PlacementId) -> None:
         """Reports to the owner that a prompt was prefilled."""
         ...
 
-    def withdrawn(self, ticket: queue_owners.Ticket) -> None:
+    def report_withdrawn(self, placement_id: queue_owners.PlacementId) -> None:
         """Reports to the owner that a prompt will not be prefilled."""
         ...
 
 
-class NoQueueAccounts:
+class NullQueueOwnerClient:
     """Null implementation, for fleets where all gateways get all notices."""
 
     is_used = False
-    asked_count = 0
+    max_asked_owners_count = 0
 
-    def follow(self, known: Sequence[fleet.Server]) -> None:
+    def set_engines(self, known: Sequence[fleet.Server]) -> None:
         """Does nothing."""
 
-    def owner(self, server: fleet.Server) -> fleet.Address | None:
+    def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         """Returns None; no queue has an owner."""
         return None
 
@@ -99,12 +99,14 @@
         """Returns no waits."""
         return {}
 
-    def placed(self, server: fleet.Server, *_: Any) -> queue_owners.Ticket:
-        """Reports nothing; returns a placeholder ticket."""
-        return queue_owners.Ticket(server, 0)
+    def report_placed(
+        self, server: fleet.Server, *_: Any
+    ) -> queue_owners.PlacementId:
+        """Reports nothing; returns a placeholder placement_id."""
+        return queue_owners.PlacementId(server, 0)
 
-    def read(self, ticket: queue_owners.Ticket) -> None:
+    def report_prefilled(self, placement_id: queue_owners.PlacementId) -> None:
         """Does nothing."""
 
-    def withdrawn(self, ticket: queue_owners.Ticket) -> None:
+    def report_withdrawn(self, placement_id: queue_owners.PlacementId) -> None:
         """Does nothing."""
--- a/src/mulberrywharf/forwarding/request.py
+++ b/src/mulberrywharf/forwarding/request.py
@@ -151,11 +151,11 @@
         fields: End-to-end header fields.
         request_id: Id of the request that it states to answer, None if it
             states none.
-        has_receipt: Whether it carries the server's response signature.
+        has_signature: Whether it carries the server's response signature.
         not_executed: Whether the server states that nothing ran.
         load: The load that the server reports, None if it reports none.
-        rest_s: Time in seconds for which the server asks this node to send it
-            nothing, None if it asks for none.
+        retry_after_s: Time in seconds for which the server asks this node to
+            send it nothing, None if it asks for none.
         is_leaving: Whether the server states that it is leaving.
     """
 
@@ -163,10 +163,10 @@
     reason: str
     fields: tuple[tuple[str, str], ...]
     request_id: str | None
-    has_receipt: bool
+    has_signature: bool
     not_executed: bool
     load: ReportedLoad | None
-    rest_s: float | None = None
+    retry_after_s: float | None = None
     is_leaving: bool = False
 
     @property
--- a/src/mulberrywharf/forwarding/exchanges.py
+++ b/src/mulberrywharf/forwarding/server_client.py
@@ -15,7 +15,7 @@
     errors,
     fleet,
 )
-from mulberrywharf.forwarding import request, server_book
+from mulberrywharf.forwarding import request, server_tracker
 
 CONNECT_TIMEOUT_S = 0.2
 """A working server in the same region completes the TCP handshake within a few
@@ -47,7 +47,7 @@
     def __init__(
         self,
         dialect: request.ServerDialect,
-        book: server_book.ServerBook,
+        tracker: server_tracker.ServerTracker,
         system_clock: clock.Clock,
         on_leaving: Callable[[fleet.ServerStart], None] = lambda _: None,
     ):
@@ -55,14 +55,14 @@
 
         Args:
             dialect: Encodes requests and reads answers.
-            book: Records reported load, failures and refusals of servers.
+            tracker: Records reported load, failures and refusals of servers.
             system_clock: Time source of these records.
             on_leaving: Called whenever an answer states that its server is
                 leaving.
         """
         self._on_leaving = on_leaving
         self._dialect = dialect
-        self._book = book
+        self._tracker = tracker
         self._clock = system_clock
         self._pool = _connections.ConnectionPool()
 
@@ -164,10 +164,12 @@
         answer = sent.ok_value
         head = self._dialect.read_head(answer)
         server = attempt.server
-        self._book.reported(server.start, head.load, self._clock.monotonic_s())
-        if head.rest_s is not None:
-            self._book.rests(
-                server.start, head.rest_s, self._clock.monotonic_s()
+        self._tracker.reported(
+            server.start, head.load, self._clock.monotonic_s()
+        )
+        if head.retry_after_s is not None:
+            self._tracker.pause_until_retry_after(
+                server.start, head.retry_after_s, self._clock.monotonic_s()
             )
         if head.is_leaving:
             self._on_leaving(server.start)
@@ -200,15 +202,15 @@
         elif isinstance(
             error, errors.EngineUnreachableError | errors.PeerSilentError
         ):
-            self._book.unreachable(server.start, now_s)
+            self._tracker.unreachable(server.start, now_s)
         else:
-            self._book.lost(server.start, now_s)
+            self._tracker.connection_lost(server.start, now_s)
 
     def _note_refusal(self, server: fleet.Server, now_s: float) -> None:
         # A plain server has few slots and refuses only until a running request
         # ends, so it is not passed over; its load decides how often it is
         # chosen.
         if server.role is None:
-            self._book.failed(server.start)
+            self._tracker.failed(server.start)
         else:
-            self._book.refused(server.start, now_s)
+            self._tracker.refused(server.start, now_s)
--- a/src/mulberrywharf/forwarding/server_book.py
+++ b/src/mulberrywharf/forwarding/server_tracker.py
@@ -88,7 +88,7 @@
         self.failed_attempts_count = 0
 
 
-class ServerBook:
+class ServerTracker:
     """Request counts and recent outcomes of all servers."""
 
     def __init__(self, availability_zone: str):
@@ -214,20 +214,20 @@
         until_s = now_s + REFUSED_S
         entry.suspected_until_s = max(entry.suspected_until_s, until_s)
 
-    def rests(
-        self, start: fleet.ServerStart, rest_s: float, now_s: float
+    def pause_until_retry_after(
+        self, start: fleet.ServerStart, retry_after_s: float, now_s: float
     ) -> None:
         """Records a server's Retry-After; it gets no requests until then."""
         _rests_total.inc({})
         entry = self._entry(start)
-        until_s = now_s + min(rest_s, REST_LIMIT_S)
+        until_s = now_s + min(retry_after_s, REST_LIMIT_S)
         entry.resting_until_s = max(entry.resting_until_s, until_s)
 
-    def is_resting(self, start: fleet.ServerStart, now_s: float) -> bool:
+    def is_paused(self, start: fleet.ServerStart, now_s: float) -> bool:
         """Tells whether a server's Retry-After has not yet passed."""
         return now_s < self._entry(start).resting_until_s
 
-    def rest_left_s(
+    def retry_after_left_s(
         self, among: Iterable[fleet.Server], now_s: float
     ) -> float | None:
         """Returns the time until the first server's Retry-After has passed.
@@ -243,15 +243,17 @@
             return None
         return min(lefts_s)
 
-    def changing(self, start: fleet.ServerStart, now_s: float) -> None:
+    def role_change_ordered(
+        self, start: fleet.ServerStart, now_s: float
+    ) -> None:
         """Records that an engine was ordered to change its role."""
         self._entry(start).changing_until_s = now_s + CHANGING_LIMIT_S
 
-    def changed(self, start: fleet.ServerStart) -> None:
+    def role_change_seen(self, start: fleet.ServerStart) -> None:
         """Records that an engine's record shows its new role."""
         self._entry(start).changing_until_s = float("-inf")
 
-    def lost(self, start: fleet.ServerStart, now_s: float) -> None:
+    def connection_lost(self, start: fleet.ServerStart, now_s: float) -> None:
         """Records that a server broke off an exchange."""
         self.failed(start)
         self._entry(start).suspected_until_s = now_s + SUSPECT_S
--- a/src/mulberrywharf/forwarding/servers.py
+++ b/src/mulberrywharf/forwarding/servers.py
@@ -91,7 +91,9 @@
         source: ServerSource,
         *,
         missing_hold_s: float = DEFAULT_MISSING_HOLD_S,
-        patience: Callable[[], watch.Patience] = lambda: watch.BRIEF,
+        timeouts: Callable[[], watch.WatchTimeouts] = lambda: (
+            watch.SHORT_TIMEOUTS
+        ),
         system_clock: clock.Clock | None = None,
     ):
         """Initializes an empty list; ``start`` begins to read the store.
@@ -101,11 +103,11 @@
             source: Location and format of the records.
             missing_hold_s: Seconds after an outage for which a server is kept
                 whose record vanished in it.
-            patience: See ``KeyValueClient.watch``.
+            timeouts: See ``KeyValueClient.watch``.
             system_clock: Source of monotonic time, None for the system's.
         """
         self._client = client
-        self._patience = patience
+        self._timeouts = timeouts
         self._source = source
         self._missing_hold_s = missing_hold_s
         self._clock = system_clock or clock.SystemClock()
@@ -124,7 +126,7 @@
             self._source.servers_prefix,
             self._on_event,
             purpose=PURPOSE,
-            patience=self._patience,
+            timeouts=self._timeouts,
         )
 
     def close(self) -> None:
@@ -163,7 +165,7 @@
         """
         return [one for one in server_ids if one in self._missing]
 
-    def says_it_leaves(self, start: fleet.ServerStart) -> None:
+    def mark_leaving(self, start: fleet.ServerStart) -> None:
         """Marks a server as draining because an answer of it says so.
 
         Its record shows that only after a write to the store. Leaving is final:
@@ -180,7 +182,7 @@
         self._by_id[start.server_id] = known._replace(is_draining=True)
         self._publish_change(known, "draining: it says so in an answer")
 
-    def superseded(
+    def mark_restarted(
         self, start: fleet.ServerStart, by: fleet.ServerStart
     ) -> None:
         """Drops a server that reports a restart before its record shows it.
--- a/src/mulberrywharf/peers/crash_codec.py
+++ b/src/mulberrywharf/peers/crash_codec.py
@@ -24,7 +24,8 @@
 
     Attributes:
         fingerprint: Fingerprint of the request.
-        server_key: Key of the server process, see ``codec.key_of_server``.
+        server_key: Key of the server process, see
+            ``notice_codec.hash_server_start``.
         made_output: Whether any part of the answer had arrived.
         age_s: Time since the exit.
     """
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -27,7 +27,7 @@
 service. Reads only recover what no report from another gateway delivered, for
 example during a network partition."""
 
-WRITTEN_WITHIN_S = (0.2, 0.6)
+WRITE_DELAY_RANGE_S = (0.2, 0.6)
 """Range of the random delay between blocking a request and writing its record.
 By then, reports from other gateways that would change the decision have
 arrived, and another gateway may have written the record."""
@@ -86,10 +86,10 @@
         if self._task is not None:
             self._task.kill()
 
-    def write_soon(self) -> None:
+    def schedule_write(self) -> None:
         """Schedules an update that writes missing records."""
         gevent.spawn_later(
-            random.uniform(*WRITTEN_WITHIN_S), self._update_requested.set
+            random.uniform(*WRITE_DELAY_RANGE_S), self._update_requested.set
         )
 
     def remove(self, fingerprint: int) -> None:
--- a/src/mulberrywharf/peers/crash_reports.py
+++ b/src/mulberrywharf/peers/crash_reports.py
@@ -77,7 +77,7 @@
         self._cleared: set[int] = set()
         self._is_send_scheduled = False
         self._on_report: Callable[[int], None] = lambda _: None
-        socket.on_datagram(b"c", self._on_datagram)
+        socket.set_handler(b"c", self._on_datagram)
 
     def on_report(self, callback: Callable[[int], None]) -> None:
         """Sets the callback for new server exits from other gateways.
--- a/src/mulberrywharf/peers/datagrams.py
+++ b/src/mulberrywharf/peers/datagrams.py
@@ -84,7 +84,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._receive_task: gevent.Greenlet | None = None
 
-    def on_datagram(
+    def set_handler(
         self, kind: Kind, handler: Callable[[bytes, fleet.Address], bool]
     ) -> None:
         """Sets the handler for datagrams of a kind.
@@ -120,7 +120,7 @@
         self.budget.refill(self._clock.monotonic_s())
         self.budget.take(cost)
         _sent_bytes.add({"kind": kind.decode()}, cost)
-        framed = seal(kind, datagram)
+        framed = frame_datagram(kind, datagram)
         for peer in peers:
             try:
                 self._socket.sendto(framed, (peer.ip, peer.port))
@@ -149,12 +149,12 @@
         # Some malformed bytes abort the whole process: the Cap'n Proto library
         # throws an exception during its cleanup. The checksum ensures that only
         # bytes that a gateway encoded reach the decoder.
-        is_intact = datagram == seal(kind, body)
+        is_intact = datagram == frame_datagram(kind, body)
         is_decoded = handler is not None and is_intact and handler(body, source)
         _received.inc({"result": "ok" if is_decoded else "malformed"})
 
 
-def seal(kind: bytes, body: bytes) -> bytes:
+def frame_datagram(kind: bytes, body: bytes) -> bytes:
     """Returns the datagram: the kind byte, a checksum and the body."""
     checksum = xxhash.xxh32_digest(kind + body)
     return kind + checksum + body
--- a/src/mulberrywharf/peers/directory.py
+++ b/src/mulberrywharf/peers/directory.py
@@ -208,15 +208,15 @@
         return tuple(random.choice(addresses) for addresses in by_zone.values())
 
     @property
-    def tells_all(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether all work is reported to all gateways (a full mesh)."""
         return len(self._peers_by_vm) <= FULL_MESH_LIMIT_COUNT
 
-    def hears_of(self, availability_zone: str) -> bool:
+    def receives_notices_for(self, availability_zone: str) -> bool:
         """Returns whether all work at a zone's engines is reported here."""
-        return self.tells_all or availability_zone == self._availability_zone
+        return self.is_full_mesh or availability_zone == self._availability_zone
 
-    def owner(
+    def queue_owner(
         self,
         engine_key: int,
         availability_zone: str,
@@ -231,7 +231,8 @@
         different peers may choose different owners.
 
         Args:
-            engine_key: Key of the engine, see ``codec.key_of_server``.
+            engine_key: Key of the engine, see
+                ``notice_codec.hash_server_start``.
             availability_zone: Zone of the engine.
             owners_count: Number of gateways in the zone that share the queues
                 of its engines of this kind.
@@ -281,7 +282,7 @@
 
     def _is_notified(self, peer: _Registration, availability_zone: str) -> bool:
         """Returns whether a gateway gets notices about a zone's engines."""
-        return self.tells_all or peer.availability_zone == availability_zone
+        return self.is_full_mesh or peer.availability_zone == availability_zone
 
     def _keep_registered(self) -> None:
         failures_count = 0
@@ -342,10 +343,10 @@
                     read.err_value.message,
                 )
             else:
-                self._take(read.ok_value)
+                self._update_peers(read.ok_value)
             pause_s = READ_INTERVAL_S
 
-    def _take(self, records: list[key_value.KeyValue]) -> None:
+    def _update_peers(self, records: list[key_value.KeyValue]) -> None:
         by_vm: dict[str, _Registration] = {}
         for kv in sorted(records, key=lambda one: one.create_revision):
             vm_id = kv.key.removeprefix(KEY_PREFIX).rpartition("/")[0]
--- a/src/mulberrywharf/peers/freshness_relay.py
+++ b/src/mulberrywharf/peers/freshness_relay.py
@@ -62,7 +62,7 @@
         self._socket = socket
         self._answer: Callable[[], Confirmation | None] = lambda: None
         self._pending: dict[int, gevent.event.AsyncResult[Confirmation]] = {}
-        socket.on_datagram(b"f", self._on_datagram)
+        socket.set_handler(b"f", self._on_datagram)
 
     def on_question(self, answer: Callable[[], Confirmation | None]) -> None:
         """Sets the function that answers questions.
--- a/src/mulberrywharf/peers/notice.capnp
+++ b/src/mulberrywharf/peers/notice.capnp
@@ -1,5 +1,5 @@
 @0xc6b1f7d0a94e2d53;
-# One datagram between gateways. codec.py maps it to NamedTuples.
+# One datagram between gateways. notice_codec.py maps it to NamedTuples.
 
 struct Notice {
   sender @0 :UInt32;    # identifies the start of the sending process
--- a/src/mulberrywharf/peers/codec.py
+++ b/src/mulberrywharf/peers/notice_codec.py
@@ -33,7 +33,7 @@
     """Work that a gateway sent to an engine.
 
     Attributes:
-        engine_key: Key of the engine, see ``key_of_server``.
+        engine_key: Key of the engine, see ``hash_server_start``.
         work_s: Engine time that the work takes, in seconds.
         parts: Long prompt parts that the engine now holds, in order.
         own_tokens: Number of other tokens that the engine now holds.
@@ -49,7 +49,7 @@
     """Number of requests that an engine reported.
 
     Attributes:
-        engine_key: Key of the engine, see ``key_of_server``.
+        engine_key: Key of the engine, see ``hash_server_start``.
         requests_count: Running and waiting requests of the engine.
         age_s: Age of the report in seconds.
     """
@@ -63,7 +63,7 @@
     """Prefill work that the callers of one gateway request from a service.
 
     Attributes:
-        service_key: Key of the service, see ``key_of``.
+        service_key: Key of the service, see ``hash_name``.
         engines: Number of prefill engines that this work keeps busy.
     """
 
@@ -75,7 +75,7 @@
     """Mean load of a service's engines in one availability zone, by role.
 
     Attributes:
-        service_key: Key of the service, see ``key_of``.
+        service_key: Key of the service, see ``hash_name``.
         is_prefill: True for its prefill engines, False for all others.
         load: Mean load of these engines.
     """
@@ -85,7 +85,7 @@
     load: load_estimates.Load
 
 
-class Seen(NamedTuple):
+class SeenRevisions(NamedTuple):
     """The latest changes in the key-value service that a gateway has seen.
 
     Attributes:
@@ -120,7 +120,7 @@
     sender: int
     sequence: int
     placements: tuple[Placement, ...]
-    seen: Seen = Seen()
+    seen: SeenRevisions = SeenRevisions()
     loads: tuple[Load, ...] = ()
     demands: tuple[Demand, ...] = ()
     changing: tuple[int, ...] = ()
@@ -128,7 +128,7 @@
     role_loads: tuple[RoleLoad, ...] = ()
 
 
-def key_of(name: str) -> int:
+def hash_name(name: str) -> int:
     """Returns the 32-bit hash that identifies a name in notices.
 
     Among 850 engines, the probability that two share a key is 1 in 12,000.
@@ -137,12 +137,12 @@
     return xxhash.xxh32_intdigest(name.encode())
 
 
-def key_of_server(start: fleet.ServerStart) -> int:
+def hash_server_start(start: fleet.ServerStart) -> int:
     """Returns the key of one start of a server.
 
     Each start has its own key, so reports about an earlier start are ignored.
     """
-    return key_of(str(start))
+    return hash_name(str(start))
 
 
 def encode(notice: Notice) -> bytes:
@@ -188,7 +188,7 @@
     wire.queueMs = min(int(role_load.load.queue_s * _MS_PER_S), _UINT16_LIMIT)
 
 
-def fitting(placements: Iterable[Placement]) -> tuple[Placement, ...]:
+def fit_datagram(placements: Iterable[Placement]) -> tuple[Placement, ...]:
     """Returns as many of the first placements as fit in one datagram."""
     found = []
     room_count = PLACEMENTS_LIMIT_COUNT
@@ -233,7 +233,7 @@
                 message.sender,
                 message.sequence,
                 tuple(_decode_placement(wire) for wire in message.placements),
-                Seen(
+                SeenRevisions(
                     message.routesRevision,
                     message.serversRevision,
                     message.isReading,
--- a/src/mulberrywharf/peers/notices.py
+++ b/src/mulberrywharf/peers/notices.py
@@ -14,10 +14,10 @@
 from result import Err
 
 from mulberrywharf import clock, fleet, metrics
-from mulberrywharf.peers import codec, datagrams
+from mulberrywharf.peers import datagrams, notice_codec
 from mulberrywharf.policy import part_caches
 
-COLLECTING_S = 0.002
+BATCH_DELAY_S = 0.002
 """Time for which placements are collected into one notice. It saves datagrams
 in a burst, and a delay of 2 ms does not distort the estimate of a queue of
 30 ms or more."""
@@ -69,7 +69,7 @@
         """Returns one gateway of each zone that gets no notices of this one."""
         ...
 
-    def hears_of(self, availability_zone: str) -> bool:
+    def receives_notices_for(self, availability_zone: str) -> bool:
         """Returns whether all work at a zone's engines is reported here."""
         ...
 
@@ -78,7 +78,7 @@
         ...
 
 
-class WorkNotices:
+class NoticeExchange:
     """Sends and receives notices.
 
     Attributes:
@@ -108,26 +108,36 @@
         self._clock = system_clock
         self._sequence = 0
         self._last_sent_s = float("-inf")
-        self._pending: dict[str, dict[_PendingKey, codec.Placement]] = {}
+        self._pending: dict[str, dict[_PendingKey, notice_codec.Placement]] = {}
         self._has_pending = gevent.event.Event()
         self._pending_since_s: float | None = None
-        self._on_notice: Callable[[codec.Notice], None] = lambda _: None
-        self._loads: Callable[[str], tuple[codec.Load, ...]] = lambda _: ()
-        self._demands: Callable[[], tuple[codec.Demand, ...]] = lambda: ()
-        self._role_loads: Callable[[], tuple[codec.RoleLoad, ...]] = tuple
+        self._on_notice: Callable[[notice_codec.Notice], None] = lambda _: None
+        self._loads: Callable[[str], tuple[notice_codec.Load, ...]] = (
+            lambda _: ()
+        )  # fmt: skip
+        self._demands: Callable[[], tuple[notice_codec.Demand, ...]] = (
+            lambda: ()
+        )  # fmt: skip
+        self._role_loads: Callable[[], tuple[notice_codec.RoleLoad, ...]] = (
+            tuple
+        )
         self._changing: list[int] = []
-        self._seen: Callable[[], codec.Seen] = codec.Seen
-        self._on_seen: Callable[[codec.Seen], None] = lambda _: None
+        self._seen: Callable[[], notice_codec.SeenRevisions] = (
+            notice_codec.SeenRevisions
+        )
+        self._on_seen: Callable[[notice_codec.SeenRevisions], None] = (
+            lambda _: None
+        )  # fmt: skip
         self.socket = datagrams.PeerSocket(listen, peers, system_clock)
-        self.socket.on_datagram(b"n", self._on_datagram)
+        self.socket.set_handler(b"n", self._on_datagram)
         self._tasks: list[gevent.Greenlet] = []
 
-    def on_notice(
+    def set_sources(
         self,
-        on_notice: Callable[[codec.Notice], None],
-        loads: Callable[[str], tuple[codec.Load, ...]] = lambda _: (),
-        demands: Callable[[], tuple[codec.Demand, ...]] = tuple,
-        role_loads: Callable[[], tuple[codec.RoleLoad, ...]] = tuple,
+        on_notice: Callable[[notice_codec.Notice], None],
+        loads: Callable[[str], tuple[notice_codec.Load, ...]] = lambda _: (),
+        demands: Callable[[], tuple[notice_codec.Demand, ...]] = tuple,
+        role_loads: Callable[[], tuple[notice_codec.RoleLoad, ...]] = tuple,
     ) -> None:
         """Sets the notice callback and the sources of this gateway's reports.
 
@@ -143,10 +153,10 @@
         self._demands = demands
         self._role_loads = role_loads
 
-    def tell_seen(
+    def set_seen_callbacks(
         self,
-        seen: Callable[[], codec.Seen],
-        on_seen: Callable[[codec.Seen], None],
+        seen: Callable[[], notice_codec.SeenRevisions],
+        on_seen: Callable[[notice_codec.SeenRevisions], None],
     ) -> None:
         """Sets the callbacks for the key-value service state in notices.
 
@@ -157,19 +167,19 @@
         self._seen = seen
         self._on_seen = on_seen
 
-    def tell_now(self) -> None:
+    def send_now(self) -> None:
         """Sends a notice even if nothing was placed."""
         self._pending.setdefault(self._availability_zone, {})
         self._has_pending.set()
 
-    def tell_changing(self, server: fleet.Server) -> None:
+    def report_role_change(self, server: fleet.Server) -> None:
         """Reports that an engine was ordered to change its role."""
-        self._changing.append(codec.key_of_server(server.start))
+        self._changing.append(notice_codec.hash_server_start(server.start))
         self._pending.setdefault(server.availability_zone, {})
-        self.tell_now()
+        self.send_now()
 
     @property
-    def told_at_s(self) -> float:
+    def last_sent_s(self) -> float:
         """Monotonic time of the last notice to the own zone, in seconds."""
         return self._last_sent_s
 
@@ -188,9 +198,9 @@
         """Number of all gateways, including this one."""
         return self._peers.gateways_count
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Returns whether all work at an engine is reported to this gateway."""
-        return self._peers.hears_of(server.availability_zone)
+        return self._peers.receives_notices_for(server.availability_zone)
 
     def start(self) -> None:
         """Starts sending and receiving."""
@@ -205,7 +215,7 @@
         gevent.killall(self._tasks)
         self.socket.close()
 
-    def add(
+    def add_placement(
         self,
         server: fleet.Server,
         work_s: float,
@@ -222,10 +232,10 @@
         """
         if self._pending_since_s is None:
             self._pending_since_s = self._clock.monotonic_s()
-        key = codec.key_of_server(server.start), parts
+        key = notice_codec.hash_server_start(server.start), parts
         pending = self._pending.setdefault(server.availability_zone, {})
         earlier = pending.get(key)
-        pending[key] = codec.Placement(
+        pending[key] = notice_codec.Placement(
             key[0],
             work_s + (earlier.work_s if earlier else 0.0),
             parts,
@@ -236,14 +246,14 @@
     def _send_pending(self) -> None:
         while True:
             self._has_pending.wait()
-            gevent.sleep(COLLECTING_S)
+            gevent.sleep(BATCH_DELAY_S)
             pending, self._pending = self._pending, {}
             changing, self._changing = tuple(self._changing), []
             since_s, self._pending_since_s = self._pending_since_s, None
             self._has_pending.clear()
             for zone, by_key in pending.items():
                 self._send_notice(
-                    zone, codec.fitting(by_key.values()), changing
+                    zone, notice_codec.fit_datagram(by_key.values()), changing
                 )
                 if since_s is not None:
                     self._record_wait(since_s)
@@ -261,17 +271,17 @@
     def _send_notice(
         self,
         zone: str,
-        placements: tuple[codec.Placement, ...],
+        placements: tuple[notice_codec.Placement, ...],
         changing: tuple[int, ...],
     ) -> None:
         self._sequence += 1
-        datagram = codec.encode(
-            codec.Notice(
+        datagram = notice_codec.encode(
+            notice_codec.Notice(
                 self._sender,
                 self._sequence,
                 placements,
                 self._seen(),
-                self._loads(zone)[: codec.LOADS_LIMIT_COUNT],
+                self._loads(zone)[: notice_codec.LOADS_LIMIT_COUNT],
                 self._demands(),
                 changing,
             )
@@ -289,14 +299,14 @@
             if not receivers or not role_loads:
                 continue
             self._sequence += 1
-            notice = codec.Notice(
+            notice = notice_codec.Notice(
                 self._sender,
                 self._sequence,
                 (),
-                zone_key=codec.key_of(self._availability_zone),
+                zone_key=notice_codec.hash_name(self._availability_zone),
                 role_loads=role_loads,
             )
-            self._send_to(receivers, codec.encode(notice))
+            self._send_to(receivers, notice_codec.encode(notice))
 
     def _send_to(
         self, peers: tuple[fleet.Address, ...], datagram: bytes
@@ -307,7 +317,7 @@
         self.socket.send(b"n", datagram, peers)
 
     def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = codec.decode(datagram)
+        decoded = notice_codec.decode(datagram)
         if isinstance(decoded, Err):
             logger.warning("notice dropped: {}", decoded.err_value.message)
             return False
--- a/src/mulberrywharf/peers/queue_codec.py
+++ b/src/mulberrywharf/peers/queue_codec.py
@@ -23,21 +23,22 @@
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("queue.capnp")))
 
-WorkMatter = Literal["placed", "read", "withdrawn"]
+PromptEvent = Literal["placed", "read", "withdrawn"]
 """State change of a prompt: it was sent to the engine (``placed``), its prefill
 was completed (``read``) or will not be completed (``withdrawn``)."""
 
-_MATTERS: tuple[WorkMatter, ...] = ("placed", "read", "withdrawn")
+_EVENTS: tuple[PromptEvent, ...] = ("placed", "read", "withdrawn")
 """Ordered by their numbers in the schema."""
 
 
-class Ask(NamedTuple):
+class WaitQuery(NamedTuple):
     """Asks how long a prompt would wait at engines and which parts they hold.
 
     Attributes:
         number: Number of the question, repeated in the answer.
         priority: Priority of the prompt; 0 is the most urgent.
-        engine_keys: Keys of the engines, see ``codec.key_of_server``.
+        engine_keys: Keys of the engines, see
+            ``notice_codec.hash_server_start``.
         part_keys: Keys of the prompt's long shared parts, in order.
     """
 
@@ -51,7 +52,7 @@
     """How long a prompt would wait at one engine.
 
     Attributes:
-        engine_key: Key of the engine, see ``codec.key_of_server``.
+        engine_key: Key of the engine, see ``notice_codec.hash_server_start``.
         wait_s: Time until the engine starts its prefill, in seconds.
         counted_s: Time in seconds for which all work of the engine has been
             counted. Earlier placements are not included in ``wait_s``.
@@ -76,14 +77,14 @@
     waits: tuple[EngineWait, ...]
 
 
-class Work(NamedTuple):
+class PromptUpdate(NamedTuple):
     """Reports a state change of a prompt at an engine.
 
     Attributes:
-        engine_key: Key of the engine, see ``codec.key_of_server``.
+        engine_key: Key of the engine, see ``notice_codec.hash_server_start``.
         sender: Identifies the start of the process that placed the prompt.
         number: Number that the sender gave the prompt.
-        matter: The state change.
+        event: The state change.
         priority: Priority of the prompt; 0 is the most urgent.
         work_s: Duration of its prefill in seconds; only if placed.
         parts: Its long shared parts, in order; only if placed.
@@ -93,14 +94,14 @@
     engine_key: int
     sender: int
     number: int
-    matter: WorkMatter
+    event: PromptEvent
     priority: int = 0
     work_s: float = 0.0
     parts: tuple[part_caches.HeldPart, ...] = ()
     own_tokens: int = 0
 
 
-QueueMessage = Ask | Waits | Work
+QueueMessage = WaitQuery | Waits | PromptUpdate
 
 
 def encode(message: QueueMessage) -> bytes:
@@ -116,7 +117,7 @@
 
 
 @_encode_into.register
-def _(message: Ask, wire: Any) -> None:
+def _(message: WaitQuery, wire: Any) -> None:
     ask = wire.init("ask")
     ask.number = message.number
     ask.priority = message.priority
@@ -137,12 +138,12 @@
 
 
 @_encode_into.register
-def _(message: Work, wire: Any) -> None:
+def _(message: PromptUpdate, wire: Any) -> None:
     work = wire.init("work")
     work.engine = message.engine_key
     work.sender = message.sender
     work.number = message.number
-    work.matter = message.matter
+    work.matter = message.event
     work.priority = message.priority
     work.workUs = int(message.work_s * _US_PER_S)
     work.ownTokens = message.own_tokens
@@ -179,8 +180,8 @@
         return Err(errors.BadFrameError(f"not a queue message: {error}"))
 
 
-def _decode_ask(wire: Any) -> Ask:
-    return Ask(
+def _decode_ask(wire: Any) -> WaitQuery:
+    return WaitQuery(
         wire.number, wire.priority, tuple(wire.engines), tuple(wire.parts)
     )
 
@@ -200,16 +201,16 @@
     )
 
 
-def _decode_work(wire: Any) -> Work:
+def _decode_work(wire: Any) -> PromptUpdate:
     # Uses the number, as the library raises if the schema has no name for it.
     number = wire.matter.raw
-    if number >= len(_MATTERS):
+    if number >= len(_EVENTS):
         raise ValueError(f"unknown matter {number}")
-    return Work(
+    return PromptUpdate(
         wire.engine,
         wire.sender,
         wire.number,
-        _MATTERS[number],
+        _EVENTS[number],
         wire.priority,
         wire.workUs / _US_PER_S,
         tuple(
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -28,7 +28,7 @@
 from result import Err
 
 from mulberrywharf import clock, fleet, metrics
-from mulberrywharf.peers import codec, datagrams, queue_codec
+from mulberrywharf.peers import datagrams, notice_codec, queue_codec
 from mulberrywharf.policy import part_caches, prefill_queue
 
 REPLY_TIMEOUT_S = 0.02
@@ -54,10 +54,10 @@
 few engines costs about the same as one about a single engine, and the best of
 eight known engines is far better than the best of three."""
 
-ASKED_COUNT = 3
+MAX_ASKED_OWNERS_COUNT = 3
 """Number of owners that are asked for one prompt within the byte budget."""
 
-ASKED_IN_DEBT_COUNT = 1
+MAX_ASKED_OWNERS_OVER_BUDGET_COUNT = 1
 """The same while the byte budget is exhausted. One owner is still asked,
 because the best engine's queue may be long."""
 
@@ -74,24 +74,24 @@
 )
 
 
-class ToldWait(NamedTuple):
+class ReportedWait(NamedTuple):
     """The wait that the owner of an engine's queue reported for a prompt.
 
     Attributes:
         wait_s: Time until the engine starts its prefill, in seconds.
-        is_whole: Whether the owner has counted all work that may still wait.
+        is_complete: Whether the owner has counted all work that may still wait.
         held_count: Number of the prompt's leading parts that the engine holds.
         knows_parts: Whether the owner has counted for long enough to know all
             parts that the engine still holds.
     """
 
     wait_s: float
-    is_whole: bool
+    is_complete: bool
     held_count: int = 0
     knows_parts: bool = False
 
 
-class Ticket(NamedTuple):
+class PlacementId(NamedTuple):
     """Identifies a prompt that was reported to the owner of its engine's queue.
 
     Attributes:
@@ -106,7 +106,7 @@
 class Parts(Protocol):
     """Prompt parts that engines hold, as far as this gateway knows."""
 
-    def note_counted(
+    def record_remote_prompt(
         self,
         engine_key: int,
         parts: tuple[part_caches.HeldPart, ...],
@@ -124,11 +124,11 @@
     """The other gateways."""
 
     @property
-    def tells_all(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether all work is reported to all gateways (a full mesh)."""
         ...
 
-    def owner(
+    def queue_owner(
         self,
         engine_key: int,
         availability_zone: str,
@@ -175,18 +175,18 @@
         self._questions: dict[int, _PendingQuestion] = {}
         self._owners_counts: dict[tuple[str, fleet.Role | None], int] = {}
         self._numbers = itertools.count(1)
-        socket.on_datagram(b"q", self._on_datagram)
+        socket.set_handler(b"q", self._on_datagram)
 
-    def keep_parts(self, parts: Parts) -> None:
+    def set_parts(self, parts: Parts) -> None:
         """Sets the record of the parts that engines hold."""
         self._parts = parts
 
     @property
     def is_used(self) -> bool:
         """Whether the fleet is so large that owners track the queues."""
-        return not self._directory.tells_all
+        return not self._directory.is_full_mesh
 
-    def follow(self, known: Sequence[fleet.Server]) -> None:
+    def set_engines(self, known: Sequence[fleet.Server]) -> None:
         """Sets the engines; the owners are chosen for each zone and role.
 
         A question then covers engines of one role, which are the alternatives
@@ -202,28 +202,32 @@
             for kind, count in counts.items()
         }
 
-    def owner(self, server: fleet.Server) -> fleet.Address | None:
+    def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway."""
         kind = server.availability_zone, server.role
-        return self._directory.owner(
-            codec.key_of_server(server.start),
+        return self._directory.queue_owner(
+            notice_codec.hash_server_start(server.start),
             server.availability_zone,
             self._owners_counts.get(kind, 1),
             server.role or "",
         )
 
     @property
-    def asked_count(self) -> int:
+    def max_asked_owners_count(self) -> int:
         """Number of owners that may be asked for one prompt now."""
         has_bytes = self._socket.budget.level > 0
-        return ASKED_COUNT if has_bytes else ASKED_IN_DEBT_COUNT
+        return (
+            MAX_ASKED_OWNERS_COUNT
+            if has_bytes
+            else MAX_ASKED_OWNERS_OVER_BUDGET_COUNT
+        )
 
     def waits(
         self,
         engines: Sequence[fleet.Server],
         priority: int,
         part_keys: tuple[int, ...] = (),
-    ) -> Mapping[fleet.ServerStart, ToldWait]:
+    ) -> Mapping[fleet.ServerStart, ReportedWait]:
         """Asks how long a prompt would wait at engines, and what they hold.
 
         Args:
@@ -236,7 +240,7 @@
             did not answer.
         """
         start_by_key = {
-            codec.key_of_server(engine.start): engine.start
+            notice_codec.hash_server_start(engine.start): engine.start
             for engine in engines
         }
         keys_by_owner = self._keys_by_owner(engines)
@@ -245,7 +249,7 @@
         )
         found += self._ask(keys_by_owner, priority, part_keys)
         return {
-            start_by_key[wait.engine_key]: ToldWait(
+            start_by_key[wait.engine_key]: ReportedWait(
                 wait.wait_s,
                 wait.counted_s >= QUEUE_COMPLETE_AFTER_S,
                 wait.held_count,
@@ -255,14 +259,14 @@
             if wait.engine_key in start_by_key
         }
 
-    def placed(
+    def report_placed(
         self,
         server: fleet.Server,
         work_s: float,
         priority: int,
         parts: tuple[part_caches.HeldPart, ...] = (),
         own_tokens: int = 0,
-    ) -> Ticket:
+    ) -> PlacementId:
         """Reports that a prompt was sent to an engine.
 
         Args:
@@ -273,10 +277,10 @@
             own_tokens: Number of its other tokens.
         """
         number = next(self._numbers) % _NUMBERS_COUNT
-        ticket = Ticket(server, number)
-        work = self._new_work(ticket, "placed")
+        placement_id = PlacementId(server, number)
+        work = self._new_work(placement_id, "placed")
         self._report(
-            ticket,
+            placement_id,
             work._replace(
                 priority=priority,
                 work_s=work_s,
@@ -284,15 +288,15 @@
                 own_tokens=own_tokens,
             ),
         )
-        return ticket
+        return placement_id
 
-    def read(self, ticket: Ticket) -> None:
+    def report_prefilled(self, placement_id: PlacementId) -> None:
         """Reports that an engine has completed a prompt's prefill."""
-        self._report(ticket, self._new_work(ticket, "read"))
+        self._report(placement_id, self._new_work(placement_id, "read"))
 
-    def withdrawn(self, ticket: Ticket) -> None:
+    def report_withdrawn(self, placement_id: PlacementId) -> None:
         """Reports that an engine will not complete a prompt's prefill."""
-        self._report(ticket, self._new_work(ticket, "withdrawn"))
+        self._report(placement_id, self._new_work(placement_id, "withdrawn"))
 
     def _keys_by_owner(
         self, engines: Sequence[fleet.Server]
@@ -301,8 +305,8 @@
             list
         )
         for engine in engines:
-            key = codec.key_of_server(engine.start)
-            found[self.owner(engine)].append(key)
+            key = notice_codec.hash_server_start(engine.start)
+            found[self.queue_owner(engine)].append(key)
         return found
 
     def _ask(
@@ -318,7 +322,9 @@
         question = self._questions[number] = _PendingQuestion(owners)
         for owner, keys in keys_by_owner.items():
             if owner is not None:
-                ask = queue_codec.Ask(number, priority, tuple(keys), part_keys)
+                ask = queue_codec.WaitQuery(
+                    number, priority, tuple(keys), part_keys
+                )
                 self._socket.send(b"q", queue_codec.encode(ask), (owner,))
         try:
             is_answered = question.is_answered.wait(REPLY_TIMEOUT_S)
@@ -329,13 +335,17 @@
         return question.waits
 
     def _new_work(
-        self, ticket: Ticket, matter: queue_codec.WorkMatter
-    ) -> queue_codec.Work:
-        key = codec.key_of_server(ticket.server.start)
-        return queue_codec.Work(key, self._sender, ticket.number, matter)
+        self, placement_id: PlacementId, event: queue_codec.PromptEvent
+    ) -> queue_codec.PromptUpdate:
+        key = notice_codec.hash_server_start(placement_id.server.start)
+        return queue_codec.PromptUpdate(
+            key, self._sender, placement_id.number, event
+        )
 
-    def _report(self, ticket: Ticket, work: queue_codec.Work) -> None:
-        owner = self.owner(ticket.server)
+    def _report(
+        self, placement_id: PlacementId, work: queue_codec.PromptUpdate
+    ) -> None:
+        owner = self.queue_owner(placement_id.server)
         if owner is None:
             self._record(work)
         else:
@@ -347,15 +357,17 @@
             logger.warning("message dropped: {}", decoded.err_value.message)
             return False
         match decoded.ok_value:
-            case queue_codec.Ask() as ask:
+            case queue_codec.WaitQuery() as ask:
                 self._answer(ask, source)
             case queue_codec.Waits() as waits:
                 self._on_waits(waits, source)
-            case queue_codec.Work() as work:
+            case queue_codec.PromptUpdate() as work:
                 self._record(work)
         return True
 
-    def _answer(self, ask: queue_codec.Ask, source: fleet.Address) -> None:
+    def _answer(
+        self, ask: queue_codec.WaitQuery, source: fleet.Address
+    ) -> None:
         waits = self._local_waits(ask.engine_keys, ask.priority, ask.part_keys)
         answer = queue_codec.Waits(ask.number, tuple(waits))
         self._socket.send(b"q", queue_codec.encode(answer), (source,))
@@ -399,15 +411,15 @@
         if not question.owners:
             question.is_answered.set()
 
-    def _record(self, work: queue_codec.Work) -> None:
+    def _record(self, work: queue_codec.PromptUpdate) -> None:
         now_s = self._clock.monotonic_s()
         queue = self._get_or_create_queue(work.engine_key, now_s)
         placement = work.sender, work.number
-        match work.matter:
+        match work.event:
             case "placed":
                 queue.add(placement, work.work_s, work.priority, now_s)
                 if self._parts is not None and work.sender != self._sender:
-                    self._parts.note_counted(
+                    self._parts.record_remote_prompt(
                         work.engine_key, work.parts, work.own_tokens
                     )
             case "read":
--- a/src/mulberrywharf/peers/store_news.py
+++ b/src/mulberrywharf/peers/revision_exchange.py
@@ -22,10 +22,10 @@
 from loguru import logger
 
 from mulberrywharf import metrics
-from mulberrywharf.peers import codec
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.platform_service import watch
 
-LONG = watch.BRIEF._replace(silence_s=30.0)
+LONG_TIMEOUTS = watch.SHORT_TIMEOUTS._replace(silence_timeout_s=30.0)
 """Used while a gateway hears from a reader. Calls wait as long as the service
 allows. The pause after a failure stays short, because a gateway that the
 service rejects also loses its key, so its peers no longer notify it."""
@@ -49,7 +49,7 @@
 CHECK_INTERVAL_S = 0.5
 """Interval between checks whether a reader is active and a heartbeat is due."""
 
-PATIENCE_S = 0.3
+REOPEN_DELAY_S = 0.3
 """Delay from a peer's notice of a change until a watch that has not delivered
 it is reopened. A working watch starts to deliver a change within a few ms of
 its peers'; one that is still receiving changes is not interrupted."""
@@ -73,7 +73,7 @@
 )
 
 
-class Watched(Protocol):
+class WatchState(Protocol):
     """State of a watch, and a way to reopen it."""
 
     @property
@@ -91,7 +91,7 @@
         """Revision up to which the watch delivered every change."""
         ...
 
-    def hurry(self) -> None:
+    def reopen_if_waiting(self) -> None:
         """Reopens the watch if it waits for a change."""
         ...
 
@@ -100,7 +100,7 @@
     """Exchanges notices with other gateways."""
 
     @property
-    def told_at_s(self) -> float:
+    def last_sent_s(self) -> float:
         """Monotonic time of the last notice to the own zone, in seconds."""
         ...
 
@@ -114,20 +114,20 @@
         """Whether this gateway reads the service on behalf of others."""
         ...
 
-    def tell_seen(
+    def set_seen_callbacks(
         self,
-        seen: Callable[[], codec.Seen],
-        on_seen: Callable[[codec.Seen], None],
+        seen: Callable[[], notice_codec.SeenRevisions],
+        on_seen: Callable[[notice_codec.SeenRevisions], None],
     ) -> None:
         """Sets the callbacks for what is sent and what is received."""
         ...
 
-    def tell_now(self) -> None:
+    def send_now(self) -> None:
         """Sends a notice."""
         ...
 
 
-class StoreNews:
+class RevisionExchange:
     """Compares this gateway's watches with the revisions that peers have seen.
 
     A watch that stays behind is reopened.
@@ -136,15 +136,15 @@
     def __init__(
         self,
         notices: Notices,
-        watches: Callable[[], Mapping[str, Watched]],
+        watches: Callable[[], Mapping[str, WatchState]],
         era: Callable[[], int] = lambda: 0,
     ):
         """Creates it and registers its callbacks with the notices.
 
         Args:
             notices: Exchanges notices with other gateways.
-            watches: Returns the watches, keyed by the ``codec.Seen`` field that
-                holds their revision.
+            watches: Returns the watches, keyed by the ``codec.SeenRevisions``
+                field that holds their revision.
             era: Returns the newest era of the service that was seen.
         """
         self._notices = notices
@@ -156,7 +156,7 @@
         self._reader_heard_at_s = float("-inf")
         self._waits_long = False
         self._task: gevent.Greenlet | None = None
-        notices.tell_seen(self.seen, self.on_seen)
+        notices.set_seen_callbacks(self.seen, self.on_seen)
 
     def start(self) -> None:
         """Starts monitoring the readers, and sending heartbeats as a reader."""
@@ -167,29 +167,29 @@
         if self._task is not None:
             self._task.kill()
 
-    def patience(self) -> watch.Patience:
+    def watch_timeouts(self) -> watch.WatchTimeouts:
         """Returns how long the watches may currently wait."""
-        return LONG if self._waits_long else watch.BRIEF
+        return LONG_TIMEOUTS if self._waits_long else watch.SHORT_TIMEOUTS
 
-    def patience_for_routes(self) -> watch.Patience:
+    def routes_watch_timeouts(self) -> watch.WatchTimeouts:
         """Returns how long the watch of the routes may currently wait.
 
         Operators are promised that changed routes are in force within 3 s after
         the service drops its watches, including on gateways that learn of the
         change from a reader.
         """
-        return LONG if self._waits_long else watch.PROMPT
+        return LONG_TIMEOUTS if self._waits_long else watch.SHORTEST_TIMEOUTS
 
-    def seen(self) -> codec.Seen:
+    def seen(self) -> notice_codec.SeenRevisions:
         """Returns the latest changes that this gateway has seen."""
         watches = self._watches()
-        return codec.Seen(
+        return notice_codec.SeenRevisions(
             **{name: watches[name].changed_revision for name in watches},
             is_reading=self._is_reading(watches),
             era=self._era(),
         )
 
-    def _is_reading(self, watches: Mapping[str, Watched]) -> bool:
+    def _is_reading(self, watches: Mapping[str, WatchState]) -> bool:
         # A gateway that relies on a reader may just have received an answer,
         # but its next one may take long, so others must not rely on it.
         ages_s = [watched.age_s for watched in watches.values()]
@@ -199,9 +199,9 @@
     def _run(self) -> None:
         while True:
             gevent.sleep(CHECK_INTERVAL_S)
-            self._look()
+            self._check_readers()
 
-    def _look(self) -> None:
+    def _check_readers(self) -> None:
         """Updates whether watches wait long; sends a due heartbeat."""
         now_s = time.monotonic()
         is_reader = self._notices.is_reader
@@ -212,9 +212,9 @@
         )
         if waits_long != self._waits_long:
             self._set_waits_long(waits_long)
-        is_due = now_s - self._notices.told_at_s >= HEARTBEAT_INTERVAL_S
+        is_due = now_s - self._notices.last_sent_s >= HEARTBEAT_INTERVAL_S
         if is_due and is_reader and self.seen().is_reading:
-            self._notices.tell_now()
+            self._notices.send_now()
 
     def _set_waits_long(self, waits_long: bool) -> None:
         self._waits_long = waits_long
@@ -229,9 +229,9 @@
         # The calls may still wait for up to half a minute, and the service may
         # have silently dropped the watches in the meantime.
         for watched in self._watches().values():
-            watched.hurry()
+            watched.reopen_if_waiting()
 
-    def on_seen(self, seen: codec.Seen) -> None:
+    def on_seen(self, seen: notice_codec.SeenRevisions) -> None:
         """Processes the latest changes that a peer has seen.
 
         Revisions of different eras are not comparable. A peer in an older era
@@ -256,7 +256,7 @@
             if revision > watched.seen_revision and name not in self._pending:
                 self._pending.add(name)
                 gevent.spawn_later(
-                    PATIENCE_S, self._reopen_if_behind, name, revision
+                    REOPEN_DELAY_S, self._reopen_if_behind, name, revision
                 )
 
     def on_change(self) -> None:
@@ -273,7 +273,7 @@
         self._reopen(name, watched, revision, self._era())
 
     def _reopen(
-        self, name: str, watched: Watched, revision: int, era: int
+        self, name: str, watched: WatchState, revision: int, era: int
     ) -> None:
         now_s = time.monotonic()
         last_s = self._reopened_at_s.get(name, float("-inf"))
@@ -287,7 +287,7 @@
             seen=watched.seen_revision,
             seen_era=self._era(),
         ).warning("peers know of a change that the watch did not bring")
-        watched.hurry()
+        watched.reopen_if_waiting()
 
     def _send_if_needed(self) -> None:
         current = self._watches()
@@ -298,7 +298,7 @@
             < SUFFICIENT_NOTICES_COUNT
             for name, watched in current.items()
         ):
-            self._notices.tell_now()
+            self._notices.send_now()
         self._notice_counts = {
             (name, era, revision): count
             for (name, era, revision), count in self._notice_counts.items()
--- a/src/mulberrywharf/peers/usage_exchange.py
+++ b/src/mulberrywharf/peers/usage_exchange.py
@@ -94,7 +94,7 @@
         self._collected: dict[int, dict[tuple[str, int], dict[str, int]]] = {}
         self._final_sources: dict[int, set[fleet.Address]] = {}
         self._task: gevent.Greenlet | None = None
-        socket.on_datagram(b"u", self._on_datagram)
+        socket.set_handler(b"u", self._on_datagram)
 
     def start(self) -> None:
         """Starts sending counts to the collector."""
--- a/src/mulberrywharf/platform/requests.py
+++ b/src/mulberrywharf/platform/requests.py
@@ -96,11 +96,13 @@
             reason=answer.status_message or "",
             fields=tuple(_headers.end_to_end(answer.items())),
             request_id=answer.header(headers.REQUEST_ID),
-            has_receipt=answer.header(headers.RESPONSE_SIGNATURE) is not None,
+            has_signature=answer.header(headers.RESPONSE_SIGNATURE) is not None,
             not_executed=answer.header(headers.NOT_EXECUTED) is not None
             or answer.status_code == _MISDIRECTED_STATUS,
             load=_reported_load(answer.header(headers.SERVER_LOAD)),
-            rest_s=_headers.retry_after_s(answer.header(headers.RETRY_AFTER))
+            retry_after_s=_headers.retry_after_s(
+                answer.header(headers.RETRY_AFTER)
+            )
             if answer.status_code in _RETRY_AFTER_STATUSES
             else None,
             # A misdirected request reached another server, whose response
--- a/src/mulberrywharf/platform/store.py
+++ b/src/mulberrywharf/platform/store.py
@@ -275,7 +275,7 @@
 
     def _get_poll(self) -> gateway.Poll:
         """Returns the connection, a new one if the maximum wait has changed."""
-        wait_s = min(self._max_wait_s, self._request.silence_s())
+        wait_s = min(self._max_wait_s, self._request.silence_timeout_s())
         if self._request.after_failure:
             wait_s = min(wait_s, _PROBE_WAIT_S)
         if self._poll is None or wait_s != self._wait_s:
--- a/src/mulberrywharf/platform_service/dialect.py
+++ b/src/mulberrywharf/platform_service/dialect.py
@@ -75,7 +75,8 @@
         known_revision: Last revision that the watch has seen.
         known_cluster_id: Cluster id of the service at that revision.
         attempt: Number of the attempt; selects the endpoint.
-        silence_s: Returns the timeout of a read without data, in seconds.
+        silence_timeout_s: Returns the timeout of a read without data, in
+            seconds.
         purpose: Call budget that is charged.
         after_failure: Whether the previous attempt received no message.
     """
@@ -84,7 +85,7 @@
     known_revision: int
     known_cluster_id: str
     attempt: int
-    silence_s: Callable[[], float]
+    silence_timeout_s: Callable[[], float]
     purpose: str
     after_failure: bool = False
 
--- a/src/mulberrywharf/platform_service/etcd.py
+++ b/src/mulberrywharf/platform_service/etcd.py
@@ -66,7 +66,7 @@
         "/v3/watch",
         {"create_request": create_request},
         attempt=request.attempt,
-        silence_s=request.silence_s(),
+        silence_timeout_s=request.silence_timeout_s(),
         purpose=request.purpose,
     )
     if isinstance(opened, Err):
--- a/src/mulberrywharf/platform_service/gateway.py
+++ b/src/mulberrywharf/platform_service/gateway.py
@@ -120,7 +120,7 @@
         body: Mapping[str, Any],
         *,
         attempt: int,
-        silence_s: float,
+        silence_timeout_s: float,
         purpose: str,
     ) -> Result[http_calls.LineStream, errors.PlatformError]:
         """Opens a watch stream.
@@ -129,14 +129,17 @@
             path: Path of the request.
             body: JSON body of the request.
             attempt: Number of the attempt; selects the endpoint.
-            silence_s: A read fails after this many seconds without data.
+            silence_timeout_s: A read fails after this many seconds without
+                data.
             purpose: Call budget that is charged.
         """
         if not self.try_charge(purpose):
             return Err(_budget_exceeded_error(purpose))
         endpoint = self._endpoints[attempt % len(self._endpoints)]
         try:
-            stream = endpoint.open_stream(path, body, silence_s=silence_s)
+            stream = endpoint.open_stream(
+                path, body, silence_timeout_s=silence_timeout_s
+            )
         except (OSError, response.HTTPParseError) as error:
             self._count(purpose, "watch", "failed")
             message = f"{endpoint.name}: opening a watch failed: {error}"
--- a/src/mulberrywharf/platform_service/http_calls.py
+++ b/src/mulberrywharf/platform_service/http_calls.py
@@ -247,14 +247,15 @@
         return errors.PlatformUnavailableError(f"{self.name}: {reason}")
 
     def open_stream(
-        self, path: str, body: Mapping[str, Any], *, silence_s: float
+        self, path: str, body: Mapping[str, Any], *, silence_timeout_s: float
     ) -> "LineStream":
         """Sends a POST request whose response is read line by line.
 
         Args:
             path: Path of the request.
             body: JSON body of the request.
-            silence_s: A read fails after this many seconds without data.
+            silence_timeout_s: A read fails after this many seconds without
+                data.
 
         Raises:
             OSError: Connecting failed, or the connection broke.
@@ -263,7 +264,7 @@
         client = _Client(
             self._endpoint,
             connect_timeout_s=self._timeout_s,
-            read_timeout_s=silence_s,
+            read_timeout_s=silence_timeout_s,
         )
         data = json.dumps(body).encode()
         try:
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -275,7 +275,9 @@
         on_change: Callable[[WatchEvent], None],
         *,
         purpose: str,
-        patience: Callable[[], watch_module.Patience] = watch_module.Patience,
+        timeouts: Callable[
+            [], watch_module.WatchTimeouts
+        ] = watch_module.WatchTimeouts,
     ) -> watch_module.Watch:
         """Starts a watch that reports existing keys, then each change.
 
@@ -286,14 +288,14 @@
             prefix: Prefix of the keys.
             on_change: Called in the watch's greenlet, one event at a time.
             purpose: Call budget that is charged.
-            patience: Returns the current timeouts of the watch.
+            timeouts: Returns the current timeouts of the watch.
 
         Returns:
             The running watch. Its owner closes it, or it closes with the
             client.
         """
         watch = watch_module.Watch(
-            self, prefix, on_change, purpose=purpose, patience=patience
+            self, prefix, on_change, purpose=purpose, timeouts=timeouts
         )
         self._watches.append(watch)
         watch.start()
--- a/src/mulberrywharf/platform_service/watch.py
+++ b/src/mulberrywharf/platform_service/watch.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from mulberrywharf.platform_service.key_value import KeyValueClient
 
-REOPEN_S = 60.0
+DEFAULT_SILENCE_TIMEOUT_S = 60.0
 """Default time without data after which a watch is reopened.
 
 If the service hangs, or a middlebox keeps the connection open after the service
@@ -37,7 +37,7 @@
 """Range of the random factor by which each stream's silence timeout is
 multiplied, so that watches are not reopened in step."""
 
-BRIEF_REOPEN_S = 2.0
+SHORT_SILENCE_TIMEOUT_S = 2.0
 """Silence timeout for changes that must take effect within seconds.
 
 A service that drops its history may stop serving a waiting watch without an
@@ -48,7 +48,7 @@
 changes from other nodes may wait longer, as it then reopens its watch.
 """
 
-PROMPT_REOPEN_S = 1.2
+SHORTEST_SILENCE_TIMEOUT_S = 1.2
 """Silence timeout of a node that passes changes on to other nodes.
 
 With 0.4 s for the response and a first backoff of up to 0.5 s, a change arrives
@@ -63,28 +63,29 @@
 retried about once a second, stay under the service's limit of 2,000 reads/s."""
 
 
-RESTORED_SPREAD_S = 0.5
+RESTORE_JITTER_S = 0.5
 """After a restore of the service, all nodes read their keys again. Spread over
 this time, the two reads of each of 340 nodes stay under the service's limit of
 2,000 reads/s."""
 
 
-class Patience(NamedTuple):
+class WatchTimeouts(NamedTuple):
     """Timeouts of a watch.
 
     Attributes:
-        silence_s: Time in seconds without data after which it is reopened.
-        pause_s: Upper bound in seconds of the backoff after a failure.
+        silence_timeout_s: Time in seconds without data after which it is
+            reopened.
+        backoff_limit_s: Upper bound in seconds of the backoff after a failure.
     """
 
-    silence_s: float = REOPEN_S
-    pause_s: float = _BACKOFF_LIMIT_S
+    silence_timeout_s: float = DEFAULT_SILENCE_TIMEOUT_S
+    backoff_limit_s: float = _BACKOFF_LIMIT_S
 
 
-BRIEF = Patience(BRIEF_REOPEN_S)
+SHORT_TIMEOUTS = WatchTimeouts(SHORT_SILENCE_TIMEOUT_S)
 """Timeouts for changes that must take effect within seconds."""
 
-PROMPT = Patience(PROMPT_REOPEN_S)
+SHORTEST_TIMEOUTS = WatchTimeouts(SHORTEST_SILENCE_TIMEOUT_S)
 """Timeouts for changes that must take effect within seconds, also at the nodes
 that this node notifies."""
 
@@ -111,13 +112,13 @@
         on_change: Callable[[WatchEvent], None],
         *,
         purpose: str,
-        patience: Callable[[], Patience] = Patience,
+        timeouts: Callable[[], WatchTimeouts] = WatchTimeouts,
     ):
         self._client = client
         self._prefix = prefix
         self._on_change = on_change
         self._purpose = purpose
-        self._patience = patience
+        self._timeouts = timeouts
         self._reported: dict[str, KeyValue] = {}
         self._position: ServiceState | None = None
         self._needs_resync = False
@@ -155,7 +156,7 @@
         """Seconds since the last message of the watch, or inf."""
         return time.monotonic() - self._answered_s
 
-    def hurry(self) -> None:
+    def reopen_if_waiting(self) -> None:
         """Reopens the watch at once if it is waiting for a change.
 
         A node calls this if it knows of a change that the watch should have
@@ -205,7 +206,7 @@
         return http_calls.full_jitter_s(
             self._failures_count,
             base_s=_BACKOFF_BASE_S,
-            limit_s=self._patience().pause_s,
+            limit_s=self._timeouts().backoff_limit_s,
         )
 
     def _watch_once(self) -> bool:
@@ -215,7 +216,7 @@
             Whether the attempt succeeded; if not, the next delay is longer.
         """
         if self._needs_resync:
-            gevent.sleep(random.uniform(0.0, RESTORED_SPREAD_S))
+            gevent.sleep(random.uniform(0.0, RESTORE_JITTER_S))
             self._position = None
         if self._position is None and not self._read_present():
             return False
@@ -228,7 +229,9 @@
                 known.revision,
                 known.cluster_id,
                 attempt=self._opened_count,
-                silence_s=lambda: self._patience().silence_s * share,
+                silence_timeout_s=lambda: (
+                    self._timeouts().silence_timeout_s * share
+                ),
                 purpose=self._purpose,
                 after_failure=self._failures_count > 0,
             )
--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -22,12 +22,12 @@
 from mulberrywharf.duties import usage_reporter
 from mulberrywharf.engines import role_orders
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_pool,
-    exchanges,
     generation,
     plain_call,
-    server_book,
+    server_client,
+    server_tracker,
     servers,
 )
 from mulberrywharf.operators import readiness
@@ -38,7 +38,7 @@
     freshness_relay,
     notices,
     queue_owners,
-    store_news,
+    revision_exchange,
     usage_exchange,
 )
 from mulberrywharf.platform import documents, duties, orders, requests, store
@@ -87,11 +87,13 @@
         )
         source = documents.StoredDocuments()
         self._peers, self._notices, self._queues = self._peer_parts()
-        self._news = store_news.StoreNews(
+        self._revision_exchange = revision_exchange.RevisionExchange(
             self._notices, self._watches, lambda: self._store.era
         )
         self._routes = follower.RouteFollower(
-            self._store, source, patience=self._news.patience_for_routes
+            self._store,
+            source,
+            timeouts=self._revision_exchange.routes_watch_timeouts,
         )
         relay = freshness_relay.FreshnessRelay(
             self._peers, self._notices.socket
@@ -104,14 +106,16 @@
         )
         relay.on_question(self._confirmed_routes)
         self._servers = servers.ServerList(
-            self._store, source, patience=self._news.patience
+            self._store, source, timeouts=self._revision_exchange.watch_timeouts
+        )
+        self._tracker = server_tracker.ServerTracker(
+            config["availability_zone"]
         )
-        self._book = server_book.ServerBook(config["availability_zone"])
-        self._client = exchanges.ServerClient(
+        self._client = server_client.ServerClient(
             requests.ServerDialect(),
-            self._book,
+            self._tracker,
             self._clock,
-            self._servers.says_it_leaves,
+            self._servers.mark_leaving,
         )
         suspects = crash_suspects.CrashSuspects()
         self._crash_reports = crash_reports.CrashReports(
@@ -131,26 +135,30 @@
             _repeat_settings(config),
             lambda: max(MIN_GATEWAYS_COUNT, self._peers.gateways_count),
         )
-        self._account = engine_account.EngineAccount(
-            self._book,
+        self._estimates = engine_estimates.EngineEstimates(
+            self._tracker,
             self._clock,
             self._notices,
             self._kv_capacity_tokens,
             self._queues,
         )
-        self._queues.keep_parts(self._account)
+        self._queues.set_parts(self._estimates)
         self._pool = engine_pool.EnginePool(
-            self._servers, self._book, self._account, self._clock, self._rng
+            self._servers,
+            self._tracker,
+            self._estimates,
+            self._clock,
+            self._rng,
         )
-        self._notices.on_notice(
-            self._account.on_notice,
-            self._account.loads.reported,
-            self._account.demand.own_demands,
-            self._account.loads.of_roles,
+        self._notices.set_sources(
+            self._estimates.on_notice,
+            self._estimates.loads.recent_reports,
+            self._estimates.demand.own_demands,
+            self._estimates.loads.mean_load_by_role,
         )
         self._servers.on_change(self._on_servers_change)
-        self._servers.on_change(self._news.on_change)
-        self._routes.on_change(lambda _: self._news.on_change())
+        self._servers.on_change(self._revision_exchange.on_change)
+        self._routes.on_change(lambda _: self._revision_exchange.on_change())
         self._listener = _listener(config)
         self._duties: tuple[
             usage_reporter.UsageReporter | role_holder.RoleHolder, ...
@@ -186,7 +194,7 @@
         self._peers.start()
         self._notices.start()
         self._crash_records.start()
-        self._news.start()
+        self._revision_exchange.start()
         if self._usage_exchange is not None:
             self._usage_exchange.start()
         for part in (*self._roles, *self._duties):
@@ -235,7 +243,7 @@
         if self._usage_exchange is not None:
             self._usage_exchange.close()
         self._freshness.close()
-        self._news.close()
+        self._revision_exchange.close()
         self._crash_records.close()
         self._notices.close()
         self._peers.close()
@@ -249,7 +257,7 @@
         self,
     ) -> tuple[
         directory.PeerDirectory,
-        notices.WorkNotices,
+        notices.NoticeExchange,
         queue_owners.QueueOwners,
     ]:
         listen = gateway_settings.endpoint(self._config["nodes_listen"])
@@ -262,7 +270,7 @@
             self._config["availability_zone"],
             f"{incarnation:08x}",
         )
-        work_notices = notices.WorkNotices(
+        work_notices = notices.NoticeExchange(
             address,
             peers,
             incarnation,
@@ -302,21 +310,23 @@
                 self._servers,
                 self._routes,
                 self._store,
-                self._account,
-                self._book,
+                self._estimates,
+                self._tracker,
                 self._clock,
             ),
             role_orders.RoleClient(orders.OrderDialect()),
             self._config["vm_id"],
             self._clock,
             self._on_role_ordered,
-            self._servers.superseded,
+            self._servers.mark_restarted,
         )
         return keeper, holder
 
     def _on_role_ordered(self, server: fleet.Server) -> None:
-        self._book.changing(server.start, self._clock.monotonic_s())
-        self._notices.tell_changing(server)
+        self._tracker.role_change_ordered(
+            server.start, self._clock.monotonic_s()
+        )
+        self._notices.report_role_change(server)
 
     def _watches(self) -> dict[str, watch.Watch]:
         watches = {
@@ -396,9 +406,9 @@
             dialect=requests.CallerDialect(),
             routes=self._routes,
             plain_calls=plain_call.PlainCalls(
-                plain_call.Parts(
+                plain_call.Dependencies(
                     self._servers,
-                    self._book,
+                    self._tracker,
                     self._client,
                     self._budget,
                     self._crashes,
@@ -407,10 +417,10 @@
                 )
             ),
             generations=generation.Generations(
-                generation.Parts(
+                generation.Dependencies(
                     self._pool,
-                    self._account,
-                    self._book,
+                    self._estimates,
+                    self._tracker,
                     self._client,
                     self._budget,
                     self._crashes,
@@ -426,8 +436,8 @@
 
     def _on_servers_change(self) -> None:
         known = self._servers.all()
-        self._book.keep_only(server.start for server in known)
-        self._account.follow(known)
+        self._tracker.keep_only(server.start for server in known)
+        self._estimates.set_engines(known)
 
     def _update_readiness(self) -> None:
         while True:
@@ -453,16 +463,16 @@
         server_list: servers.ServerList,
         routes: follower.RouteFollower,
         client: key_value.KeyValueClient,
-        account: engine_account.EngineAccount,
-        book: server_book.ServerBook,
+        estimates: engine_estimates.EngineEstimates,
+        tracker: server_tracker.ServerTracker,
         system_clock: clock.Clock,
     ):
-        self._book = book
+        self._tracker = tracker
         self._clock = system_clock
         self._servers = server_list
         self._routes = routes
         self._client = client
-        self._account = account
+        self._estimates = estimates
 
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
         """Returns the engines that accept new requests, by service."""
@@ -475,7 +485,7 @@
 
         It may not until the engine's last Retry-After has passed.
         """
-        return not self._book.is_resting(
+        return not self._tracker.is_paused(
             server.start, self._clock.monotonic_s()
         )
 
@@ -488,7 +498,7 @@
 
         None until there is enough data.
         """
-        return self._account.demand.wanted_prefill(service)
+        return self._estimates.demand.wanted_prefill(service)
 
 
 def _listener(
--- a/src/mulberrywharf/programs/_router.py
+++ b/src/mulberrywharf/programs/_router.py
@@ -100,7 +100,7 @@
         )
         retries = retry_budget.RetryBudget.from_config(now_s)
         rates = demand_rates.DemandRates()
-        crashes = crash_watch.CrashWatch.of_node_alone(self._clock)
+        crashes = crash_watch.CrashWatch.standalone(self._clock)
         self._nodes.serve_rates(rates)
         self._configuration = _router_configuration.RouterConfiguration(
             self._platform.follower, customer_limits, self._audit, self._clock
--- a/src/mulberrywharf/requests/generation.py
+++ b/src/mulberrywharf/requests/generation.py
@@ -136,7 +136,7 @@
             yield from self._record_timing(
                 answer, attempts, wanted.model, now_s
             )
-            self._crashes.ended_whole(wanted.caller)
+            self._crashes.note_completed(wanted.caller)
             self._lengths.record(wanted.model, answer.delivered_count)
         finally:
             attempts.close()
@@ -384,8 +384,8 @@
     """Reports a failed exchange that may have been caused by a crash."""
     if crash_watch.may_be_crash(error):
         start = fleet.ServerStart(vm.vm_id)
-        run = crash_watch.Run(wanted.caller, start, vm.address)
-        crashes.broke_off(run, made_output=made_output)
+        run = crash_watch.RequestRun(wanted.caller, start, vm.address)
+        crashes.note_connection_lost(run, made_output=made_output)
 
 
 def _engine_body(wanted: request.CompletionRequest) -> dict[str, Any]:
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -161,7 +161,7 @@
             return self._record_failure(wanted, vm, error)
         self._servers.succeeded(vm.vm_id)
         if answer.status < _SERVER_ERROR_STATUS:
-            self._crashes.ended_whole(wanted.caller)
+            self._crashes.note_completed(wanted.caller)
         _attempts_total.inc({"service": wanted.service, "result": "answered"})
         return Ok(answer)
 
@@ -173,10 +173,10 @@
     ) -> Err[errors.EngineError]:
         self._servers.failed(vm.vm_id, self._clock.monotonic_s())
         if crash_watch.may_be_crash(error):
-            run = crash_watch.Run(
+            run = crash_watch.RequestRun(
                 wanted.caller, fleet.ServerStart(vm.vm_id), vm.address
             )
-            self._crashes.broke_off(run, made_output=False)
+            self._crashes.note_connection_lost(run, made_output=False)
         _attempts_total.inc({"service": wanted.service, "result": error.code})
         return Err(error)
 
--- a/src/mulberrywharf/routes/follower.py
+++ b/src/mulberrywharf/routes/follower.py
@@ -52,18 +52,20 @@
         client: key_value.KeyValueClient,
         source: RouteSource,
         *,
-        patience: Callable[[], watch.Patience] = lambda: watch.BRIEF,
+        timeouts: Callable[[], watch.WatchTimeouts] = lambda: (
+            watch.SHORT_TIMEOUTS
+        ),
     ):
         """Creates it; nothing is read before ``start``.
 
         Args:
             client: Client of the key-value service.
             source: Key and format of the routes in the service.
-            patience: See ``KeyValueClient.watch``.
+            timeouts: See ``KeyValueClient.watch``.
         """
         self._client = client
         self._source = source
-        self._patience = patience
+        self._timeouts = timeouts
         self._table: table.RouteTable | None = None
         self._applied_digest = b""
         self._has_routes = gevent.event.Event()
@@ -76,7 +78,7 @@
             self._source.routes_key,
             self._on_event,
             purpose=PURPOSE,
-            patience=self._patience,
+            timeouts=self._timeouts,
         )
 
     def close(self) -> None:
--- a/tests/builders_routes.py
+++ b/tests/builders_routes.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from mulberrywharf import clock, crash_watch, fleet, server_ends
-from mulberrywharf.forwarding import exchanges, request
+from mulberrywharf.forwarding import request, server_client
 from mulberrywharf.platform import store
 from mulberrywharf.platform_service import key_value
 from mulberrywharf.policy import crash_suspects
@@ -97,13 +97,13 @@
     return made._replace(**changes)
 
 
-def crashes_of(client: exchanges.ServerClient) -> crash_watch.CrashWatch:
+def crashes_of(client: server_client.ServerClient) -> crash_watch.CrashWatch:
     system_clock = clock.SystemClock()
     return crash_watch.CrashWatch(
         server_ends.ServerEnds(client, system_clock),
         crash_suspects.CrashSuspects(),
-        crash_watch.Alone(),
-        crash_watch.Alone(),
+        crash_watch.NullReportsAndRecords(),
+        crash_watch.NullReportsAndRecords(),
         system_clock,
     )
 
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -38,14 +38,14 @@
         self.client = builders_platform.client_for(self.platform.port)
         self.addCleanup(self.client.close)
         self.store = config_store.ConfigStore(self.client, DEPLOYMENT)
-        self.asked_count = 0
+        self.max_asked_owners_count = 0
 
     def node_that_answers_late(self) -> int:
         """Starts a node at version 5 whose first answer is too late."""
 
         def report() -> Any:
-            self.asked_count += 1
-            if self.asked_count == 1:
+            self.max_asked_owners_count += 1
+            if self.max_asked_owners_count == 1:
                 gevent.sleep(0.6)
             return builders_operators.status(config_version=5)
 
@@ -76,7 +76,9 @@
             )
             # Only after the node's first answer, so that apply finds the
             # change still stored when it first checks.
-            builders_platform.wait_until(lambda: self.asked_count > 1)
+            builders_platform.wait_until(
+                lambda: self.max_asked_owners_count > 1
+            )
             gevent.sleep(0.5)
             held = builders_platform.configuration_of(5)
             self.store.reinstate(held).unwrap()
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -35,7 +35,7 @@
                 server_key, False, self.clock.monotonic_s()
             )
             suspects.record_server_end(FINGERPRINT, end)
-        self.records.write_soon()
+        self.records.schedule_write()
 
     def is_stored(self) -> bool:
         return self.client.get(KEY, purpose="test").unwrap() is not None
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -37,7 +37,7 @@
             for number in range(crash_codec.ENDS_LIMIT_COUNT)
         )
         encoded = crash_codec.encode(crash_codec.CrashReport(ends))
-        sealed = datagrams.seal(b"c", encoded)
+        sealed = datagrams.frame_datagram(b"c", encoded)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
     def test_a_truncated_report_is_an_error(self) -> None:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from mulberrywharf import clock, crash_watch, errors, fleet, server_ends
-from mulberrywharf.forwarding import exchanges, server_book
+from mulberrywharf.forwarding import server_client, server_tracker
 from mulberrywharf.platform import requests
 from mulberrywharf.policy import crash_suspects
 from tests import builders_engines
@@ -20,9 +20,9 @@
 class ServerEndsTest(builders_engines.ScriptedServerCase):
     def setUp(self) -> None:
         system_clock = clock.SystemClock()
-        self.client = exchanges.ServerClient(
+        self.client = server_client.ServerClient(
             requests.ServerDialect(),
-            server_book.ServerBook("zone-a"),
+            server_tracker.ServerTracker("zone-a"),
             system_clock,
         )
         self.addCleanup(self.client.close)
@@ -72,18 +72,20 @@
                 server_ends.TcpProber(timeout_s=0.2), system_clock
             ),
             suspects,
-            crash_watch.Alone(),
-            crash_watch.Alone(),
+            crash_watch.NullReportsAndRecords(),
+            crash_watch.NullReportsAndRecords(),
             system_clock,
         )
-        wanted = build.routed(0.0)
-        # Blocks the event loop once ``broke_off`` starts to wait.
+        routed_request = build.routed(0.0)
+        # Blocks the event loop once ``note_connection_lost`` starts to wait.
         gevent.spawn(time.sleep, 2 * crash_watch.PROBE_WAIT_S)
-        watch.broke_off(
-            crash_watch.Run(wanted, START, server.address),
+        watch.note_connection_lost(
+            crash_watch.RequestRun(routed_request, START, server.address),
             made_output=False,
         )
-        ends = suspects.ends(wanted.fingerprint(), system_clock.monotonic_s())
+        ends = suspects.ends(
+            routed_request.fingerprint(), system_clock.monotonic_s()
+        )
         self.assertEqual(len(ends), 1)
 
 
