--- a/tests/test_engine_account.py
+++ b/tests/test_engine_estimates.py
@@ -4,13 +4,13 @@
 
 from mulberrywharf import clock, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_loads,
     prompt_parts,
     request,
-    server_book,
+    server_tracker,
 )
-from mulberrywharf.peers import codec
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.policy import (
     load_estimates,
     part_caches,
@@ -30,40 +30,40 @@
 class _Notices:
     gateways_count = 30
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         return server.availability_zone == "zone-a"
 
-    def add(self, *_: object) -> None:
+    def add_placement(self, *_: object) -> None:
         """Sends no notice."""
 
 
-def _account_at(
+def _estimates_at(
     known: tuple[fleet.Server, ...],
-) -> tuple[engine_account.EngineAccount, server_book.ServerBook]:
-    book = server_book.ServerBook("zone-a")
-    account = engine_account.EngineAccount(
-        book, clock.SystemClock(), _Notices(), lambda _: _MEMORY_TOKENS
+) -> tuple[engine_estimates.EngineEstimates, server_tracker.ServerTracker]:
+    tracker = server_tracker.ServerTracker("zone-a")
+    estimates = engine_estimates.EngineEstimates(
+        tracker, clock.SystemClock(), _Notices(), lambda _: _MEMORY_TOKENS
     )
-    account.follow(known)
-    return account, book
+    estimates.set_engines(known)
+    return estimates, tracker
 
 
 class HomeCacheEstimateTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.account, _ = _account_at((_LOCAL, _REMOTE))
+        self.estimates, _ = _estimates_at((_LOCAL, _REMOTE))
 
     def cached_tokens(self, server: fleet.Server, *, is_home: bool) -> int:
         prompt = build.prompt(shared_tokens=13_000, own_tokens=3_000)
         parts = prompt_parts.chain_of(prompt)
-        view = self.account.view(server, parts, 1.0, is_home=is_home)
+        view = self.estimates.view(server, parts, 1.0, is_home=is_home)
         return view.cached_tokens
 
     def announce_part(self, part_key: int) -> None:
         """Applies a notice that the local engine caches a part."""
-        key = codec.key_of_server(_LOCAL.start)
+        key = notice_codec.hash_server_start(_LOCAL.start)
         part = part_caches.HeldPart(part_key, 1_000)
-        placement = codec.Placement(key, 0.1, (part,))
-        self.account.on_notice(codec.Notice(1, 1, (placement,)))
+        placement = notice_codec.Placement(key, 0.1, (part,))
+        self.estimates.on_notice(notice_codec.Notice(1, 1, (placement,)))
 
     def test_remote_homes_are_assumed_to_have_the_local_hit_rate(self) -> None:
         """Guards against each availability zone prefilling each part again.
@@ -100,11 +100,11 @@
         prompt = request.Prompt("m", 8_000, 100, parts)
         plan = prompt_placement.plans(
             prompt_placement.PromptShape(8_000, 2_000, 18_432.0, 46e9),
-            self.account.speeds("service"),
+            self.estimates.speeds("service"),
             [],
             [prompt_placement.EngineView(_LOCAL)],
         )[0]
-        self.account.record_placement(
+        self.estimates.record_placement(
             build.routed(0.0, prompt=prompt),
             table.Service("service", 100, build.ENGINE),
             plan,
@@ -148,11 +148,13 @@
     """Load reports of engines that one gateway relays to others."""
 
     def setUp(self) -> None:
-        self.reporting = _account_at((_LOCAL, _REMOTE))
-        self.receiving = _account_at((_LOCAL, _REMOTE))
+        self.reporting = _estimates_at((_LOCAL, _REMOTE))
+        self.receiving = _estimates_at((_LOCAL, _REMOTE))
 
-    def running_share(self, account: engine_account.EngineAccount) -> float:
-        return account.view(_LOCAL, (), 1.0).running_share
+    def running_share(
+        self, estimates: engine_estimates.EngineEstimates
+    ) -> float:
+        return estimates.view(_LOCAL, (), 1.0).running_share
 
     def test_a_load_report_reaches_other_gateways(self) -> None:
         """Guards against prompts sent to engines whose batch is full.
@@ -161,31 +163,33 @@
         seconds, but batches fill within one. Only the gateway that got the
         answer knew the load.
         """
-        account, book = self.reporting
+        estimates, tracker = self.reporting
         now_s = clock.SystemClock().monotonic_s()
-        book.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), now_s)
-        loads = account.loads.reported("zone-a")
+        tracker.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), now_s)
+        loads = estimates.loads.recent_reports("zone-a")
         self.assertEqual([load.requests_count for load in loads], [9])
-        self.assertEqual(account.loads.reported("zone-b"), ())
+        self.assertEqual(estimates.loads.recent_reports("zone-b"), ())
         receiving, _ = self.receiving
         self.assertEqual(self.running_share(receiving), 0.0)
-        receiving.on_notice(codec.Notice(1, 1, (), loads=loads))
+        receiving.on_notice(notice_codec.Notice(1, 1, (), loads=loads))
         self.assertGreater(self.running_share(receiving), 1.0)
 
     def test_an_older_relayed_load_does_not_replace_a_newer_one(self) -> None:
-        receiving, book = self.receiving
+        receiving, tracker = self.receiving
         now_s = clock.SystemClock().monotonic_s()
-        book.reported(_LOCAL.start, request.ReportedLoad(0, 0, 6), now_s)
-        old = codec.Load(codec.key_of_server(_LOCAL.start), 9, 0.4)
-        receiving.on_notice(codec.Notice(1, 1, (), loads=(old,)))
+        tracker.reported(_LOCAL.start, request.ReportedLoad(0, 0, 6), now_s)
+        old = notice_codec.Load(
+            notice_codec.hash_server_start(_LOCAL.start), 9, 0.4
+        )
+        receiving.on_notice(notice_codec.Notice(1, 1, (), loads=(old,)))
         self.assertEqual(self.running_share(receiving), 0.0)
 
     def test_old_loads_are_not_relayed(self) -> None:
-        account, book = self.reporting
+        estimates, tracker = self.reporting
         old_s = clock.SystemClock().monotonic_s()
         old_s -= engine_loads.RELAYED_LOAD_MAX_AGE_S + 0.1
-        book.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), old_s)
-        self.assertEqual(account.loads.reported("zone-a"), ())
+        tracker.reported(_LOCAL.start, request.ReportedLoad(6, 3, 6), old_s)
+        self.assertEqual(estimates.loads.recent_reports("zone-a"), ())
 
 
 class LoadReportDecayTest(unittest.TestCase):
@@ -196,16 +200,16 @@
             build.server(f"e{n}", availability_zone="zone-a", role="decode")
             for n in range(4)
         )
-        self.account, self.book = _account_at(self.engines)
+        self.estimates, self.tracker = _estimates_at(self.engines)
         self.now_s = clock.SystemClock().monotonic_s()
 
     def report(self, number: int, count: int, age_s: float = 0.0) -> None:
-        self.book.note_requests_count(
+        self.tracker.note_requests_count(
             self.engines[number].start, count, self.now_s - age_s
         )
 
     def running_share(self, number: int) -> float:
-        return self.account.view(self.engines[number], (), 1.0).running_share
+        return self.estimates.view(self.engines[number], (), 1.0).running_share
 
     def test_an_engine_without_recent_report_gets_the_mean_load(self) -> None:
         """Guards against stalled streams at an engine without recent report.
@@ -237,15 +241,15 @@
     """Engines of other zones, where notices stay within a zone."""
 
     def setUp(self) -> None:
-        self.account, self.book = _account_at((_LOCAL, _REMOTE))
+        self.estimates, self.tracker = _estimates_at((_LOCAL, _REMOTE))
         self.now_s = clock.SystemClock().monotonic_s()
 
     def view(self, server: fleet.Server) -> prompt_placement.EngineView:
-        return self.account.view(server, (), 1.0)
+        return self.estimates.view(server, (), 1.0)
 
     def make_busy(self, server: fleet.Server, requests_count: int) -> None:
         load = request.ReportedLoad(requests_count, 0, server.slots_count)
-        self.book.reported(server.start, load, self.now_s)
+        self.tracker.reported(server.start, load, self.now_s)
 
     def test_remote_engines_get_the_mean_load_of_local_ones(self) -> None:
         """Guards against streams that pause too long in a large fleet.
@@ -264,8 +268,10 @@
         )
 
     def test_remote_queues_get_the_mean_length_of_local_ones(self) -> None:
-        key = codec.key_of_server(_LOCAL.start)
-        self.account.on_notice(codec.Notice(1, 1, (codec.Placement(key, 0.8),)))
+        key = notice_codec.hash_server_start(_LOCAL.start)
+        self.estimates.on_notice(
+            notice_codec.Notice(1, 1, (notice_codec.Placement(key, 0.8),))
+        )
         self.assertGreater(self.view(_LOCAL).wait_s, 0.7)
         self.assertGreater(self.view(_REMOTE).wait_s, 0.7)
 
@@ -278,11 +284,17 @@
 
     def report(self, load: load_estimates.Load, zone: str = "zone-b") -> None:
         """Applies a notice with the mean load of another zone's engines."""
-        reported = codec.RoleLoad(codec.key_of(_REMOTE.service), False, load)
-        notice = codec.Notice(
-            1, 1, (), zone_key=codec.key_of(zone), role_loads=(reported,)
+        reported = notice_codec.RoleLoad(
+            notice_codec.hash_name(_REMOTE.service), False, load
         )
-        self.account.on_notice(notice)
+        notice = notice_codec.Notice(
+            1,
+            1,
+            (),
+            zone_key=notice_codec.hash_name(zone),
+            role_loads=(reported,),
+        )
+        self.estimates.on_notice(notice)
 
     def test_remote_engines_get_the_load_their_zone_reported(self) -> None:
         """Guards against refused callers while another zone's engines are idle.
@@ -308,7 +320,7 @@
         used until a newer one came.
         """
         self.report(load_estimates.Load(2.0, 5.0))
-        zone_loads = self.account.loads._zone_loads
+        zone_loads = self.estimates.loads._zone_loads
         for kind, (load, reported_s) in list(zone_loads.items()):
             zone_loads[kind] = (
                 load,
@@ -319,8 +331,10 @@
     def test_only_local_engines_are_reported_by_role(self) -> None:
         self.make_busy(_LOCAL, 3)
         self.make_busy(_REMOTE, 6)
-        (reported,) = self.account.loads.of_roles()
-        self.assertEqual(reported.service_key, codec.key_of(_LOCAL.service))
+        (reported,) = self.estimates.loads.mean_load_by_role()
+        self.assertEqual(
+            reported.service_key, notice_codec.hash_name(_LOCAL.service)
+        )
         self.assertFalse(reported.is_prefill)
         share = 3 / _LOCAL.slots_count
         self.assertAlmostEqual(reported.load.running_share, share, places=2)
@@ -328,27 +342,27 @@
     def test_without_local_engines_remote_ones_count_as_idle(
         self,
     ) -> None:
-        account, _ = _account_at((_REMOTE,))
-        self.assertEqual(account.view(_REMOTE, (), 1.0).running_share, 0.0)
+        estimates, _ = _estimates_at((_REMOTE,))
+        self.assertEqual(estimates.view(_REMOTE, (), 1.0).running_share, 0.0)
 
 
 class QueueOwnerPartsTest(unittest.TestCase):
     """Cached parts of an engine, as its queue's owner counts them."""
 
     def setUp(self) -> None:
-        self.account, _ = _account_at((_LOCAL,))
-        self.account._memory_tokens = lambda _: 10_000
-        self.key = codec.key_of_server(_LOCAL.start)
+        self.estimates, _ = _estimates_at((_LOCAL,))
+        self.estimates._memory_tokens = lambda _: 10_000
+        self.key = notice_codec.hash_server_start(_LOCAL.start)
         self.parts = tuple(
             part_caches.HeldPart(number, 2_000) for number in (1, 2)
         )
 
     def test_parts_of_other_gateways_prompts_are_cached(self) -> None:
-        self.assertEqual(self.account.held_count(self.key, (1, 2)), 0)
-        self.account.note_counted(self.key, self.parts[:1], 100)
-        self.assertEqual(self.account.held_count(self.key, (1, 2)), 1)
-        self.account.note_counted(self.key, self.parts, 100)
-        self.assertEqual(self.account.held_count(self.key, (1, 2)), 2)
+        self.assertEqual(self.estimates.held_count(self.key, (1, 2)), 0)
+        self.estimates.record_remote_prompt(self.key, self.parts[:1], 100)
+        self.assertEqual(self.estimates.held_count(self.key, (1, 2)), 1)
+        self.estimates.record_remote_prompt(self.key, self.parts, 100)
+        self.assertEqual(self.estimates.held_count(self.key, (1, 2)), 2)
 
     def test_unshared_tokens_evict_shared_parts(self) -> None:
         """Guards against parts that count as cached after their eviction.
@@ -356,14 +370,14 @@
         Unshared tokens fill the engine's memory too, but only shared parts were
         counted.
         """
-        self.account.note_counted(self.key, self.parts, 100)
+        self.estimates.record_remote_prompt(self.key, self.parts, 100)
         for _ in range(4):
-            self.account.note_counted(self.key, (), 2_500)
-        self.assertEqual(self.account.held_count(self.key, (1, 2)), 0)
+            self.estimates.record_remote_prompt(self.key, (), 2_500)
+        self.assertEqual(self.estimates.held_count(self.key, (1, 2)), 0)
 
     def test_an_unlisted_engine_holds_no_parts(self) -> None:
-        self.account.note_counted(7, self.parts, 100)
-        self.assertEqual(self.account.held_count(7, (1,)), 0)
+        self.estimates.record_remote_prompt(7, self.parts, 100)
+        self.assertEqual(self.estimates.held_count(7, (1,)), 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_forwarding_policy.py
+++ b/tests/test_forwarding_policy.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from mulberrywharf.forwarding import request, server_book
+from mulberrywharf.forwarding import request, server_tracker
 from mulberrywharf.policy import (
     background_work,
     engine_queues,
@@ -77,64 +77,64 @@
     """Servers that ask for a pause with Retry-After."""
 
     def setUp(self) -> None:
-        self.book = server_book.ServerBook("zone-a")
+        self.tracker = server_tracker.ServerTracker("zone-a")
         self.one, self.two = build.server("one"), build.server("two")
 
     def test_a_server_gets_no_requests_until_its_retry_after(self) -> None:
-        self.book.rests(self.one.start, 3.0, 10.0)
-        reached = self.book.reachable([self.one, self.two], 12.9)
+        self.tracker.pause_until_retry_after(self.one.start, 3.0, 10.0)
+        reached = self.tracker.reachable([self.one, self.two], 12.9)
         self.assertEqual(reached, [self.two])
-        self.assertTrue(self.book.may_use(self.one.start, 13.0))
+        self.assertTrue(self.tracker.may_use(self.one.start, 13.0))
 
     def test_a_shorter_retry_after_does_not_replace_a_longer_one(self) -> None:
-        self.book.rests(self.one.start, 5.0, 10.0)
-        self.book.rests(self.one.start, 0.1, 10.0)
-        self.assertTrue(self.book.is_resting(self.one.start, 14.0))
+        self.tracker.pause_until_retry_after(self.one.start, 5.0, 10.0)
+        self.tracker.pause_until_retry_after(self.one.start, 0.1, 10.0)
+        self.assertTrue(self.tracker.is_paused(self.one.start, 14.0))
 
     def test_a_complete_answer_does_not_clear_the_retry_after(self) -> None:
-        self.book.rests(self.one.start, 5.0, 10.0)
-        self.book.succeeded(self.one.start)
-        self.assertTrue(self.book.is_resting(self.one.start, 14.0))
+        self.tracker.pause_until_retry_after(self.one.start, 5.0, 10.0)
+        self.tracker.succeeded(self.one.start)
+        self.assertTrue(self.tracker.is_paused(self.one.start, 14.0))
 
     def test_a_retry_after_of_an_hour_is_limited_to_a_minute(self) -> None:
-        self.book.rests(self.one.start, 3600.0, 10.0)
-        self.assertFalse(self.book.may_use(self.one.start, 69.0))
-        self.assertTrue(self.book.may_use(self.one.start, 70.0))
+        self.tracker.pause_until_retry_after(self.one.start, 3600.0, 10.0)
+        self.assertFalse(self.tracker.may_use(self.one.start, 69.0))
+        self.assertTrue(self.tracker.may_use(self.one.start, 70.0))
 
     def test_callers_get_the_earliest_retry_after_of_all_servers(self) -> None:
-        self.book.rests(self.one.start, 3.0, 10.0)
+        self.tracker.pause_until_retry_after(self.one.start, 3.0, 10.0)
         both = [self.one, self.two]
-        self.assertIsNone(self.book.rest_left_s(both, 11.0))
-        self.book.rests(self.two.start, 5.0, 10.0)
-        self.assertEqual(self.book.rest_left_s(both, 11.0), 2.0)
-        self.assertIsNone(self.book.rest_left_s([], 11.0))
+        self.assertIsNone(self.tracker.retry_after_left_s(both, 11.0))
+        self.tracker.pause_until_retry_after(self.two.start, 5.0, 10.0)
+        self.assertEqual(self.tracker.retry_after_left_s(both, 11.0), 2.0)
+        self.assertIsNone(self.tracker.retry_after_left_s([], 11.0))
 
 
 class ServerBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = server_book.ServerBook("zone-a")
+        self.tracker = server_tracker.ServerTracker("zone-a")
 
     def test_others_count_is_the_reported_count_without_own_requests(
         self,
     ) -> None:
-        self.book.began(build.start("s"), 0.0)
-        self.book.reported(
+        self.tracker.began(build.start("s"), 0.0)
+        self.tracker.reported(
             build.start("s"), request.ReportedLoad(3, 1, 6), 10.0
         )
         self.assertAlmostEqual(
-            self.book.others_in_flight_count(build.start("s"), 10.0), 3.0
+            self.tracker.others_in_flight_count(build.start("s"), 10.0), 3.0
         )
         self.assertLess(
-            self.book.others_in_flight_count(build.start("s"), 12.0), 0.5
+            self.tracker.others_in_flight_count(build.start("s"), 12.0), 0.5
         )
 
     def test_a_lost_server_is_suspected_for_a_while(self) -> None:
-        self.book.lost(build.start("s"), 10.0)
-        self.assertTrue(self.book.is_suspected(build.start("s"), 10.1))
-        self.assertTrue(self.book.may_use(build.start("s"), 10.1))
+        self.tracker.connection_lost(build.start("s"), 10.0)
+        self.assertTrue(self.tracker.is_suspected(build.start("s"), 10.1))
+        self.assertTrue(self.tracker.may_use(build.start("s"), 10.1))
         self.assertFalse(
-            self.book.is_suspected(
-                build.start("s"), 10.1 + server_book.SUSPECT_S
+            self.tracker.is_suspected(
+                build.start("s"), 10.1 + server_tracker.SUSPECT_S
             )
         )
 
@@ -145,9 +145,11 @@
         after the other, 0.2 s each, because unreachable servers were still used
         as a last resort.
         """
-        self.book.unreachable(build.start("s"), 10.0)
+        self.tracker.unreachable(build.start("s"), 10.0)
         self.assertEqual(
-            self.book.reachable([build.server("s"), build.server("t")], 10.5),
+            self.tracker.reachable(
+                [build.server("s"), build.server("t")], 10.5
+            ),
             [build.server("t")],
         )
 
@@ -158,38 +160,40 @@
         All requests of that moment were sent to it, because none was held back
         while the first one was still waiting.
         """
-        self.book.unreachable(build.start("s"), 10.0)
-        after_s = 10.1 + server_book.AVOID_S
-        self.assertTrue(self.book.may_use(build.start("s"), after_s))
-        self.book.began(build.start("s"), after_s)
-        self.assertFalse(self.book.may_use(build.start("s"), after_s + 0.1))
-        self.book.unreachable(build.start("s"), after_s + 0.6)
-        longer_s = after_s + 0.6 + 1.9 * server_book.AVOID_S
-        self.assertFalse(self.book.may_use(build.start("s"), longer_s))
+        self.tracker.unreachable(build.start("s"), 10.0)
+        after_s = 10.1 + server_tracker.AVOID_S
+        self.assertTrue(self.tracker.may_use(build.start("s"), after_s))
+        self.tracker.began(build.start("s"), after_s)
+        self.assertFalse(self.tracker.may_use(build.start("s"), after_s + 0.1))
+        self.tracker.unreachable(build.start("s"), after_s + 0.6)
+        longer_s = after_s + 0.6 + 1.9 * server_tracker.AVOID_S
+        self.assertFalse(self.tracker.may_use(build.start("s"), longer_s))
 
     def test_an_answer_makes_a_server_usable_again(self) -> None:
-        self.book.lost(build.start("s"), 10.0)
-        self.book.unreachable(build.start("s"), 10.0)
-        self.book.succeeded(build.start("s"), 0.02)
-        self.assertFalse(self.book.is_suspected(build.start("s"), 10.1))
-        self.assertTrue(self.book.may_use(build.start("s"), 10.1))
+        self.tracker.connection_lost(build.start("s"), 10.0)
+        self.tracker.unreachable(build.start("s"), 10.0)
+        self.tracker.succeeded(build.start("s"), 0.02)
+        self.assertFalse(self.tracker.is_suspected(build.start("s"), 10.1))
+        self.assertTrue(self.tracker.may_use(build.start("s"), 10.1))
 
     def test_pace_is_relative_to_the_other_servers(self) -> None:
         servers = [build.server(name) for name in ("a", "b", "c")]
         for name, answer_s in (("a", 0.02), ("b", 0.02), ("c", 0.1)):
             for _ in range(30):
-                self.book.succeeded(build.start(name), answer_s)
-        candidates = self.book.candidates(servers, 0.0)
+                self.tracker.succeeded(build.start(name), answer_s)
+        candidates = self.tracker.candidates(servers, 0.0)
         by_name = {one.server.server_id: one.slowdown for one in candidates}
         self.assertAlmostEqual(by_name["a"], 1.0)
         self.assertAlmostEqual(by_name["c"], 5.0, delta=0.1)
 
     def test_servers_that_left_are_dropped_once_idle(self) -> None:
-        self.book.began(build.start("busy"), 0.0)
-        self.book.failed(build.start("idle"))
-        self.book.keep_only([])
-        self.assertEqual(self.book.own_in_flight_count(build.start("busy")), 1)
-        (idle,) = self.book.candidates([build.server("idle")], 0.0)
+        self.tracker.began(build.start("busy"), 0.0)
+        self.tracker.failed(build.start("idle"))
+        self.tracker.keep_only([])
+        self.assertEqual(
+            self.tracker.own_in_flight_count(build.start("busy")), 1
+        )
+        (idle,) = self.tracker.candidates([build.server("idle")], 0.0)
         self.assertEqual(idle.failure_share, 0.0)
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -179,10 +179,10 @@
     def __init__(self) -> None:
         self.is_reader = False
         self.reply: freshness_relay.Confirmation | None = None
-        self.asked_count = 0
+        self.max_asked_owners_count = 0
 
     def ask(self) -> freshness_relay.Confirmation | None:
-        self.asked_count += 1
+        self.max_asked_owners_count += 1
         return self.reply
 
 
@@ -225,7 +225,7 @@
         self.relay.reply = freshness_relay.Confirmation(1, 0.0)
         self.start()
         gevent.sleep(AGE_LIMIT_S / 2)
-        self.assertEqual(self.relay.asked_count, 0)
+        self.assertEqual(self.relay.max_asked_owners_count, 0)
         self.assertTrue(self.is_confirmed(0.5 * AGE_LIMIT_S))
 
 
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -6,11 +6,11 @@
 
 from mulberrywharf import clock, errors
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     engine_pool,
-    exchanges,
     generation,
-    server_book,
+    server_client,
+    server_tracker,
     time_limits,
 )
 from mulberrywharf.platform import requests
@@ -49,11 +49,11 @@
 
     gateways_count = 1
 
-    def hears_of(self, server: Any) -> bool:
+    def receives_notices_for(self, server: Any) -> bool:
         """Claims that notices of every engine reach this gateway."""
         return True
 
-    def add(self, *_: Any) -> None:
+    def add_placement(self, *_: Any) -> None:
         """Discards the placement."""
 
 
@@ -62,7 +62,7 @@
 
     planned_decode_ids: list[str]
 
-    def place(self, *args: Any, **options: Any) -> engine_account.Placed:
+    def place(self, *args: Any, **options: Any) -> engine_estimates.Placed:
         placed = super().place(*args, **options)
         self.planned_decode_ids.append(placed.plan.decode.server.server_id)
         return placed
@@ -73,9 +73,9 @@
 
     def setUp(self) -> None:
         self.clock = clock.SystemClock()
-        self.book = server_book.ServerBook("zone-a")
-        self.client = exchanges.ServerClient(
-            requests.ServerDialect(), self.book, self.clock
+        self.tracker = server_tracker.ServerTracker("zone-a")
+        self.client = server_client.ServerClient(
+            requests.ServerDialect(), self.tracker, self.clock
         )
         self.addCleanup(self.client.close)
         self.crashes = build.crashes_of(self.client)
@@ -95,20 +95,20 @@
             build.server(f"s{number}", one.address, role=role, slots_count=16)
             for number, (role, one) in enumerate(scripted)
         ]
-        account = engine_account.EngineAccount(
-            self.book, self.clock, NoNotices(), lambda _: 500_000
+        estimates = engine_estimates.EngineEstimates(
+            self.tracker, self.clock, NoNotices(), lambda _: 500_000
         )
         self.servers = StaticServers(*servers)
         self.planned_decode_ids: list[str] = []
         pool = _RecordingPool(
-            self.servers, self.book, account, self.clock, random.Random(1)
+            self.servers, self.tracker, estimates, self.clock, random.Random(1)
         )
         pool.planned_decode_ids = self.planned_decode_ids
         generations = generation.Generations(
-            generation.Parts(
+            generation.Dependencies(
                 pool,
-                account,
-                self.book,
+                estimates,
+                self.tracker,
                 self.client,
                 self.budget,
                 self.crashes,
@@ -146,7 +146,7 @@
     def test_events_pass_unchanged(self) -> None:
         engine = self.respond_with(HEAD + chunks(event(1), event(2) + event(3)))
         self.assertEqual(self.body(engine), event(1) + event(2) + event(3))
-        self.assertEqual(self.book.own_in_flight_count("s0"), 0)
+        self.assertEqual(self.tracker.own_in_flight_count("s0"), 0)
 
     def test_answer_head_comes_from_the_engine(self) -> None:
         answer = self.open(self.respond_with(HEAD + chunks(event(1))))
@@ -247,7 +247,7 @@
         answer.blocks.close()
         builders_engines.gevent.sleep(0.05)
         self.assertEqual(ended, [b""])
-        self.assertEqual(self.book.own_in_flight_count("s0"), 0)
+        self.assertEqual(self.tracker.own_in_flight_count("s0"), 0)
 
 
 class CrashTest(GenerationCase):
@@ -270,8 +270,8 @@
         healthy = self.respond_with(HEAD + chunks(event(1)))
         with self.assertRaises(errors.BackEndLostError) as caught:
             self.body(*engines)
-        asked_count = sum(bool(one[1].requests) for one in engines)
-        self.assertEqual(asked_count, 2)
+        max_asked_owners_count = sum(bool(one[1].requests) for one in engines)
+        self.assertEqual(max_asked_owners_count, 2)
         self.assertEqual(caught.exception.outcome, "unknown")
         with self.assertRaises(errors.CrashingRequestError) as refused:
             self.open(healthy, request_id="another")
@@ -415,7 +415,7 @@
         prefill = self.prefill()
         expiring_at_once = build.ENGINE._replace(handle_ttl_s=0.0)
         for engines in ((unreachable, decode), (decode, unreachable)):
-            self.book = server_book.ServerBook("zone-a")
+            self.tracker = server_tracker.ServerTracker("zone-a")
             self.body(
                 prefill,
                 *engines,
@@ -433,7 +433,7 @@
             self.prefill(b"HTTP/1.1 500 X\r\ncontent-length: 0\r\n\r\n"),
             ("prefill", self.serve(lambda sock, _: sock.close())),
         ):
-            self.book = server_book.ServerBook("zone-a")
+            self.tracker = server_tracker.ServerTracker("zone-a")
             decode = self.respond_with(HEAD + chunks(event(1)))
             body = self.body(
                 failing, decode, prompt=build.prompt(), kind=NOT_RESUMABLE
@@ -535,7 +535,7 @@
         decode = self.respond_with(HEAD + chunks(event(1)))
         prefill = self.prefill()
         for engines in ((unreachable, decode), (decode, unreachable)):
-            self.book = server_book.ServerBook("zone-a")
+            self.tracker = server_tracker.ServerTracker("zone-a")
             body = self.body(
                 prefill, *engines, prompt=build.prompt(), kind=NOT_RESUMABLE
             )
@@ -586,13 +586,13 @@
         within its target, but it was sent anyway.
         """
         engine = build.server("s0", role="decode")
-        account = engine_account.EngineAccount(
-            self.book, self.clock, NoNotices(), lambda _: 500_000
+        estimates = engine_estimates.EngineEstimates(
+            self.tracker, self.clock, NoNotices(), lambda _: 500_000
         )
         pool = engine_pool.EnginePool(
             StaticServers(engine),
-            self.book,
-            account,
+            self.tracker,
+            estimates,
             self.clock,
             random.Random(1),
         )
--- a/tests/test_key_value.py
+++ b/tests/test_key_value.py
@@ -318,7 +318,7 @@
             "/a",
             self.events.append,
             purpose="test",
-            patience=lambda: watch.Patience(0.5),
+            timeouts=lambda: watch.WatchTimeouts(0.5),
         )
         self.addCleanup(watched.close)
         watched.start()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 from result import Err
 
 from mulberrywharf import clock, fleet
-from mulberrywharf.peers import codec, datagrams, directory, notices
+from mulberrywharf.peers import datagrams, directory, notice_codec, notices
 from mulberrywharf.policy import load_estimates, part_caches
 from tests import builders_platform
 from tests import builders_routes as build
@@ -39,7 +39,7 @@
     def pick_gateway_per_other_zone(self) -> tuple[fleet.Address, ...]:
         return self.known
 
-    def hears_of(self, availability_zone: str) -> bool:
+    def receives_notices_for(self, availability_zone: str) -> bool:
         return availability_zone == ZONE
 
     def knows(self, ip: str) -> bool:
@@ -48,38 +48,42 @@
 
 class CodecTest(unittest.TestCase):
     def test_round_trip(self) -> None:
-        notice = codec.Notice(
+        notice = notice_codec.Notice(
             7,
             3,
             (
-                codec.Placement(1, 0.125, (_part(2**63),), 4_000),
-                codec.Placement(2, 0.25, (_part(1), _part(2), _part(3))),
-                codec.Placement(3, 0.5),
+                notice_codec.Placement(1, 0.125, (_part(2**63),), 4_000),
+                notice_codec.Placement(2, 0.25, (_part(1), _part(2), _part(3))),
+                notice_codec.Placement(3, 0.5),
             ),
-            codec.Seen(5, 2**40, is_reading=True),
-            (codec.Load(9, 14, 0.25),),
-            (codec.Demand(11, 1.5),),
+            notice_codec.SeenRevisions(5, 2**40, is_reading=True),
+            (notice_codec.Load(9, 14, 0.25),),
+            (notice_codec.Demand(11, 1.5),),
             (21, 22),
             13,
             (
-                codec.RoleLoad(11, True, load_estimates.Load(0.25, 0.75)),
-                codec.RoleLoad(11, False, load_estimates.Load(1.5, 0.0)),
+                notice_codec.RoleLoad(
+                    11, True, load_estimates.Load(0.25, 0.75)
+                ),
+                notice_codec.RoleLoad(11, False, load_estimates.Load(1.5, 0.0)),
             ),
         )
-        self.assertEqual(codec.decode(codec.encode(notice)).unwrap(), notice)
+        self.assertEqual(
+            notice_codec.decode(notice_codec.encode(notice)).unwrap(), notice
+        )
 
     def test_full_notice_fits_in_one_datagram(self) -> None:
         placements = tuple(
-            codec.Placement(
+            notice_codec.Placement(
                 n, 1.0, (_part(2**64 - 1 - n),) * parts_count, 60_000
             )
-            for n in range(codec.PLACEMENTS_LIMIT_COUNT)
+            for n in range(notice_codec.PLACEMENTS_LIMIT_COUNT)
             for parts_count in (1 + n % 4,)
         )
-        placements = codec.fitting(placements)
+        placements = notice_codec.fit_datagram(placements)
         self.assertGreater(len(placements), 10)
-        datagram = codec.encode(codec.Notice(1, 1, placements))
-        sealed = datagrams.seal(b"n", datagram)
+        datagram = notice_codec.encode(notice_codec.Notice(1, 1, placements))
+        sealed = datagrams.frame_datagram(b"n", datagram)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
     def test_damaged_datagrams_are_errors(self) -> None:
@@ -88,28 +92,28 @@
         If bytes are truncated or changed in transit, the library's reader may
         abort or raise an unexpected exception.
         """
-        whole = codec.encode(
-            codec.Notice(
-                7, 3, (codec.Placement(1, 0.1, (_part(5), _part(6)), 7),)
+        whole = notice_codec.encode(
+            notice_codec.Notice(
+                7, 3, (notice_codec.Placement(1, 0.1, (_part(5), _part(6)), 7),)
             )
         )
         for cut in range(0, len(whole), 3):
             damaged = whole[:cut]
-            self.assertIsInstance(codec.decode(damaged), Err, cut)
+            self.assertIsInstance(notice_codec.decode(damaged), Err, cut)
         for place in range(len(whole)):
             changed = bytearray(whole)
             changed[place] ^= 0xFF
-            codec.decode(bytes(changed))
+            notice_codec.decode(bytes(changed))
 
 
 class NoticesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.one_at = fleet.Address("127.0.0.1", self.free_port())
         self.two_at = fleet.Address("127.0.0.1", self.free_port())
-        self.received: list[codec.Placement] = []
+        self.received: list[notice_codec.Placement] = []
         self.one = self.start(self.one_at, KnownPeers(self.two_at))
         self.two = self.start(self.two_at, KnownPeers(self.one_at))
-        self.two.on_notice(
+        self.two.set_sources(
             lambda notice: self.received.extend(notice.placements)
         )
 
@@ -120,18 +124,20 @@
 
     def start(
         self, address: fleet.Address, peers: KnownPeers
-    ) -> notices.WorkNotices:
-        made = notices.WorkNotices(address, peers, 1, ZONE, clock.SystemClock())
+    ) -> notices.NoticeExchange:
+        made = notices.NoticeExchange(
+            address, peers, 1, ZONE, clock.SystemClock()
+        )
         made.start()
         self.addCleanup(made.close)
         return made
 
     def test_placement_is_sent_at_once(self) -> None:
-        self.one.add(ENGINE, 0.1, (PART,), 3_000)
+        self.one.add_placement(ENGINE, 0.1, (PART,), 3_000)
         builders_platform.wait_until(lambda: self.received, limit_s=1.0)
         (placement,) = self.received
         self.assertEqual(
-            placement.engine_key, codec.key_of_server(ENGINE.start)
+            placement.engine_key, notice_codec.hash_server_start(ENGINE.start)
         )
         self.assertEqual(placement.parts, (PART,))
         self.assertAlmostEqual(placement.work_s, 0.1)
@@ -139,34 +145,36 @@
 
     def test_simultaneous_placements_are_merged(self) -> None:
         for _ in range(3):
-            self.one.add(ENGINE, 0.1, (PART,), 1_000)
+            self.one.add_placement(ENGINE, 0.1, (PART,), 1_000)
         builders_platform.wait_until(lambda: self.received, limit_s=1.0)
         (placement,) = self.received
         self.assertAlmostEqual(placement.work_s, 0.3, places=5)
         self.assertEqual(placement.own_tokens, 3_000)
 
     def test_work_in_another_zone_is_sent_only_there(self) -> None:
-        self.one.add(
+        self.one.add_placement(
             ENGINE._replace(availability_zone="zone-b"), 0.1, (PART,), 1
         )
-        self.one.add(
+        self.one.add_placement(
             ENGINE._replace(start=build.start("near")), 0.1, (PART,), 1
         )
         builders_platform.wait_until(lambda: self.received, limit_s=1.0)
         gevent.sleep(0.05)
         (placement,) = self.received
-        self.assertEqual(placement.engine_key, codec.key_of("near"))
+        self.assertEqual(placement.engine_key, notice_codec.hash_name("near"))
 
     def test_role_loads_are_sent_to_other_zones(self) -> None:
-        role_loads = (codec.RoleLoad(3, True, load_estimates.Load(0.5, 0.25)),)
-        received: list[codec.Notice] = []
-        self.two.on_notice(received.append)
-        self.one.on_notice(lambda _: None, role_loads=lambda: role_loads)
+        role_loads = (
+            notice_codec.RoleLoad(3, True, load_estimates.Load(0.5, 0.25)),
+        )
+        received: list[notice_codec.Notice] = []
+        self.two.set_sources(received.append)
+        self.one.set_sources(lambda _: None, role_loads=lambda: role_loads)
         builders_platform.wait_until(
             lambda: received, limit_s=2 * notices.ZONE_LOADS_INTERVAL_S
         )
         self.assertEqual(received[0].role_loads, role_loads)
-        self.assertEqual(received[0].zone_key, codec.key_of(ZONE))
+        self.assertEqual(received[0].zone_key, notice_codec.hash_name(ZONE))
 
     def test_unknown_senders_are_ignored(self) -> None:
         """Guards against a foreign host that makes engines look busy.
@@ -174,7 +182,7 @@
         Every datagram that reached the port was accepted, also from addresses
         outside the directory.
         """
-        unknown = notices.WorkNotices(
+        unknown = notices.NoticeExchange(
             fleet.Address("127.0.0.2", self.free_port()),
             KnownPeers(self.two_at),
             9,
@@ -183,7 +191,7 @@
         )
         unknown.start()
         self.addCleanup(unknown.close)
-        unknown.add(ENGINE, 5.0, (PART,), 1)
+        unknown.add_placement(ENGINE, 5.0, (PART,), 1)
         gevent.sleep(0.05)
         self.assertEqual(self.received, [])
 
@@ -195,7 +203,7 @@
         """
         sent_before = datagrams.SENT_BURST_BYTES
         for _ in range(2_000):
-            self.one.add(ENGINE, 0.1, (PART,), 1)
+            self.one.add_placement(ENGINE, 0.1, (PART,), 1)
             gevent.sleep(0.0005)
         self.assertLess(len(self.received) * 100, 2 * sent_before)
 
@@ -273,11 +281,11 @@
             lambda: one.gateways_count == directory.FULL_MESH_LIMIT_COUNT + 11
         )
         self.assertEqual(len(one.addresses(ZONE)), 5)
-        self.assertTrue(one.hears_of(ZONE))
+        self.assertTrue(one.receives_notices_for(ZONE))
         self.assertEqual(
             len(one.addresses("zone-b")), directory.FULL_MESH_LIMIT_COUNT + 5
         )
-        self.assertFalse(one.hears_of("zone-b"))
+        self.assertFalse(one.receives_notices_for("zone-b"))
         (neighbour,) = one.pick_gateway_per_other_zone()
         self.assertIn(neighbour, one.addresses("zone-b"))
 
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from mulberrywharf import clock, errors
-from mulberrywharf.forwarding import exchanges, plain_call, server_book
+from mulberrywharf.forwarding import plain_call, server_client, server_tracker
 from mulberrywharf.platform import requests
 from mulberrywharf.policy import repeat_budget
 from mulberrywharf.routes import kinds
@@ -53,9 +53,9 @@
 
     def setUp(self) -> None:
         self.clock = clock.SystemClock()
-        self.book = server_book.ServerBook("zone-a")
-        self.client = exchanges.ServerClient(
-            requests.ServerDialect(), self.book, self.clock
+        self.tracker = server_tracker.ServerTracker("zone-a")
+        self.client = server_client.ServerClient(
+            requests.ServerDialect(), self.tracker, self.clock
         )
         self.addCleanup(self.client.close)
         self.crashes = build.crashes_of(self.client)
@@ -75,9 +75,9 @@
             for number, one in enumerate(scripted, self.first_server)
         ]
         calls = plain_call.PlainCalls(
-            plain_call.Parts(
+            plain_call.Dependencies(
                 StaticServers(*servers),
-                self.book,
+                self.tracker,
                 self.client,
                 self.budget,
                 self.crashes,
@@ -156,7 +156,7 @@
         broken = self.respond_with(answer(b"broken", b"500 Broken"))
         healthy = self.respond_with(answer())
         self.assertEqual(self.call(broken, healthy).body, b"fine")
-        self.book.succeeded("s0", 0.001)
+        self.tracker.succeeded("s0", 0.001)
         got = self.call(broken, kind=kinds.AtMostOnce())
         self.assertEqual(got.head.status, 500)
 
--- a/tests/test_queue_owners.py
+++ b/tests/test_queue_owners.py
@@ -10,9 +10,9 @@
 
 from mulberrywharf import clock, fleet
 from mulberrywharf.peers import (
-    codec,
     datagrams,
     directory,
+    notice_codec,
     queue_codec,
     queue_owners,
 )
@@ -26,17 +26,17 @@
 OTHER = build.server("engine-2", role="prefill")
 PART = part_caches.HeldPart(2**64 - 1, 4_870)
 MESSAGES = (
-    queue_codec.Ask(7, 2, (2**32 - 1, 3)),
+    queue_codec.WaitQuery(7, 2, (2**32 - 1, 3)),
     queue_codec.Waits(7, (queue_codec.EngineWait(3, 0.25, 60.0),)),
     queue_codec.Waits(8, ()),
-    queue_codec.Ask(7, 2, (3,), (2**64 - 1, 5)),
+    queue_codec.WaitQuery(7, 2, (3,), (2**64 - 1, 5)),
     queue_codec.Waits(7, (queue_codec.EngineWait(3, 0.25, 60.0, 2),)),
-    queue_codec.Work(3, 2**32 - 1, 9, "placed", 2, 0.125),
-    queue_codec.Work(
+    queue_codec.PromptUpdate(3, 2**32 - 1, 9, "placed", 2, 0.125),
+    queue_codec.PromptUpdate(
         3, 1, 9, "placed", 2, 0.125, (PART, part_caches.HeldPart(5, 1)), 700
     ),
-    queue_codec.Work(3, 1, 9, "read"),
-    queue_codec.Work(3, 1, 9, "withdrawn"),
+    queue_codec.PromptUpdate(3, 1, 9, "read"),
+    queue_codec.PromptUpdate(3, 1, 9, "withdrawn"),
 )
 
 
@@ -76,19 +76,19 @@
 
 
 class Peers:
-    """Gateways with given IPs; ``queue_owner`` owns all queues."""
+    """Gateways with given IPs; ``owner_address`` owns all queues."""
 
-    tells_all = False
+    is_full_mesh = False
 
     def __init__(self) -> None:
-        self.queue_owner: fleet.Address | None = None
+        self.owner_address: fleet.Address | None = None
         self.known_ips = {"127.0.0.1"}
 
     def knows(self, ip: str) -> bool:
         return ip in self.known_ips
 
-    def owner(self, *_: object) -> fleet.Address | None:
-        return self.queue_owner
+    def queue_owner(self, *_: object) -> fleet.Address | None:
+        return self.owner_address
 
 
 class Parts:
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self.counted: list[tuple[object, ...]] = []
 
-    def note_counted(self, *counted: object) -> None:
+    def record_remote_prompt(self, *counted: object) -> None:
         self.counted.append(counted)
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
@@ -109,7 +109,7 @@
         self.peers = Peers()
         self.owner_at = self.free_address()
         self.owner = self.start(self.owner_at, Peers(), 1)
-        self.peers.queue_owner = self.owner_at
+        self.peers.owner_address = self.owner_at
         self.asker_at = self.free_address()
         self.asker = self.start(self.asker_at, self.peers, 2)
 
@@ -130,7 +130,7 @@
 
     def waits(
         self, asker: queue_owners.QueueOwners | None = None
-    ) -> Mapping[fleet.ServerStart, queue_owners.ToldWait]:
+    ) -> Mapping[fleet.ServerStart, queue_owners.ReportedWait]:
         return (asker or self.asker).waits([ENGINE, OTHER], 2)
 
     def wait_s(self, asker: queue_owners.QueueOwners | None = None) -> float:
@@ -152,7 +152,7 @@
         a queue of a few tenths of a second exists.
         """
         third = self.start(self.free_address(), self.peers, 3)
-        self.asker.placed(ENGINE, 0.4, 2)
+        self.asker.report_placed(ENGINE, 0.4, 2)
         self.assertTrue(
             builders_platform.wait_until(lambda: self.wait_s(third) > 0.1)
         )
@@ -162,13 +162,13 @@
         self.assertEqual(self.waits()[OTHER.start].wait_s, 0.0)
 
     def test_read_and_withdrawn_prompts_are_no_longer_counted(self) -> None:
-        for end in (self.asker.read, self.asker.withdrawn):
+        for end in (self.asker.report_prefilled, self.asker.report_withdrawn):
             with self.subTest(end=end.__name__):
-                ticket = self.asker.placed(ENGINE, 0.4, 2)
+                placement_id = self.asker.report_placed(ENGINE, 0.4, 2)
                 self.assertTrue(
                     builders_platform.wait_until(lambda: self.wait_s() > 0.1)
                 )
-                end(ticket)
+                end(placement_id)
                 self.assertTrue(
                     builders_platform.wait_until(lambda: self.wait_s() == 0.0)
                 )
@@ -181,9 +181,9 @@
         seconds for the byte budget in a large fleet.
         """
         recorded = Parts()
-        self.owner.keep_parts(recorded)
-        self.asker.placed(ENGINE, 0.4, 2, (PART,), 700)
-        key = codec.key_of_server(ENGINE.start)
+        self.owner.set_parts(recorded)
+        self.asker.report_placed(ENGINE, 0.4, 2, (PART,), 700)
+        key = notice_codec.hash_server_start(ENGINE.start)
         self.assertTrue(builders_platform.wait_until(lambda: recorded.counted))
         self.assertEqual(recorded.counted, [(key, (PART,), 700)])
         wait = self.asker.waits([ENGINE], 2, (1, 2))[ENGINE.start]
@@ -196,7 +196,7 @@
         No other gateway answers for the engine, so the asking gateway must use
         its own estimate after a short timeout.
         """
-        self.peers.queue_owner = self.free_address()
+        self.peers.owner_address = self.free_address()
         began_s = clock.SystemClock().monotonic_s()
         self.assertEqual(self.waits(), {})
         took_s = clock.SystemClock().monotonic_s() - began_s
@@ -212,16 +212,16 @@
         self.assertTrue(
             builders_platform.wait_until(lambda: ENGINE.start in self.waits())
         )
-        self.assertFalse(self.waits()[ENGINE.start].is_whole)
-        self.assertTrue(builders_platform.wait_until(self.is_whole))
+        self.assertFalse(self.waits()[ENGINE.start].is_complete)
+        self.assertTrue(builders_platform.wait_until(self.is_complete))
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         wait = self.waits().get(ENGINE.start)
-        return wait is not None and wait.is_whole
+        return wait is not None and wait.is_complete
 
     def test_owner_counts_its_own_placements_without_messages(self) -> None:
-        self.peers.queue_owner = None
-        self.asker.placed(ENGINE, 0.4, 2)
+        self.peers.owner_address = None
+        self.asker.report_placed(ENGINE, 0.4, 2)
         self.assertGreater(self.wait_s(), 0.2)
 
     def test_unknown_senders_are_ignored(self) -> None:
@@ -229,7 +229,7 @@
         self.owner_peers.known_ips = set()
         other_owner_at = self.free_address()
         self.start(other_owner_at, self.owner_peers, 4)
-        self.peers.queue_owner = other_owner_at
+        self.peers.owner_address = other_owner_at
         self.assertEqual(self.waits(), {})
 
     def test_late_answers_and_those_of_other_gateways_are_dropped(self) -> None:
@@ -240,16 +240,18 @@
         their number.
         """
         silent = self.free_address()
-        self.peers.queue_owner = silent
+        self.peers.owner_address = silent
         asking = gevent.spawn(self.waits)
         gevent.sleep(0.001)
         wait = queue_codec.EngineWait(
-            codec.key_of_server(ENGINE.start), 0.0, 60.0
+            notice_codec.hash_server_start(ENGINE.start), 0.0, 60.0
         )
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             for number in range(1, 50):
                 answer = queue_codec.encode(queue_codec.Waits(number, (wait,)))
-                sock.sendto(datagrams.seal(b"q", answer), tuple(self.asker_at))
+                sock.sendto(
+                    datagrams.frame_datagram(b"q", answer), tuple(self.asker_at)
+                )
             self.assertEqual(asking.get(), {})
 
     def test_damaged_datagrams_do_not_abort_the_process(self) -> None:
@@ -263,7 +265,7 @@
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.sendto(b"q" + ABORTING_DATAGRAM, tuple(self.owner_at))
             for number in range(3_000):
-                sealed = datagrams.seal(
+                sealed = datagrams.frame_datagram(
                     b"q", queue_codec.encode(MESSAGES[number % len(MESSAGES)])
                 )
                 damaged = bytearray(sealed)
@@ -280,8 +282,10 @@
     def test_number_of_queues_is_bounded(self) -> None:
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             for first in range(0, 3 * queue_owners.QUEUES_LIMIT_COUNT, 16):
-                ask = queue_codec.Ask(1, 0, tuple(range(first, first + 16)))
-                sealed = datagrams.seal(b"q", queue_codec.encode(ask))
+                ask = queue_codec.WaitQuery(
+                    1, 0, tuple(range(first, first + 16))
+                )
+                sealed = datagrams.frame_datagram(b"q", queue_codec.encode(ask))
                 sock.sendto(sealed, tuple(self.owner_at))
                 gevent.sleep(0)
         self.assert_answers()
@@ -303,7 +307,7 @@
             zone,
             "1",
         )
-        made._take(
+        made._update_peers(
             [
                 key_value.KeyValue(
                     f"{directory.KEY_PREFIX}{one}/1",
@@ -322,7 +326,7 @@
             found = set()
             for vm_id in vm_ids:
                 known = self.directory_of(vm_id, vm_id[:1], *vm_ids)
-                owner = known.owner(key, "a", 3, "prefill")
+                owner = known.queue_owner(key, "a", 3, "prefill")
                 own = fleet.Address(f"10.0.0.{vm_ids.index(vm_id) + 1}", 7)
                 found.add(owner or own)
             (owner,) = found
@@ -330,14 +334,18 @@
 
     def test_a_few_gateways_own_all_queues_of_a_kind(self) -> None:
         known = self.directory_of("b0", "b", *(f"a{n}" for n in range(20)))
-        owners = {known.owner(key, "a", 4, "prefill") for key in range(200)}
+        owners = {
+            known.queue_owner(key, "a", 4, "prefill") for key in range(200)
+        }
         self.assertEqual(len(owners), 4)
-        others = {known.owner(key, "a", 4, "decode") for key in range(200)}
+        others = {
+            known.queue_owner(key, "a", 4, "decode") for key in range(200)
+        }
         self.assertNotEqual(owners, others)
 
     def test_zone_without_gateways_has_no_owner(self) -> None:
         known = self.directory_of("b0", "b", "b1")
-        self.assertIsNone(known.owner(1, "a", 3, "prefill"))
+        self.assertIsNone(known.queue_owner(1, "a", 3, "prefill"))
 
 
 if __name__ == "__main__":
--- a/tests/test_store_news.py
+++ b/tests/test_revision_exchange.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from mulberrywharf.peers import codec, store_news
+from mulberrywharf.peers import notice_codec, revision_exchange
 from mulberrywharf.platform import documents
 from mulberrywharf.platform_service import http_calls, watch
 from mulberrywharf.routes import follower
@@ -14,7 +14,7 @@
 from tests import builders_platform
 from tests import builders_routes as build
 
-_AFTER_REOPEN_DELAY_S = store_news.PATIENCE_S + 0.1
+_AFTER_REOPEN_DELAY_S = revision_exchange.REOPEN_DELAY_S + 0.1
 
 
 class _Watch:
@@ -24,21 +24,21 @@
         self.age_s = 0.5
         self.reopenings_count = 0
 
-    def hurry(self) -> None:
+    def reopen_if_waiting(self) -> None:
         self.reopenings_count += 1
 
 
 class _Notices:
     def __init__(self) -> None:
-        self.told_at_s = float("-inf")
+        self.last_sent_s = float("-inf")
         self.is_registered = True
         self.is_reader = False
         self.sent_count = 0
 
-    def tell_seen(self, seen: object, on_seen: object) -> None:
+    def set_seen_callbacks(self, seen: object, on_seen: object) -> None:
         """Ignores both callbacks; the tests call them directly."""
 
-    def tell_now(self) -> None:
+    def send_now(self) -> None:
         self.sent_count += 1
 
 
@@ -47,7 +47,7 @@
         self.routes = _Watch(changed=7, seen=9)
         self.servers = _Watch(changed=8, seen=9)
         self.notices = _Notices()
-        self.news = store_news.StoreNews(
+        self.news = revision_exchange.RevisionExchange(
             self.notices,
             lambda: {
                 "routes_revision": self.routes,
@@ -56,7 +56,9 @@
         )
 
     def test_seen_contains_the_changed_revisions(self) -> None:
-        self.assertEqual(self.news.seen(), codec.Seen(7, 8, is_reading=True))
+        self.assertEqual(
+            self.news.seen(), notice_codec.SeenRevisions(7, 8, is_reading=True)
+        )
 
     def test_watch_that_stays_behind_is_reopened(self) -> None:
         """Guards against a gateway that serves old routes for seconds.
@@ -66,36 +68,36 @@
         ended.
         """
         for _ in range(3):
-            self.news.on_seen(codec.Seen(12, 8))
+            self.news.on_seen(notice_codec.SeenRevisions(12, 8))
         gevent.sleep(_AFTER_REOPEN_DELAY_S)
         self.assertEqual(self.routes.reopenings_count, 1)
         self.assertEqual(self.servers.reopenings_count, 0)
 
     def test_watch_that_was_just_reopened_is_not_reopened(self) -> None:
         for _ in range(3):
-            self.news.on_seen(codec.Seen(12, 8))
+            self.news.on_seen(notice_codec.SeenRevisions(12, 8))
             gevent.sleep(_AFTER_REOPEN_DELAY_S)
         self.assertEqual(self.routes.reopenings_count, 1)
 
     def test_watch_that_delivers_the_change_late_is_not_reopened(self) -> None:
-        self.news.on_seen(codec.Seen(12, 8))
+        self.news.on_seen(notice_codec.SeenRevisions(12, 8))
         self.routes.seen_revision = 12
         gevent.sleep(_AFTER_REOPEN_DELAY_S)
         self.assertEqual(self.routes.reopenings_count, 0)
 
     def test_older_revisions_are_ignored(self) -> None:
-        self.news.on_seen(codec.Seen(9, 3))
+        self.news.on_seen(notice_codec.SeenRevisions(9, 3))
         gevent.sleep(_AFTER_REOPEN_DELAY_S)
         self.assertEqual(self.routes.reopenings_count, 0)
 
     def test_change_is_sent_unless_enough_peers_did(self) -> None:
-        latest_s = store_news.NOTICE_DELAY_RANGE_S[1] + 0.05
+        latest_s = revision_exchange.NOTICE_DELAY_RANGE_S[1] + 0.05
         self.news.on_change()
         gevent.sleep(latest_s)
         self.assertEqual(self.notices.sent_count, 1)
         self.news.on_change()
-        for _ in range(store_news.SUFFICIENT_NOTICES_COUNT):
-            self.news.on_seen(codec.Seen(7, 8))
+        for _ in range(revision_exchange.SUFFICIENT_NOTICES_COUNT):
+            self.news.on_seen(notice_codec.SeenRevisions(7, 8))
         gevent.sleep(latest_s)
         self.assertEqual(self.notices.sent_count, 1)
 
@@ -105,9 +107,11 @@
         If each gateway of a fleet of 18 reopens its two watches every few
         seconds, this takes three quarters of what the fleet pays for calls.
         """
-        self.assertEqual(self.news.patience(), watch.BRIEF)
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
         self.receive_reader_heartbeat()
-        self.assertEqual(self.news.patience(), store_news.LONG)
+        self.assertEqual(
+            self.news.watch_timeouts(), revision_exchange.LONG_TIMEOUTS
+        )
         self.assertEqual(self.reopenings_counts(), [0, 0])
 
     def test_watches_are_reopened_when_no_reader_is_active(self) -> None:
@@ -118,11 +122,11 @@
         waiting as if a reader were active.
         """
         self.receive_reader_heartbeat()
-        self.news._reader_heard_at_s -= store_news.READER_TIMEOUT_S
-        self.news._look()
-        self.assertEqual(self.news.patience(), watch.BRIEF)
+        self.news._reader_heard_at_s -= revision_exchange.READER_TIMEOUT_S
+        self.news._check_readers()
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
         self.assertEqual(self.reopenings_counts(), [1, 1])
-        self.news._look()
+        self.news._check_readers()
         self.assertEqual(self.reopenings_counts(), [1, 1])
 
     def test_peer_that_is_not_reading_is_no_active_reader(self) -> None:
@@ -131,23 +135,23 @@
         The service rejects the readers, which still send notices of their
         placements. Every notice counted as a sign that its sender was reading.
         """
-        self.news.on_seen(codec.Seen(7, 8))
-        self.news._look()
-        self.assertEqual(self.news.patience(), watch.BRIEF)
+        self.news.on_seen(notice_codec.SeenRevisions(7, 8))
+        self.news._check_readers()
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
 
     def test_unregistered_gateway_does_not_rely_on_readers(self) -> None:
         self.receive_reader_heartbeat()
         self.notices.is_registered = False
-        self.news._look()
-        self.assertEqual(self.news.patience(), watch.BRIEF)
+        self.news._check_readers()
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
 
     def test_reader_waits_briefly_and_sends_heartbeats(self) -> None:
         self.notices.is_reader = True
         self.receive_reader_heartbeat()
-        self.assertEqual(self.news.patience(), watch.BRIEF)
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
         self.assertEqual(self.notices.sent_count, 1)
-        self.notices.told_at_s = time.monotonic()
-        self.news._look()
+        self.notices.last_sent_s = time.monotonic()
+        self.news._check_readers()
         self.assertEqual(self.notices.sent_count, 1)
 
     def test_reader_without_answers_sends_no_heartbeat(self) -> None:
@@ -157,8 +161,8 @@
         heartbeats because of their role, not because they received answers.
         """
         self.notices.is_reader = True
-        self.routes.age_s = store_news.READING_AGE_S + 0.1
-        self.news._look()
+        self.routes.age_s = revision_exchange.READING_AGE_S + 0.1
+        self.news._check_readers()
         self.assertEqual(self.notices.sent_count, 0)
         self.assertFalse(self.news.seen().is_reading)
 
@@ -174,8 +178,8 @@
         self.assertFalse(self.news.seen().is_reading)
 
     def receive_reader_heartbeat(self) -> None:
-        self.news.on_seen(codec.Seen(7, 8, is_reading=True))
-        self.news._look()
+        self.news.on_seen(notice_codec.SeenRevisions(7, 8, is_reading=True))
+        self.news._check_readers()
 
     def reopenings_counts(self) -> list[int]:
         return [one.reopenings_count for one in (self.routes, self.servers)]
@@ -190,7 +194,7 @@
         and peers report the change meanwhile. The watch was taken for dropped
         and reopened, and each time the transfer started again.
         """
-        routes = self.follow(watch.Patience(30.0, 30.0))
+        routes = self.follow(watch.WatchTimeouts(30.0, 30.0))
         builders_platform.wait_until(lambda: False, limit_s=0.4)
         self.store.faults = {"pause_in_body_s": 0.6}
         self.put(4)
@@ -199,7 +203,7 @@
         for _ in range(4):
             gevent.sleep(0.2)
             calls_count = len(self.store.calls)
-            watched.hurry()
+            watched.reopen_if_waiting()
         arrived = builders_platform.wait_until(
             lambda: _version(routes) == 4, limit_s=0.6
         )
@@ -216,12 +220,12 @@
         value = build.routes_value(version=version)
         self.store.put(documents.ROUTES_KEY, value)
 
-    def follow(self, patience: watch.Patience) -> follower.RouteFollower:
+    def follow(self, timeouts: watch.WatchTimeouts) -> follower.RouteFollower:
         """Returns a started follower that has received the routes."""
         client = build.store_client(self.store.port, wait_s=30.0)
         self.addCleanup(client.close)
         routes = follower.RouteFollower(
-            client, documents.StoredDocuments(), patience=lambda: patience
+            client, documents.StoredDocuments(), timeouts=lambda: timeouts
         )
         routes.start()
         self.addCleanup(routes.close)
@@ -233,7 +237,7 @@
         watched = routes.watched()
         assert watched is not None
         self.assertLess(watched.seen_revision, self.store.store.revision)
-        watched.hurry()
+        watched.reopen_if_waiting()
         arrived = builders_platform.wait_until(
             lambda: _version(routes) == 4, limit_s=1.5
         )
@@ -251,7 +255,7 @@
         with mock.patch.object(
             http_calls, "full_jitter_s", lambda count, **_: 30.0 * count
         ):
-            routes = self.follow(watch.Patience(0.3, 30.0))
+            routes = self.follow(watch.WatchTimeouts(0.3, 30.0))
             self.store.faults = {"down": True}
             before = len(self.store.calls)
             builders_platform.wait_until(
@@ -268,7 +272,7 @@
         The service drops a waiting watch, and a change is made. Only the end of
         the watch caused it to be reopened.
         """
-        routes = self.follow(watch.Patience(30.0, 30.0))
+        routes = self.follow(watch.WatchTimeouts(30.0, 30.0))
         builders_platform.wait_until(lambda: False, limit_s=0.4)
         self.store.hang_watches()
         self.put(4)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -170,7 +170,7 @@
 
         self.assertTrue(
             builders_platform.wait_until(
-                is_new, limit_s=watch.BRIEF_REOPEN_S + 1.0
+                is_new, limit_s=watch.SHORT_SILENCE_TIMEOUT_S + 1.0
             )
         )
 
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Guards against an older record that makes a leaving server usable."""
         first = fleet.ServerStart("i-1")
-        self.list.says_it_leaves(first)
+        self.list.mark_leaving(first)
         self.assertEqual(self.list.usable("plain"), ())
         self.store.put(KEY, build.server_value(sequence=2))
         self.assertFalse(self.wait_usable(1, limit_s=0.5))
@@ -54,17 +54,17 @@
                 lambda: [one.start for one in self.list.all()] == [first]
             )
         )
-        self.list.says_it_leaves(first)
+        self.list.mark_leaving(first)
         self.store.put(KEY, build.server_value(born=200))
         self.assertTrue(self.wait_usable(1))
         # A late message of the earlier start doesn't affect the new one.
-        self.list.says_it_leaves(first)
+        self.list.mark_leaving(first)
         self.assertEqual(len(self.list.usable("plain")), 1)
 
     def test_a_server_without_start_is_used_after_registering_again(
         self,
     ) -> None:
-        self.list.says_it_leaves(fleet.ServerStart("i-1"))
+        self.list.mark_leaving(fleet.ServerStart("i-1"))
         self.store.delete(KEY)
         self.assertTrue(
             builders_platform.wait_until(lambda: not self.list.all())
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -10,13 +10,13 @@
 
 from mulberrywharf import clock, fleet
 from mulberrywharf.forwarding import (
-    engine_account,
+    engine_estimates,
     prompt_parts,
     request,
-    server_book,
+    server_tracker,
     servers,
 )
-from mulberrywharf.peers import codec
+from mulberrywharf.peers import notice_codec
 from mulberrywharf.platform import documents
 from mulberrywharf.policy import part_caches
 from tests import builders_platform
@@ -32,10 +32,10 @@
 class _Notices:
     gateways_count = 9
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         return True
 
-    def add(self, *_: object) -> None:
+    def add_placement(self, *_: object) -> None:
         """Sends no notice."""
 
 
@@ -46,11 +46,11 @@
         self.addCleanup(client.close)
         self.list = servers.ServerList(client, documents.StoredDocuments())
         self.clock = clock.SystemClock()
-        self.book = server_book.ServerBook("zone-a")
-        self.account = engine_account.EngineAccount(
-            self.book, self.clock, _Notices(), lambda _: MEMORY_TOKENS
+        self.tracker = server_tracker.ServerTracker("zone-a")
+        self.estimates = engine_estimates.EngineEstimates(
+            self.tracker, self.clock, _Notices(), lambda _: MEMORY_TOKENS
         )
-        self.list.on_change(lambda: self.account.follow(self.list.all()))
+        self.list.on_change(lambda: self.estimates.set_engines(self.list.all()))
         self.write(born=FIRST)
         self.list.start()
         self.addCleanup(self.list.close)
@@ -77,10 +77,10 @@
         parts = prompt_parts.chain_of(build.prompt())
         held = tuple(part.held for part in parts)
         server = self.list.usable("plain")[0]
-        placement = codec.Placement(
-            codec.key_of_server(server.start), 5.0, held, 3_000
+        placement = notice_codec.Placement(
+            notice_codec.hash_server_start(server.start), 5.0, held, 3_000
         )
-        self.account.on_notice(codec.Notice(1, 1, (placement,)))
+        self.estimates.on_notice(notice_codec.Notice(1, 1, (placement,)))
         return parts
 
     def test_a_restarted_engine_has_an_empty_cache_and_queue(self) -> None:
@@ -89,11 +89,11 @@
             with self.subTest(born=born):
                 parts = self.announce_prefill()
                 before = self.list.usable("plain")[0]
-                view = self.account.view(before, parts, 1.0)
+                view = self.estimates.view(before, parts, 1.0)
                 self.assertGreater(view.cached_tokens, 0)
                 self.assertGreater(view.wait_s, 1.0)
                 after = self.restart(born)
-                view = self.account.view(after, parts, 1.0)
+                view = self.estimates.view(after, parts, 1.0)
                 self.assertEqual(view.cached_tokens, 0)
                 self.assertLess(view.wait_s, 1.0)
 
@@ -101,31 +101,35 @@
         """Guards against blaming a server for failures of its earlier start."""
         before = self.list.usable("plain")[0]
         now_s = self.clock.monotonic_s()
-        self.book.unreachable(before.start, now_s)
-        self.book.reported(before.start, request.ReportedLoad(6, 9, 6), now_s)
+        self.tracker.unreachable(before.start, now_s)
+        self.tracker.reported(
+            before.start, request.ReportedLoad(6, 9, 6), now_s
+        )
         after = self.restart(LATER)
-        self.assertTrue(self.book.may_use(after.start, now_s))
+        self.assertTrue(self.tracker.may_use(after.start, now_s))
         self.assertEqual(
-            self.book.others_in_flight_count(after.start, now_s), 0.0
+            self.tracker.others_in_flight_count(after.start, now_s), 0.0
         )
 
     def test_requests_of_the_earlier_start_are_not_counted(self) -> None:
         """Guards against counting streams that broke off in the restart."""
         before = self.list.usable("plain")[0]
-        self.book.began(before.start, 0.0)
+        self.tracker.began(before.start, 0.0)
         after = self.restart(LATER)
-        self.book.keep_only([after.start])
-        self.assertEqual(self.book.own_in_flight_count(after.start), 0)
-        self.book.ended(before.start)
-        self.assertEqual(self.book.own_in_flight_count(after.start), 0)
+        self.tracker.keep_only([after.start])
+        self.assertEqual(self.tracker.own_in_flight_count(after.start), 0)
+        self.tracker.ended(before.start)
+        self.assertEqual(self.tracker.own_in_flight_count(after.start), 0)
 
     def test_late_notices_about_the_earlier_start_are_ignored(self) -> None:
         """A peer's notice about the earlier start arrives after the restart."""
         before = self.list.usable("plain")[0]
         after = self.restart(LATER)
-        old = codec.Load(codec.key_of_server(before.start), 9, 0.1)
-        self.account.on_notice(codec.Notice(1, 1, (), loads=(old,)))
-        view = self.account.view(after, (), 1.0)
+        old = notice_codec.Load(
+            notice_codec.hash_server_start(before.start), 9, 0.1
+        )
+        self.estimates.on_notice(notice_codec.Notice(1, 1, (), loads=(old,)))
+        view = self.estimates.view(after, (), 1.0)
         self.assertEqual(view.running_share, 0.0)
 
     def test_late_records_of_the_earlier_start_are_ignored(self) -> None:
@@ -154,11 +158,11 @@
         """Until its record shows the new start, its state is unknown."""
         before = self.list.usable("plain")[0].start
         later = before._replace(started_unix_ms=LATER)
-        self.list.superseded(before, later)
+        self.list.mark_restarted(before, later)
         self.assertEqual(self.usable(), [])
         self.write(born=FIRST)
         self.restart(LATER)
-        self.list.superseded(before, later)
+        self.list.mark_restarted(before, later)
         self.assertEqual(self.usable(), [LATER])
 
     def test_a_late_report_of_an_ended_start_is_ignored(self) -> None:
@@ -169,7 +173,7 @@
         """
         before = self.list.usable("plain")[0].start
         after = self.restart(LATER)
-        self.list.superseded(after.start, before)
+        self.list.mark_restarted(after.start, before)
         self.assertEqual(self.usable(), [LATER])
 
     def test_a_record_without_start_is_not_used_if_others_have_one(
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from mulberrywharf import clock, fleet
-from mulberrywharf.peers import directory, notices, store_news
+from mulberrywharf.peers import directory, notices, revision_exchange
 from mulberrywharf.platform import documents
 from mulberrywharf.platform_service import watch
 from mulberrywharf.routes import follower
@@ -38,19 +38,21 @@
         self.peers = directory.PeerDirectory(
             self.client, f"vm-{number}", self.address, ZONE, "boot"
         )
-        self.notices = notices.WorkNotices(
+        self.notices = notices.NoticeExchange(
             self.address, self.peers, number, ZONE, clock.SystemClock()
         )
-        self.news = store_news.StoreNews(self.notices, self._watches)
+        self.news = revision_exchange.RevisionExchange(
+            self.notices, self._watches
+        )
         self.routes = follower.RouteFollower(
             self.client,
             documents.StoredDocuments(),
-            patience=self.news.patience_for_routes,
+            timeouts=self.news.routes_watch_timeouts,
         )
         self.routes.on_change(lambda _: self.news.on_change())
         self._parts = [self.routes, self.peers, self.notices, self.news]
 
-    def _watches(self) -> dict[str, store_news.Watched]:
+    def _watches(self) -> dict[str, revision_exchange.WatchState]:
         watched = self.routes.watched()
         return {"routes_revision": watched} if watched else {}
 
@@ -65,7 +67,7 @@
 
     @property
     def waits_long(self) -> bool:
-        return self.news.patience() == store_news.LONG
+        return self.news.watch_timeouts() == revision_exchange.LONG_TIMEOUTS
 
     @property
     def version(self) -> int:
@@ -95,7 +97,7 @@
             )
         )
         # Waits until the calls with a short wait have ended.
-        gevent.sleep(watch.BRIEF.silence_s + 0.5)
+        gevent.sleep(watch.SHORT_TIMEOUTS.silence_timeout_s + 0.5)
 
     def waiting_long(self) -> list[_Gateway]:
         return [one for one in self.gateways if one.waits_long]
@@ -137,7 +139,9 @@
         quiet_s = 6.0
         gevent.sleep(quiet_s)
         opened_count = self.watch_calls_count() - before_count
-        by_all_count = GATEWAYS_COUNT * quiet_s / watch.PROMPT_REOPEN_S
+        by_all_count = (
+            GATEWAYS_COUNT * quiet_s / watch.SHORTEST_SILENCE_TIMEOUT_S
+        )
         self.assertLess(opened_count, 0.6 * by_all_count)
         self.assertGreaterEqual(opened_count, 2 * directory.READERS_COUNT)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -16,7 +16,7 @@
 
 from mulberrywharf.authority import role_holder
 from mulberrywharf.forwarding import servers
-from mulberrywharf.peers import codec, directory, store_news
+from mulberrywharf.peers import directory, notice_codec, revision_exchange
 from mulberrywharf.platform import documents
 from mulberrywharf.platform_service import (
     era,
@@ -230,7 +230,7 @@
     def restore(self, copy: platform_store.Copy) -> None:
         self.store.restore(copy)
         self.call_store()
-        gevent.sleep(watch.RESTORED_SPREAD_S + 0.3)
+        gevent.sleep(watch.RESTORE_JITTER_S + 0.3)
 
     def test_leaving_server_gets_no_requests_after_a_restore(self) -> None:
         """Guards against sending new requests to a server that is leaving.
@@ -360,11 +360,11 @@
             self.client, "vm-1", address, "zone-a", "1"
         )
         read = self.client.get_prefix(directory.KEY_PREFIX, purpose="test")
-        known._take(read.unwrap())
+        known._update_peers(read.unwrap())
         self.assertEqual(known.gateways_count, 2)
         self.store.restore(copy)
         read = self.client.get_prefix(directory.KEY_PREFIX, purpose="test")
-        known._take(read.unwrap())
+        known._update_peers(read.unwrap())
         self.assertEqual(known.gateways_count, 2)
 
 
@@ -376,26 +376,26 @@
     def __init__(self) -> None:
         self.hurries_count = 0
 
-    def hurry(self) -> None:
+    def reopen_if_waiting(self) -> None:
         self.hurries_count += 1
 
 
 class _Notices:
-    told_at_s = 0.0
+    last_sent_s = 0.0
     is_registered = True
     is_reader = False
 
-    def tell_seen(self, *_: object) -> None:
+    def set_seen_callbacks(self, *_: object) -> None:
         """Does nothing; the tests call ``seen`` and ``on_seen`` themselves."""
 
-    def tell_now(self) -> None:
+    def send_now(self) -> None:
         """Does nothing."""
 
 
 class PeersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.watched = _Watch()
-        self.news = store_news.StoreNews(
+        self.news = revision_exchange.RevisionExchange(
             _Notices(), lambda: {"routes_revision": self.watched}, lambda: 2
         )
 
@@ -406,19 +406,21 @@
         it resumes, it announces that it is reading, with the high revisions of
         the older era. Revisions of different eras were compared.
         """
-        seen = codec.Seen(90, 90, is_reading=True, era=1)
+        seen = notice_codec.SeenRevisions(90, 90, is_reading=True, era=1)
         self.news.on_seen(seen)
-        self.news._look()
-        self.assertEqual(self.news.patience(), watch.BRIEF)
-        gevent.sleep(store_news.PATIENCE_S + 0.1)
+        self.news._check_readers()
+        self.assertEqual(self.news.watch_timeouts(), watch.SHORT_TIMEOUTS)
+        gevent.sleep(revision_exchange.REOPEN_DELAY_S + 0.1)
         self.assertEqual(self.watched.hurries_count, 0)
         self.news.on_seen(seen._replace(era=2))
-        self.news._look()
-        self.assertEqual(self.news.patience(), store_news.LONG)
+        self.news._check_readers()
+        self.assertEqual(
+            self.news.watch_timeouts(), revision_exchange.LONG_TIMEOUTS
+        )
 
     def test_peer_with_a_newer_era_triggers_a_store_read(self) -> None:
         for _ in range(3):
-            self.news.on_seen(codec.Seen(1, 1, era=3))
+            self.news.on_seen(notice_codec.SeenRevisions(1, 1, era=3))
         self.assertEqual(self.watched.hurries_count, 1)
 
 
