--- a/bench/config_faults.py
+++ b/bench/config_faults.py
@@ -99,7 +99,7 @@
 
 def _nothing_found(running: ConfigCluster, rounds_count: int) -> list[Outcome]:
     del rounds_count
-    return [config_scenarios.find_nothing(running, ZONES[0])]
+    return [config_scenarios.start_without_configuration(running, ZONES[0])]
 
 
 def _restored_empty(running: ConfigCluster, rounds_count: int) -> list[Outcome]:
@@ -129,7 +129,7 @@
 def _change_lost(running: ConfigCluster, rounds_count: int) -> list[Outcome]:
     del rounds_count
     running.apply_by_ctl("lost-before", running.newest_version())
-    return [config_scenarios.replaced_change(running, "lost")]
+    return [config_scenarios.change_on_empty_service(running, "lost")]
 
 
 _SCENARIOS: dict[str, Callable[[ConfigCluster, int], list[Outcome]]] = {
--- a/bench/nodes_slopes.py
+++ b/bench/nodes_slopes.py
@@ -76,7 +76,7 @@
         """Returns the configuration."""
         return Configuration(b"{}")
 
-    def offer(self, configuration_bytes: bytes) -> Ok[bool]:
+    def apply_if_newer(self, configuration_bytes: bytes) -> Ok[bool]:
         """Takes nothing."""
         del configuration_bytes
         return Ok(False)
--- a/bench/program_slopes.py
+++ b/bench/program_slopes.py
@@ -113,7 +113,7 @@
         engines=engines_count, controllers=1, timing=timing
     )
     try:
-        zone.accept({"rules": [], "default": {"hold": True}})
+        zone.put_configuration({"rules": [], "default": {"hold": True}})
         controller = zone.start_controller(0)
         cluster.wait_until(
             lambda: zone.holder_index() == 0, "the lease is held"
--- a/bench/rates_slopes.py
+++ b/bench/rates_slopes.py
@@ -59,7 +59,7 @@
     started = []
     for number in range(count):
         router = server.NodeServer("127.0.0.1", 0, f"entry-{number}", _KEY)
-        rates.answer_from(router, lambda: (customers, {}))
+        rates.register_rates_handler(router, lambda: (customers, {}))
         router.start()
         started.append(router)
     return started
--- a/bench/request_runs.py
+++ b/bench/request_runs.py
@@ -368,7 +368,9 @@
     parser.add_argument("--clusters", type=int, default=2)
     parser.add_argument("--time-limit-s", type=float, default=1800.0)
     parser.add_argument(
-        "--mechanism-off", choices=sorted(router_without.OFF), default=""
+        "--mechanism-off",
+        choices=sorted(router_without.PATCHES_BY_MECHANISM),
+        default="",
     )
     parser.add_argument(
         "--claim-lease-s",
--- a/bench/role_planner.py
+++ b/bench/role_planner.py
@@ -271,7 +271,7 @@
         self._tracker.observe(reports)
         age_s = now_s - reports[0].reported_unix_s
         demand = self._tracker.demand(
-            [situation_builder.SeenReport(r, age_s) for r in reports]
+            [situation_builder.AgedReport(r, age_s) for r in reports]
         )
         speeds = situation_builder.dedicated_speeds(reports)
         return role_planner.PlannerView(
--- a/src/mulberrywharf/authority/role_holder.py
+++ b/src/mulberrywharf/authority/duty_holder.py
@@ -31,7 +31,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import clock, errors
-from mulberrywharf.authority import quiet_time
+from mulberrywharf.authority import takeover_delay
 from mulberrywharf.platform_service import era, key_value, lease
 
 PURPOSE = "roles"
@@ -91,16 +91,16 @@
             time, and each renewal costs a tenth of a call. A failed holder is
             replaced after this time at the earliest; roles do not change until
             then.
-        first_look_s: Maximum random delay before the first check whether the
-            key is held. Gateways start at the same time; with the delay, most
-            find that another one already holds the key.
-        look_interval_s: Interval between two checks. A check may read stale
+        first_check_max_delay_s: Maximum random delay before the first check
+            whether the key is held. Gateways start at the same time; with the
+            delay, most find that another one already holds the key.
+        check_interval_s: Interval between two checks. A check may read stale
             data and costs a tenth of a call.
     """
 
     lease_ttl_s: float = 6.0
-    first_look_s: float = 2.0
-    look_interval_s: float = 5.0
+    first_check_max_delay_s: float = 2.0
+    check_interval_s: float = 5.0
 
 
 class Authority(NamedTuple):
@@ -115,7 +115,7 @@
     guard: key_value.Guard
 
 
-class RoleHolder:
+class DutyHolder:
     """Tries to acquire a duty, and tells whether this gateway holds it."""
 
     def __init__(
@@ -123,7 +123,7 @@
         client: key_value.KeyValueClient,
         vm_id: str,
         *,
-        turn_s: float,
+        min_lease_s: float,
         timing: HolderTiming | None = None,
         system_clock: clock.Clock | None = None,
         duty: Duty = ROLES_DUTY,
@@ -134,7 +134,7 @@
         Args:
             client: Client of the key-value store.
             vm_id: Identifies this gateway as the holder.
-            turn_s: Minimum time between orders of two holders, in seconds;
+            min_lease_s: Minimum time between orders of two holders, in seconds;
                 the lease is at least as long.
             timing: Timing of the lease; the defaults if None.
             system_clock: Clock that keeps counting while the machine is
@@ -149,7 +149,7 @@
         self._vm_id = vm_id
         self._clock = system_clock or clock.BootClock()
         self._timing = timing or HolderTiming()
-        self._lease_ttl_s = max(self._timing.lease_ttl_s, turn_s)
+        self._lease_ttl_s = max(self._timing.lease_ttl_s, min_lease_s)
         self._lease: lease.LeaseHolder | None = None
         self._authority: Authority | None = None
         self._may_order_from_s = float("inf")
@@ -249,11 +249,11 @@
         self._give_up(reason)
 
     def _campaign(self) -> None:
-        gevent.sleep(random.uniform(0.0, self._timing.first_look_s))
+        gevent.sleep(random.uniform(0.0, self._timing.first_check_max_delay_s))
         while True:
             if self._authority is None and self._is_free():
                 self._acquire()
-            interval_s = self._timing.look_interval_s
+            interval_s = self._timing.check_interval_s
             if not self._is_candidate():
                 interval_s *= NON_CANDIDATE_INTERVAL_FACTOR
             gevent.sleep(interval_s * random.uniform(0.8, 1.2))
@@ -322,7 +322,7 @@
         record: key_value.KeyValue | None,
         acquired_s: float,
     ) -> None:
-        quiet = quiet_time.QuietTime(
+        delay = takeover_delay.TakeoverDelay(
             self._lease_ttl_s,
             USER_TIMEOUT_S,
             CLOCK_MARGIN_S,
@@ -333,13 +333,13 @@
         # Where the store can be restored from an older copy, a missing record
         # does not prove that no order was sent: the restore may have lost the
         # previous holder's record.
-        takeover = quiet_time.Takeover(
+        takeover = takeover_delay.Takeover(
             acquired_s,
             predecessor_unsettled=(
                 record is not None or self._client.era != era.NO_ERA
             ),
         )
-        self._may_order_from_s = quiet.ends_s(takeover, self._duty.name)
+        self._may_order_from_s = delay.ends_s(takeover, self._duty.name)
         self._record_revision = record.mod_revision if record else 0
         self._last_record = record.value if record else None
         self._lease = held
--- a/src/mulberrywharf/authority/findings.py
+++ b/src/mulberrywharf/authority/findings.py
@@ -57,14 +57,14 @@
 
     Attributes:
         fencing_number: Fencing number of the lease.
-        quiet: True while orders of a previous holder may still arrive at the
-            engine; no order may be sent then.
+        is_waiting: True while orders of a previous holder may still arrive at
+            the engine; no order may be sent then.
         clock_margin_s: Maximum error between the clocks of the engine and of
             this process.
     """
 
     fencing_number: int
-    quiet: bool
+    is_waiting: bool
     clock_margin_s: float = 0.0
 
 
@@ -126,7 +126,7 @@
     record: OrderRecord
 
 
-class Astray(NamedTuple):
+class NotAsDesired(NamedTuple):
     """The engine is not in the desired state.
 
     Attributes:
@@ -152,5 +152,5 @@
     | Unfinished
     | DrainEnded
     | Superseded
-    | Astray
+    | NotAsDesired
 )
--- a/src/mulberrywharf/authority/lease_fuse.py
+++ b/src/mulberrywharf/authority/lease_watchdog.py
@@ -16,7 +16,7 @@
 _ARM_ATTEMPTS = 50
 
 
-class LeaseFuse:
+class LeaseWatchdog:
     """Tracks until when this process may send orders, and enforces it.
 
     Three points in time follow from the lease. All are measured from before the
@@ -50,7 +50,7 @@
         self._due_unix_s = float("-inf")
         self._offset_s = clock.unix_s() - clock.monotonic_s()
 
-    def renewed(self, lease_end_monotonic_s: float) -> bool:
+    def on_renewed(self, lease_end_monotonic_s: float) -> bool:
         """Updates the end of the lease after a renewal, and arms the timer.
 
         Args:
@@ -88,7 +88,7 @@
         by_wall_s = self._due_unix_s - self._clock.unix_s()
         return min(by_monotonic_s, by_wall_s)
 
-    def holds(self) -> bool:
+    def may_order(self) -> bool:
         """Tells whether an order may be sent now.
 
         The kernel may retransmit its bytes for the user timeout and must have
@@ -105,7 +105,7 @@
         Raises:
             errors.AuthorityLostError: Too little of the lease is left.
         """
-        if not self.holds():
+        if not self.may_order():
             raise errors.AuthorityLostError(
                 "the lease ends too soon to send an order",
                 advice="The zone's next lease holder finishes the orders.",
--- a/src/mulberrywharf/authority/order_records.py
+++ b/src/mulberrywharf/authority/order_records.py
@@ -167,7 +167,7 @@
     holder: Holder | None
     records: dict[str, OrderRecord]
 
-    def without_gone(
+    def without_removed_engines(
         self, engine_ids: Collection[str], now_unix_s: float
     ) -> "ZoneRecords":
         """Returns these records without those of engines removed long ago.
--- a/src/mulberrywharf/authority/reconcile.py
+++ b/src/mulberrywharf/authority/reconcile.py
@@ -26,7 +26,7 @@
     record = facts.record
     if record is not None and record.in_flight():
         return _find_in_flight(facts, record, facts.report, holder)
-    if holder.quiet:
+    if holder.is_waiting:
         return findings.Waiting("orders of a previous holder may still arrive")
     if facts.wanted is None:
         return findings.NoOrderNeeded()
@@ -41,7 +41,7 @@
 ) -> findings.Finding:
     if _is_applied(record, report):
         return findings.Applied(record)
-    if holder.quiet:
+    if holder.is_waiting:
         return findings.Waiting("orders of a previous holder may still arrive")
     fresh_from_unix_s = record.recorded_unix_s + holder.clock_margin_s
     fresh = report.reported_unix_s > fresh_from_unix_s
@@ -171,26 +171,30 @@
 ) -> findings.Finding:
     if report.state == "failed":
         role = wanted.role or report.role
-        return findings.Astray(
+        return findings.NotAsDesired(
             "set-role", wanted._replace(role=role), True, needs_drain=False
         )
     if wanted.role and report.role != wanted.role:
         unexplained = not _explains_role(record, report)
-        return findings.Astray(
+        return findings.NotAsDesired(
             "set-role", wanted, unexplained, needs_drain=True
         )
     if wanted.model and not _has_model(
         report, wanted.model, "", wanted.version
     ):
         base = wanted._replace(adapter="")
-        return findings.Astray("load-model", base, False, needs_drain=True)
+        return findings.NotAsDesired(
+            "load-model", base, False, needs_drain=True
+        )
     if wanted.adapter and wanted.adapter not in report.adapters:
         # An adapter is loaded while the engine serves.
-        return findings.Astray("load-model", wanted, False, needs_drain=False)
+        return findings.NotAsDesired(
+            "load-model", wanted, False, needs_drain=False
+        )
     if wanted.drained and report.state != "draining":
-        return findings.Astray("drain", wanted, False, needs_drain=False)
+        return findings.NotAsDesired("drain", wanted, False, needs_drain=False)
     if not wanted.drained and report.state == "draining":
-        return findings.Astray("resume", wanted, False, needs_drain=False)
+        return findings.NotAsDesired("resume", wanted, False, needs_drain=False)
     return findings.NoOrderNeeded()
 
 
--- a/src/mulberrywharf/authority/role_keeper.py
+++ b/src/mulberrywharf/authority/role_manager.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import clock, errors, fleet, metrics
-from mulberrywharf.authority import role_holder
+from mulberrywharf.authority import duty_holder
 from mulberrywharf.engines import role_orders
 from mulberrywharf.policy import role_split
 
@@ -53,7 +53,7 @@
         """Returns the engines of each service that may receive new work."""
         ...
 
-    def may_ask(self, server: fleet.Server) -> bool:
+    def accepts_calls(self, server: fleet.Server) -> bool:
         """Tells whether this node may send an engine anything now."""
         ...
 
@@ -74,7 +74,7 @@
 
     def authority(
         self,
-    ) -> Result[role_holder.Authority, errors.AuthorityLostError]:
+    ) -> Result[duty_holder.Authority, errors.AuthorityLostError]:
         """Returns the authority if it is held and may be used now."""
         ...
 
@@ -98,7 +98,7 @@
 _Reports = dict[fleet.ServerStart, role_orders.EngineReport]
 
 
-class RoleKeeper:
+class RoleManager:
     """Plans and sends role orders in rounds while the duty is held."""
 
     def __init__(
@@ -179,7 +179,7 @@
         The count of accepted orders restarts with the engine, so the new start
         could accept an order that was meant for the old one.
         """
-        servers = [one for one in servers if self._engines.may_ask(one)]
+        servers = [one for one in servers if self._engines.accepts_calls(one)]
         results = self._pool.map(self._client.report, servers)
         reports = {}
         for server, result in zip(servers, results, strict=True):
@@ -291,7 +291,7 @@
         self._last_orders[change.server.start] = sent_order
         sent = self._client.send(
             order,
-            user_timeout_s=role_holder.USER_TIMEOUT_S,
+            user_timeout_s=duty_holder.USER_TIMEOUT_S,
             before_send=self._holder.check,
         )
         if isinstance(sent, Err) and not isinstance(
--- a/src/mulberrywharf/authority/situation_builder.py
+++ b/src/mulberrywharf/authority/situation_builder.py
@@ -12,7 +12,7 @@
 _STALE_REPORT_S = 10.0
 
 
-class SeenReport(NamedTuple):
+class AgedReport(NamedTuple):
     """A load report and its age.
 
     Attributes:
@@ -53,7 +53,7 @@
             self._rates.pop(engine_id, None)
 
     def demand(
-        self, reports: Sequence[SeenReport]
+        self, reports: Sequence[AgedReport]
     ) -> role_planner.Demand | None:
         """Returns the estimate, or None until an engine has reported twice."""
         if not self._rates:
@@ -104,7 +104,7 @@
         return output * offered_prompt / prompt
 
 
-def _decode_waiting_share(reports: Sequence[SeenReport]) -> float:
+def _decode_waiting_share(reports: Sequence[AgedReport]) -> float:
     """Returns the ratio of waiting to running requests of decode engines."""
     decoding = [s.report for s in reports if s.report.role == "decode"]
     running = sum(report.running_count for report in decoding)
@@ -117,7 +117,7 @@
     availability_zone: str,
     now_unix_s: float,
     engine_ids: Sequence[str],
-    reports: Mapping[str, SeenReport],
+    reports: Mapping[str, AgedReport],
     demand: role_planner.Demand | None,
     vm_list_age_s: float,
 ) -> situation.Situation:
@@ -142,11 +142,11 @@
 
 
 def _prefill_share(
-    seen: Sequence[SeenReport], demand: role_planner.Demand | None
+    seen: Sequence[AgedReport], demand: role_planner.Demand | None
 ) -> situation.Reading:
     """Returns the share of the required engine time that prefill needs."""
     if demand is None:
-        return situation.UNKNOWN
+        return situation.UNKNOWN_READING
     speeds = dedicated_speeds([s.report for s in seen])
     prefill_speed = _mean_of_positive(
         [s.prefill_tokens_per_s for s in speeds.values()]
@@ -155,11 +155,11 @@
         [s.decode_tokens_per_s for s in speeds.values()]
     )
     if prefill_speed <= 0 or decode_speed <= 0:
-        return situation.UNKNOWN
+        return situation.UNKNOWN_READING
     prefill = demand.prompt_tokens_per_s / prefill_speed
     decode = demand.output_tokens_per_s / decode_speed
     if prefill + decode <= 0:
-        return situation.UNKNOWN
+        return situation.UNKNOWN_READING
     return situation.Reading(prefill / (prefill + decode), demand.age_s)
 
 
@@ -206,12 +206,12 @@
     return _mean_of_positive([speed for _, speed in speeds])
 
 
-def _queue_delay(seen: Sequence[SeenReport]) -> situation.Reading:
+def _queue_delay(seen: Sequence[AgedReport]) -> situation.Reading:
     """Returns how long prefilling the waiting prompts would take."""
     prefilling = [s for s in seen if s.report.role != "decode"]
     speed = sum(s.report.prefill_tokens_per_s for s in prefilling)
     if speed <= 0:
-        return situation.UNKNOWN
+        return situation.UNKNOWN_READING
     waiting = sum(s.report.waiting_prompt_tokens for s in seen)
     age_s = max(s.age_s for s in seen)
     return situation.Reading(waiting / speed, age_s)
@@ -219,14 +219,14 @@
 
 def _lost_engines(
     engine_ids: Sequence[str],
-    reports: Mapping[str, SeenReport],
+    reports: Mapping[str, AgedReport],
     vm_list_age_s: float,
 ) -> situation.Reading:
     lost_count = sum(1 for e in engine_ids if _is_lost(reports.get(e)))
     return situation.Reading(float(lost_count), vm_list_age_s)
 
 
-def _is_lost(seen: SeenReport | None) -> bool:
+def _is_lost(seen: AgedReport | None) -> bool:
     if seen is None or seen.age_s > _STALE_REPORT_S:
         return True
     return seen.report.state in ("failed", "unknown")
--- a/src/mulberrywharf/authority/steps.py
+++ b/src/mulberrywharf/authority/steps.py
@@ -91,7 +91,7 @@
 
 
 @next_step.register
-def _new_order(finding: findings.Astray, context: StepContext) -> Step:
+def _new_order(finding: findings.NotAsDesired, context: StepContext) -> Step:
     wanted = finding.wanted
     loads = finding.action == "load-model"
     record = OrderRecord(
--- a/src/mulberrywharf/authority/quiet_time.py
+++ b/src/mulberrywharf/authority/takeover_delay.py
@@ -23,7 +23,7 @@
     predecessor_unsettled: bool
 
 
-class QuietTime(NamedTuple):
+class TakeoverDelay(NamedTuple):
     """Waiting time of a new holder, derived from the settings.
 
     Attributes:
@@ -35,18 +35,18 @@
             retransmitted.
         clock_margin_s: Maximum error between the clocks.
         fencing_checking_kinds: Engine kinds that reject an old fencing number.
-        off: Disables the wait; only for tests that show its effect.
+        is_disabled: Disables the wait; only for tests that show its effect.
     """
 
     lease_ttl_s: float
     user_timeout_s: float
     clock_margin_s: float
     fencing_checking_kinds: frozenset[str]
-    off: bool = False
+    is_disabled: bool = False
 
     def length_s(self) -> float:
         """Returns for how long an order of the previous holder may arrive."""
-        if self.off:
+        if self.is_disabled:
             return 0.0
         return self.lease_ttl_s + self.user_timeout_s + self.clock_margin_s
 
@@ -63,7 +63,7 @@
             return takeover.acquired_s
         return takeover.acquired_s + self.length_s()
 
-    def all_over(self, takeover: Takeover, now_s: float) -> bool:
+    def has_ended(self, takeover: Takeover, now_s: float) -> bool:
         """Tells whether engines of every kind may be ordered."""
         if not takeover.predecessor_unsettled:
             return True
--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -32,7 +32,7 @@
         change_ends_unix_s: Wall clock times at which recent role changes ended.
     """
 
-    reports: Mapping[str, situation_builder.SeenReport]
+    reports: Mapping[str, situation_builder.AgedReport]
     records: Mapping[str, order_records.OrderRecord]
     demand: role_planner.Demand | None = None
     change_ends_unix_s: tuple[float, ...] = ()
@@ -174,7 +174,7 @@
 
 
 def _planner_engine(
-    seen: situation_builder.SeenReport,
+    seen: situation_builder.AgedReport,
     record: order_records.OrderRecord | None,
     speeds: situation_builder.Speeds,
 ) -> role_planner.PlannerEngine:
--- a/src/mulberrywharf/callers/completions.py
+++ b/src/mulberrywharf/callers/completions.py
@@ -13,7 +13,7 @@
 
 from mulberrywharf import errors, metrics
 from mulberrywharf.callers import caller_watch, problems, request, response
-from mulberrywharf.engines import plain, streams
+from mulberrywharf.engines import completion_assembly, streams
 
 _streams_total = metrics.counter(
     "mulberry_caller_streams_total",
@@ -138,7 +138,7 @@
 ) -> response.Response:
     request_id = completion.caller.request_id
     try:
-        assembled = plain.assemble(
+        assembled = completion_assembly.assemble(
             batches,
             request_id=request_id,
             model=completion.body["model"],
--- a/src/mulberrywharf/callers/routed_server.py
+++ b/src/mulberrywharf/callers/routed_server.py
@@ -20,7 +20,7 @@
     response,
 )
 from mulberrywharf.callers import request as caller_request
-from mulberrywharf.customers import admission
+from mulberrywharf.customers import authentication
 from mulberrywharf.forwarding import generation, plain_call, request
 from mulberrywharf.routes import follower, kinds, split, table
 
@@ -93,7 +93,7 @@
         routes: follower.RouteFollower,
         plain_calls: plain_call.PlainCalls,
         generations: generation.Generations,
-        customers: admission.CustomerAdmission,
+        customers: authentication.CustomerAdmission,
         system_clock: clock.Clock,
         on_request_started: Callable[[str], None] = lambda customer: None,
     ):
--- a/src/mulberrywharf/duties/client.py
+++ b/src/mulberrywharf/duties/client.py
@@ -110,7 +110,7 @@
     def _send(
         self, duty: str, call: DutyCall
     ) -> Result[None, errors.MulberryError]:
-        sent = orders.deliver(
+        sent = orders.post_once(
             self._address,
             call.path,
             call.body,
--- a/src/mulberrywharf/duties/usage_reporter.py
+++ b/src/mulberrywharf/duties/usage_reporter.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import errors, metrics
-from mulberrywharf.authority import role_holder
+from mulberrywharf.authority import duty_holder
 from mulberrywharf.customers import usage
 from mulberrywharf.duties import client
 
@@ -48,7 +48,7 @@
 
     def authority(
         self,
-    ) -> Result[role_holder.Authority, errors.AuthorityLostError]:
+    ) -> Result[duty_holder.Authority, errors.AuthorityLostError]:
         """Returns the authority if it is held and may be used now."""
         ...
 
--- a/src/mulberrywharf/engines/handover.py
+++ b/src/mulberrywharf/engines/handover.py
@@ -74,7 +74,7 @@
     tracker: resume.RequestTracker,
     timeout_s: float = DEFAULT_PREFILL_TIMEOUT_S,
     on_failed: Callable[[errors.EngineError], None] = lambda _: None,
-) -> resume.Prepared:
+) -> resume.PreparedRequest:
     """Prefills on another engine and points the decode engine to the KV cache.
 
     A handover only saves time. If the prefill fails, or if the exported cache
@@ -88,22 +88,22 @@
         timeout_s: Timeout of the connect and of each read, in seconds.
         on_failed: Called with the error if the prefill fails.
     """
-    tracker.begin(prefill_vm.vm_id, generation.prompt_tokens)
+    tracker.request_started(prefill_vm.vm_id, generation.prompt_tokens)
     failed = False
     try:
         prefilled = prefill(prefill_vm.address, generation, timeout_s)
         failed = isinstance(prefilled, Err)
     finally:
-        tracker.end(prefill_vm.vm_id, failed)
+        tracker.request_finished(prefill_vm.vm_id, failed)
     if isinstance(prefilled, Err):
         on_failed(prefilled.err_value)
         _failed_handovers.inc({"engine": prefill_vm.vm_id})
         logger.bind(
             request_id=generation.request_id, engine_id=prefill_vm.vm_id
         ).warning("prefill failed: {}", prefilled.err_value)
-        return resume.Prepared(generation.body, generation.prompt_tokens)
+        return resume.PreparedRequest(generation.body, generation.prompt_tokens)
     extension = {"kv_source": prefilled.ok_value}
-    return resume.Prepared({**generation.body, "mulberry": extension}, 0)
+    return resume.PreparedRequest({**generation.body, "mulberry": extension}, 0)
 
 
 def _parse_kv_source(
--- a/src/mulberrywharf/engines/loads.py
+++ b/src/mulberrywharf/engines/load_reader.py
@@ -142,12 +142,12 @@
         """Sets the engines that must get no new work."""
         self._drained = frozenset(engine_ids)
 
-    def set_slice(self, engine_ids: Collection[str] | None) -> None:
+    def set_polled_engines(self, engine_ids: Collection[str] | None) -> None:
         """Sets the engines that this node polls itself; None polls all."""
         self._slice = None if engine_ids is None else frozenset(engine_ids)
         self._sync_readers()
 
-    def accept(self, report: fleet.LoadReport, age_s: float) -> None:
+    def record_report(self, report: fleet.LoadReport, age_s: float) -> None:
         """Stores a report that another node read, unless a newer one is known.
 
         Args:
@@ -174,7 +174,7 @@
         now_s = self._clock.monotonic_s()
         return load.view(now_s, engine_id in self._drained)
 
-    def begin(self, engine_id: str, prompt_tokens: int) -> None:
+    def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         """Records that a request is sent to an engine.
 
         Args:
@@ -186,8 +186,8 @@
         if load is not None:
             load.request_started(prompt_tokens, self._clock.monotonic_s())
 
-    def end(self, engine_id: str, failed: bool) -> None:
-        """Records that a request at an engine ended; once per ``begin``."""
+    def request_finished(self, engine_id: str, failed: bool) -> None:
+        """Records that a request ended; once per ``request_started``."""
         load = self._loads.get(engine_id)
         if load is not None:
             load.request_finished(failed, self._clock.monotonic_s())
--- a/src/mulberrywharf/engines/orders.py
+++ b/src/mulberrywharf/engines/orders.py
@@ -148,7 +148,7 @@
         engine refused the order; OrderOutcomeUnknownError if it is unknown
         whether the engine accepted it.
     """
-    answered = deliver(
+    answered = post_once(
         address,
         _ORDERS_PATH,
         order.body(),
@@ -161,7 +161,7 @@
     return _parse_answer(order, *answered.ok_value)
 
 
-def deliver(
+def post_once(
     address: fleet.Address,
     path: str,
     body: bytes,
--- a/src/mulberrywharf/engines/resume.py
+++ b/src/mulberrywharf/engines/resume.py
@@ -45,7 +45,7 @@
     priority: int = 5
 
 
-class FailedTry(NamedTuple):
+class AttemptFailure(NamedTuple):
     """A failed attempt, described for the retry decision.
 
     Attributes:
@@ -67,7 +67,7 @@
     made_output: bool = False
 
 
-class Prepared(NamedTuple):
+class PreparedRequest(NamedTuple):
     """The request that an attempt sends to the engine.
 
     Attributes:
@@ -82,11 +82,11 @@
 class RequestTracker(Protocol):
     """Counts requests at engines, as ``loads.LoadReader`` does."""
 
-    def begin(self, engine_id: str, prompt_tokens: int) -> None:
+    def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         """Records that a request is sent to an engine."""
         ...
 
-    def end(self, engine_id: str, failed: bool) -> None:
+    def request_finished(self, engine_id: str, failed: bool) -> None:
         """Records that the request at the engine ended."""
         ...
 
@@ -96,10 +96,12 @@
 ]
 """Chooses an engine, excluding the given engine ids."""
 
-DecideRetry = Callable[[FailedTry], retry_budget.Retry | retry_budget.GiveUp]
+DecideRetry = Callable[
+    [AttemptFailure], retry_budget.Retry | retry_budget.GiveUp
+]
 """Decides whether to retry after a failed attempt."""
 
-Prepare = Callable[[fleet.EngineView], Prepared]
+Prepare = Callable[[fleet.EngineView], PreparedRequest]
 """Prepares an attempt before the first token, such as by a KV handover."""
 
 
@@ -137,9 +139,9 @@
         self,
         generation: Generation,
         *,
-        next_engine: ChooseEngine,
+        choose_engine: ChooseEngine,
         decide: DecideRetry,
-        books: RequestTracker,
+        tracker: RequestTracker,
         prepare: Prepare | None = None,
         idle_timeout_s: float = streams.DEFAULT_IDLE_TIMEOUT_S,
         connect_timeout_s: float = streams.DEFAULT_CONNECT_TIMEOUT_S,
@@ -148,19 +150,19 @@
 
         Args:
             generation: The generation to run.
-            next_engine: Chooses the engine for each attempt.
+            choose_engine: Chooses the engine for each attempt.
             decide: Decides after a failed attempt whether the retry budget
                 allows another one.
-            books: Notified when each attempt begins and ends.
+            tracker: Notified when each attempt begins and ends.
             prepare: Prepares each attempt until a token was delivered.
             idle_timeout_s: Time without data after which an engine counts as
                 failed, in seconds.
             connect_timeout_s: Timeout of a connect to an engine, in seconds.
         """
         self._generation = generation
-        self._next_engine = next_engine
+        self._next_engine = choose_engine
         self._decide = decide
-        self._tracker = books
+        self._tracker = tracker
         self._prepare = prepare
         self._idle_timeout_s = idle_timeout_s
         self._connect_timeout_s = connect_timeout_s
@@ -252,14 +254,14 @@
         if not self._token_texts:
             self._version = view.report.version if view.report else None
         failed = False
-        self._tracker.begin(engine_id, prepared.prompt_tokens)
+        self._tracker.request_started(engine_id, prepared.prompt_tokens)
         try:
             yield from self._stream_from(view.vm.address, prepared.body)
         except errors.EngineError as error:
             failed = not _is_bad_request(error)
             raise
         finally:
-            self._tracker.end(engine_id, failed)
+            self._tracker.request_finished(engine_id, failed)
 
     def _stream_from(
         self, address: fleet.Address, body: dict[str, Any]
@@ -304,9 +306,9 @@
         raw = b"data: " + json.dumps(document).encode() + b"\n\n"
         return last._replace(usage=total, raw=raw)
 
-    def _build_attempt(self, view: fleet.EngineView) -> Prepared:
+    def _build_attempt(self, view: fleet.EngineView) -> PreparedRequest:
         generation = self._generation
-        prepared = Prepared(generation.body, generation.prompt_tokens)
+        prepared = PreparedRequest(generation.body, generation.prompt_tokens)
         if self._prepare is not None and not self._token_texts:
             prepared = self._prepare(view)
         body = dict(prepared.body)
@@ -317,7 +319,7 @@
             extension["resume_token_count"] = len(self._token_texts)
             extension["resume_text"] = "".join(self._token_texts)
         body[_EXTENSION_KEY] = extension
-        return Prepared(body, prepared.prompt_tokens)
+        return PreparedRequest(body, prepared.prompt_tokens)
 
     def _handle_failure(
         self, engine_id: str, failure: errors.EngineError
@@ -343,11 +345,11 @@
 
     def _describe_failure(
         self, engine_id: str, failure: errors.EngineError
-    ) -> FailedTry:
+    ) -> AttemptFailure:
         retry_after_s = None
         if isinstance(failure, errors.EngineRefusedError):
             retry_after_s = failure.retry_after_s
-        return FailedTry(
+        return AttemptFailure(
             engine_id,
             self._attempt_count,
             progress_of(failure, len(self._token_texts)),
--- a/src/mulberrywharf/engines/role_orders.py
+++ b/src/mulberrywharf/engines/role_orders.py
@@ -129,7 +129,7 @@
             ``orders.send_order``.
         """
         body, headers = self._dialect.encode_order(order)
-        answered = orders.deliver(
+        answered = orders.post_once(
             order.server.address,
             self._dialect.order_path,
             body,
--- a/src/mulberrywharf/errors.py
+++ b/src/mulberrywharf/errors.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, ClassVar, Literal, NamedTuple
 
 if TYPE_CHECKING:
-    from mulberrywharf.rules.configuration import AuditEntry, DiffLine
+    from mulberrywharf.rules.audit_trail import AuditEntry, DiffLine
 
 Outcome = Literal["not-run", "unknown"]
 """What a refused caller may assume: nothing ran, or nobody knows."""
--- a/src/mulberrywharf/nodes/config_exchange.py
+++ b/src/mulberrywharf/nodes/config_exchange.py
@@ -37,7 +37,7 @@
         """Returns the configuration in force, with ``raw``, or None."""
         ...
 
-    def offer(
+    def apply_if_newer(
         self, configuration_bytes: bytes
     ) -> Result[bool, errors.DocumentError]:
         """Takes a neighbour's configuration if it is newer."""
@@ -125,6 +125,6 @@
         answer = answered.ok_value
         if not isinstance(answer, messages.ConfigDocument):
             return
-        offered = self._configuration.offer(answer.document)
+        offered = self._configuration.apply_if_newer(answer.document)
         if isinstance(offered, Ok) and offered.ok_value:
             logger.info("took a newer configuration from {}", ahead.vm_id)
--- a/src/mulberrywharf/nodes/rates.py
+++ b/src/mulberrywharf/nodes/rates.py
@@ -180,7 +180,7 @@
     return counts == (len(wanted.customers), len(wanted.models))
 
 
-def answer_from(
+def register_rates_handler(
     node_server: server.NodeServer,
     read: Callable[[], tuple[Mapping[str, float], Mapping[str, float]]],
 ) -> None:
--- a/src/mulberrywharf/operators/audit.py
+++ b/src/mulberrywharf/operators/audit.py
@@ -36,7 +36,7 @@
     reason: str
 
 
-class ConfigurationInForce(NamedTuple):
+class ConfigurationActivated(NamedTuple):
     """This process now uses another version of the configuration."""
 
     version: int
@@ -63,14 +63,14 @@
     after: str
 
 
-class DrainBegan(NamedTuple):
+class DrainStarted(NamedTuple):
     """A process or an engine gets no new work from now on."""
 
     subject: str
     reason: str
 
 
-class LeaseTaken(NamedTuple):
+class LeaseAcquired(NamedTuple):
     """This process acquired a lease and may now act as its holder."""
 
     lease: str
@@ -86,11 +86,11 @@
 
 
 AuditEvent = (
-    ConfigurationInForce
+    ConfigurationActivated
     | OrderChanged
     | RoleChanged
-    | DrainBegan
-    | LeaseTaken
+    | DrainStarted
+    | LeaseAcquired
     | LeaseLost
 )
 
@@ -133,7 +133,7 @@
 
 
 @_line_parts.register
-def _(event: ConfigurationInForce) -> _LineParts:
+def _(event: ConfigurationActivated) -> _LineParts:
     return _LineParts(
         "configuration",
         f"version {event.version}",
@@ -164,12 +164,12 @@
 
 
 @_line_parts.register
-def _(event: DrainBegan) -> _LineParts:
+def _(event: DrainStarted) -> _LineParts:
     return _LineParts("drain", event.subject, "no new work", event.reason)
 
 
 @_line_parts.register
-def _(event: LeaseTaken) -> _LineParts:
+def _(event: LeaseAcquired) -> _LineParts:
     return _LineParts(
         "lease-taken",
         event.lease,
--- a/src/mulberrywharf/operators/server.py
+++ b/src/mulberrywharf/operators/server.py
@@ -20,7 +20,7 @@
     NotAuthorisedError,
     OperatorRequestError,
 )
-from mulberrywharf.operators.audit import AuditLog, DrainBegan
+from mulberrywharf.operators.audit import AuditLog, DrainStarted
 from mulberrywharf.operators.status import StatusReport
 from mulberrywharf.operators.tokens import Tokens
 from mulberrywharf.settings import Settings
@@ -185,7 +185,7 @@
             self._draining = True
             if self._audit is not None:
                 self._audit.record(
-                    DrainBegan("this process", f"asked by {operator}")
+                    DrainStarted("this process", f"asked by {operator}")
                 )
             # A graceful stop lasts until all requests are answered and may
             # close this listener; the operator's request is answered now.
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -82,7 +82,7 @@
 
     def close(self) -> None:
         """Stops the task; the records remain in the service."""
-        self._client.forget_restored(self._on_restored)
+        self._client.remove_on_restored(self._on_restored)
         if self._task is not None:
             self._task.kill()
 
--- a/src/mulberrywharf/platform/store.py
+++ b/src/mulberrywharf/platform/store.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import errors
-from mulberrywharf.platform_service import dialect, gateway
+from mulberrywharf.platform_service import dialect, service_calls
 from mulberrywharf.platform_service import era as era_module
 from mulberrywharf.platform_service.key_value_types import (
     Guard,
@@ -66,21 +66,21 @@
 
 @dialect.read_prefix.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
+    store: StoreDialect, calls: service_calls.Gateway, prefix: str, purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
     return _read_pages(calls, {"prefix": prefix}, purpose)
 
 
 @dialect.read_stale.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, prefix: str, purpose: str
+    store: StoreDialect, calls: service_calls.Gateway, prefix: str, purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
     query = {"prefix": prefix, "allow-stale": "1"}
     return _read_pages(calls, query, purpose)
 
 
 def _read_pages(
-    calls: gateway.Gateway, query: dict[str, str], purpose: str
+    calls: service_calls.Gateway, query: dict[str, str], purpose: str
 ) -> Result[dialect.Reading, errors.PlatformError]:
     found: list[KeyValue] = []
     first_revision: int | None = None
@@ -104,7 +104,9 @@
 
 @dialect.open_watch.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, request: dialect.WatchRequest
+    store: StoreDialect,
+    calls: service_calls.Gateway,
+    request: dialect.WatchRequest,
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
     return Ok(_PollStream(calls, request, store.wait_s))
 
@@ -112,7 +114,7 @@
 @dialect.read_changes.register
 def _(
     store: StoreDialect,
-    calls: gateway.Gateway,
+    calls: service_calls.Gateway,
     prefix: str,
     after_revision: int,
     purpose: str,
@@ -135,7 +137,7 @@
 
 @dialect.read_key.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, key: str, purpose: str
+    store: StoreDialect, calls: service_calls.Gateway, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
     # The store responds to a read of a single missing key with 404, as it does
     # to a wrong path. A range read returns an empty list instead.
@@ -147,7 +149,7 @@
 
 @dialect.write_key.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, write: dialect.KeyWrite
+    store: StoreDialect, calls: service_calls.Gateway, write: dialect.KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
     body = {
         "expected": [
@@ -157,7 +159,7 @@
         "puts": _puts(write),
         "deletes": [write.key] if write.value is None else [],
     }
-    call = gateway.Call("/kv-txn", body, "txn", write.purpose, True)
+    call = service_calls.Call("/kv-txn", body, "txn", write.purpose, True)
     sent = calls.send(call)
     if isinstance(sent, Err):
         error = sent.err_value
@@ -179,19 +181,25 @@
 
 @dialect.grant_lease.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, ttl_s: float, purpose: str
+    store: StoreDialect,
+    calls: service_calls.Gateway,
+    ttl_s: float,
+    purpose: str,
 ) -> Result[int, errors.PlatformError]:
     body = {"ttl-ms": int(ttl_s * _MS_PER_S)}
-    call = gateway.Call("/kv-lease", body, "lease_grant", purpose, False)
+    call = service_calls.Call("/kv-lease", body, "lease_grant", purpose, False)
     return calls.send(call).map(lambda answer: int(answer["lease"]))
 
 
 @dialect.keep_alive.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
+    store: StoreDialect,
+    calls: service_calls.Gateway,
+    lease_id: int,
+    purpose: str,
 ) -> Result[float, errors.PlatformError]:
     path = f"/kv-keep/{lease_id}"
-    call = gateway.Call(path, {}, "lease_keepalive", purpose, False)
+    call = service_calls.Call(path, {}, "lease_keepalive", purpose, False)
     sent = calls.send(call)
     if isinstance(sent, Ok):
         return Ok(sent.ok_value["ttl-ms"] / _MS_PER_S)
@@ -202,10 +210,13 @@
 
 @dialect.revoke.register
 def _(
-    store: StoreDialect, calls: gateway.Gateway, lease_id: int, purpose: str
+    store: StoreDialect,
+    calls: service_calls.Gateway,
+    lease_id: int,
+    purpose: str,
 ) -> Result[None, errors.PlatformError]:
     path = f"/kv-lease-end/{lease_id}"
-    call = gateway.Call(
+    call = service_calls.Call(
         path, None, "lease_revoke", purpose, False, method="DELETE"
     )
     return calls.send(call).map(lambda _: None)
@@ -227,7 +238,7 @@
 
     def __init__(
         self,
-        calls: gateway.Gateway,
+        calls: service_calls.Gateway,
         request: dialect.WatchRequest,
         max_wait_s: float,
     ):
@@ -235,7 +246,7 @@
         self._request = request
         self._max_wait_s = max_wait_s
         self._wait_s = 0.0
-        self._poll: gateway.Poll | None = None
+        self._poll: service_calls.Poll | None = None
         self._revision = request.known_revision
         self._had_changes = False
         self._is_batching = False
@@ -273,14 +284,14 @@
         finally:
             self._is_batching = False
 
-    def _get_poll(self) -> gateway.Poll:
+    def _get_poll(self) -> service_calls.Poll:
         """Returns the connection, a new one if the maximum wait has changed."""
         wait_s = min(self._max_wait_s, self._request.silence_timeout_s())
         if self._request.after_failure:
             wait_s = min(wait_s, _PROBE_WAIT_S)
         if self._poll is None or wait_s != self._wait_s:
             self.close()
-            self._poll = self._calls.open_poll(
+            self._poll = self._calls.open_long_poll(
                 attempt=self._request.attempt,
                 timeout_s=wait_s + _ANSWER_MARGIN_S,
             )
@@ -310,9 +321,9 @@
 
 def _read_call(
     path: str, query: Mapping[str, str], kind: str, purpose: str
-) -> gateway.Call:
+) -> service_calls.Call:
     target = f"{path}?{urllib.parse.urlencode(query)}"
-    return gateway.Call(target, None, kind, purpose, False, method="GET")
+    return service_calls.Call(target, None, kind, purpose, False, method="GET")
 
 
 def _decode_item(item: Mapping[str, Any]) -> KeyValue:
--- a/src/mulberrywharf/platform_service/config_change.py
+++ b/src/mulberrywharf/platform_service/config_change.py
@@ -18,7 +18,7 @@
     AuditEntry,
     Configuration,
 )
-from mulberrywharf.rules import configuration as rules_configuration
+from mulberrywharf.rules import audit_trail as rules_configuration
 from mulberrywharf.rules.document import Document
 from mulberrywharf.rules.parse import check_value
 
--- a/src/mulberrywharf/platform_service/config_follower.py
+++ b/src/mulberrywharf/platform_service/config_follower.py
@@ -105,7 +105,7 @@
         if self._current is not None:
             _run_callback(callback, self._current)
 
-    def offer(
+    def apply_if_newer(
         self, configuration_bytes: bytes
     ) -> Result[bool, errors.DocumentError]:
         """Applies a configuration if it is newer than the one in force.
@@ -151,7 +151,7 @@
         if event.kind == "delete":
             self._reinstate_later()
             return
-        offered = self.offer(event.key_value.value)
+        offered = self.apply_if_newer(event.key_value.value)
         if isinstance(offered, Err):
             logger.error("the stored configuration: {}", offered.err_value)
             return
@@ -181,7 +181,7 @@
                 attempt, base_s=pause_s, limit_s=_RETRY_LIMIT_S
             )
             gevent.sleep(wait_s)
-            written = self._store.reinstate(self._current)
+            written = self._store.write_back(self._current)
             if isinstance(written, Ok):
                 return
             logger.warning(
--- a/src/mulberrywharf/platform_service/config_store.py
+++ b/src/mulberrywharf/platform_service/config_store.py
@@ -125,7 +125,7 @@
             )
         )
 
-    def still_holds(self, accepted: Configuration) -> Result[bool, ConfigError]:
+    def includes(self, accepted: Configuration) -> Result[bool, ConfigError]:
         """Tells whether the stored configuration includes an accepted change.
 
         It does not if the service had lost data when it accepted the change,
@@ -144,7 +144,7 @@
             lambda stored: config_change.includes(stored, accepted)
         )
 
-    def reinstate(
+    def write_back(
         self, configuration: Configuration
     ) -> Result[bool, ConfigError]:
         """Writes back a configuration that the service has lost.
--- a/src/mulberrywharf/platform_service/configuration.py
+++ b/src/mulberrywharf/platform_service/configuration.py
@@ -13,7 +13,7 @@
 from typing_extensions import TypedDict
 
 from mulberrywharf import errors
-from mulberrywharf.rules.configuration import (
+from mulberrywharf.rules.audit_trail import (
     AUDIT_LIMIT_COUNT,
     AuditEntry,
     DiffLine,
--- a/src/mulberrywharf/platform_service/etcd.py
+++ b/src/mulberrywharf/platform_service/etcd.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import errors
-from mulberrywharf.platform_service import dialect, gateway, http_calls
+from mulberrywharf.platform_service import dialect, http_calls, service_calls
 from mulberrywharf.platform_service.key_value_types import (
     Guard,
     KeyValue,
@@ -25,10 +25,13 @@
 
 @dialect.read_prefix.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, prefix: str, purpose: str
+    _dialect: EtcdGateway,
+    calls: service_calls.Gateway,
+    prefix: str,
+    purpose: str,
 ) -> Result[dialect.Reading, errors.PlatformError]:
     body = {"key": encode_key(prefix), "range_end": encode_prefix_end(prefix)}
-    call = gateway.Call("/v3/kv/range", body, "range", purpose, False)
+    call = service_calls.Call("/v3/kv/range", body, "range", purpose, False)
     return calls.send(call).map(
         lambda answer: (
             [decode_key_value(kv) for kv in answer.get("kvs", [])],
@@ -39,9 +42,9 @@
 
 @dialect.read_key.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, key: str, purpose: str
+    _dialect: EtcdGateway, calls: service_calls.Gateway, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
-    call = gateway.Call(
+    call = service_calls.Call(
         "/v3/kv/range", {"key": encode_key(key)}, "range", purpose, False
     )
     return calls.send(call).map(_first_key)
@@ -54,7 +57,9 @@
 
 @dialect.open_watch.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, request: dialect.WatchRequest
+    _dialect: EtcdGateway,
+    calls: service_calls.Gateway,
+    request: dialect.WatchRequest,
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
     create_request = {
         "key": encode_key(request.prefix),
@@ -116,7 +121,7 @@
 
 @dialect.write_key.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, write: dialect.KeyWrite
+    _dialect: EtcdGateway, calls: service_calls.Gateway, write: dialect.KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
     operations = [_write_operation(write), _revision_read(write.key)]
     body = {
@@ -124,7 +129,7 @@
         "success": operations,
         "failure": [_revision_read(guard.key) for guard in write.guards],
     }
-    call = gateway.Call("/v3/kv/txn", body, "txn", write.purpose, True)
+    call = service_calls.Call("/v3/kv/txn", body, "txn", write.purpose, True)
     sent = calls.send(call)
     if isinstance(sent, Err):
         return sent
@@ -137,23 +142,31 @@
 
 @dialect.grant_lease.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, ttl_s: float, purpose: str
+    _dialect: EtcdGateway,
+    calls: service_calls.Gateway,
+    ttl_s: float,
+    purpose: str,
 ) -> Result[int, errors.PlatformError]:
     body = {"TTL": str(max(1, int(ttl_s)))}
     # is_write is False because the call is safe to retry: if the response is
     # lost, the granted lease has no keys and expires by itself.
-    call = gateway.Call("/v3/lease/grant", body, "lease_grant", purpose, False)
+    call = service_calls.Call(
+        "/v3/lease/grant", body, "lease_grant", purpose, False
+    )
     return calls.send(call).map(lambda answer: int(answer["ID"]))
 
 
 @dialect.keep_alive.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
+    _dialect: EtcdGateway,
+    calls: service_calls.Gateway,
+    lease_id: int,
+    purpose: str,
 ) -> Result[float, errors.PlatformError]:
     body = {"ID": str(lease_id)}
     # is_write is False because the call is safe to retry: renewing twice has
     # no further effect.
-    call = gateway.Call(
+    call = service_calls.Call(
         "/v3/lease/keepalive", body, "lease_keepalive", purpose, False
     )
     sent = calls.send(call)
@@ -167,10 +180,13 @@
 
 @dialect.revoke.register
 def _(
-    _dialect: EtcdGateway, calls: gateway.Gateway, lease_id: int, purpose: str
+    _dialect: EtcdGateway,
+    calls: service_calls.Gateway,
+    lease_id: int,
+    purpose: str,
 ) -> Result[None, errors.PlatformError]:
     body = {"ID": str(lease_id)}
-    call = gateway.Call(
+    call = service_calls.Call(
         "/v3/lease/revoke", body, "lease_revoke", purpose, False
     )
     return calls.send(call).map(lambda _: None)
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from mulberrywharf import clock, errors, settings
-from mulberrywharf.platform_service import call_budget, etcd, gateway
+from mulberrywharf.platform_service import call_budget, etcd, service_calls
 from mulberrywharf.platform_service import dialect as dialect_module
 from mulberrywharf.platform_service import watch as watch_module
 from mulberrywharf.platform_service.key_value_types import (
@@ -52,7 +52,7 @@
             dialect: Dialect of the service; None for etcd's JSON gateway.
         """
         self._dialect = dialect or etcd.EtcdGateway()
-        self._gateway = gateway.Gateway(
+        self._gateway = service_calls.Gateway(
             endpoints,
             timeout_s=timeout_s,
             purpose_budgets=purpose_budgets,
@@ -128,7 +128,7 @@
         """
         self._gateway.era.on_restored(callback)
 
-    def forget_restored(self, callback: Callable[[], None]) -> None:
+    def remove_on_restored(self, callback: Callable[[], None]) -> None:
         """Removes a callback registered with ``on_restored``."""
         self._gateway.era.remove_callback(callback)
 
--- a/src/mulberrywharf/platform_service/lease.py
+++ b/src/mulberrywharf/platform_service/lease.py
@@ -226,7 +226,7 @@
             self._on_lost(errors.AuthorityLostError(message))
 
     def _clear(self) -> None:
-        self._client.forget_restored(self._on_restored)
+        self._client.remove_on_restored(self._on_restored)
         self._is_lost = True
         self._lease_id = 0
         self._valid_until_s = _NOT_HELD_S
--- a/src/mulberrywharf/platform_service/gateway.py
+++ b/src/mulberrywharf/platform_service/service_calls.py
@@ -155,7 +155,7 @@
         self.record_success()
         return Ok(stream)
 
-    def open_poll(self, *, attempt: int, timeout_s: float) -> "Poll":
+    def open_long_poll(self, *, attempt: int, timeout_s: float) -> "Poll":
         """Creates a separate connection for long-polling calls.
 
         Args:
--- a/src/mulberrywharf/programs/_controller_config.py
+++ b/src/mulberrywharf/programs/_controller_config.py
@@ -58,7 +58,7 @@
         self._held = held
         self._last_read_s = now_s
         if found.ok_value is not None:
-            offered = self._follower.offer(found.ok_value.value)
+            offered = self._follower.apply_if_newer(found.ok_value.value)
             if isinstance(offered, Err):
                 logger.warning("configuration: {}", offered.err_value.message)
         return True
--- a/src/mulberrywharf/programs/_controller_lease.py
+++ b/src/mulberrywharf/programs/_controller_lease.py
@@ -12,7 +12,7 @@
 
 from mulberrywharf import clock as clocks
 from mulberrywharf import errors, fleet, metrics, settings
-from mulberrywharf.authority import lease_fuse, record_store
+from mulberrywharf.authority import lease_watchdog, record_store
 from mulberrywharf.operators import audit
 from mulberrywharf.platform_service import key_value, lease, watch
 
@@ -82,7 +82,7 @@
     def __init__(
         self,
         key_value_client: key_value.KeyValueClient,
-        fuse: lease_fuse.LeaseFuse,
+        watchdog: lease_watchdog.LeaseWatchdog,
         clock: clocks.Clock,
         audit_log: audit.AuditLog,
         *,
@@ -92,7 +92,7 @@
         operators_address: fleet.Address | None = None,
     ):
         self._key_value = key_value_client
-        self._fuse = fuse
+        self._watchdog = watchdog
         self._clock = clock
         self._audit = audit_log
         self._vm_id = vm_id
@@ -113,7 +113,7 @@
         cls,
         config: settings.Settings,
         key_value_client: key_value.KeyValueClient,
-        fuse: lease_fuse.LeaseFuse,
+        watchdog: lease_watchdog.LeaseWatchdog,
         clock: clocks.Clock,
         audit_log: audit.AuditLog,
         *,
@@ -124,7 +124,7 @@
         Args:
             config: Settings of the process.
             key_value_client: Client of the service that stores the lease.
-            fuse: Timer that kills the process before the lease ends.
+            watchdog: Timer that kills the process before the lease ends.
             clock: Monotonic and wall clock.
             audit_log: Receives an entry for each lease acquired or lost.
             operators_port: TCP port of the admin listener, which the settings
@@ -133,7 +133,7 @@
         controller = config.get("controller", {})
         return cls(
             key_value_client,
-            fuse,
+            watchdog,
             clock,
             audit_log,
             vm_id=config["vm_id"],
@@ -176,7 +176,7 @@
         gevent.spawn(held.holder.close)
 
     def _become_standby(self, held: HeldLease, why: str) -> None:
-        self._fuse.step_down()
+        self._watchdog.step_down()
         self.held = None
         self.on_step_down()
         self._audit.record(audit.LeaseLost(self._key, held.fencing_number, why))
@@ -231,8 +231,8 @@
         created = holder.create_key(self._key, self._value(granted.ok_value))
         if isinstance(created, Err):
             return False
-        if not self._fuse.renewed(holder.valid_until_monotonic_s):
-            self._fuse.step_down()
+        if not self._watchdog.on_renewed(holder.valid_until_monotonic_s):
+            self._watchdog.step_down()
             return False
         self.held = HeldLease(
             holder,
@@ -241,7 +241,7 @@
             self._clock.monotonic_s(),
         )
         self._audit.record(
-            audit.LeaseTaken(self._key, self.held.fencing_number)
+            audit.LeaseAcquired(self._key, self.held.fencing_number)
         )
         _held_gauge.set({}, 1)
         _transitions.inc({"to": "active"})
@@ -265,7 +265,7 @@
     def _on_renewed(self, valid_until_monotonic_s: float) -> None:
         if self.held is None:
             return
-        if not self._fuse.renewed(valid_until_monotonic_s):
+        if not self._watchdog.on_renewed(valid_until_monotonic_s):
             self.step_down("the response to the lease renewal arrived too late")
 
     def _on_lost(self, error: errors.AuthorityLostError) -> None:
@@ -279,7 +279,7 @@
         it only has to return to standby.
         """
         while self.held is not None:
-            if not self._fuse.holds():
+            if not self._watchdog.may_order():
                 self.step_down("the lease could not be renewed in time")
                 return
             gevent.sleep(self._ttl_s * _CHECK_INTERVAL_TTL_SHARE)
--- a/src/mulberrywharf/programs/_controller_observer.py
+++ b/src/mulberrywharf/programs/_controller_observer.py
@@ -15,7 +15,7 @@
     situation_builder,
     wanted_states,
 )
-from mulberrywharf.engines import state
+from mulberrywharf.engines import load_client
 from mulberrywharf.platform_service import configuration
 from mulberrywharf.policy import role_planner
 from mulberrywharf.programs import _controller_options, _controller_rates
@@ -142,7 +142,7 @@
         self,
         vms: Mapping[str, fleet.VmRecord],
         records: Mapping[str, order_records.OrderRecord],
-    ) -> dict[str, situation_builder.SeenReport]:
+    ) -> dict[str, situation_builder.AgedReport]:
         due = engines_to_read(list(vms), self._reports, records)
         results = self._reads.map(_read_engine, [vms[e] for e in due])
         for engine_id, result in zip(due, results, strict=True):
@@ -155,7 +155,7 @@
         self._tracker.observe(list(self._reports.values()))
         now_unix_s = self._clock.unix_s()
         return {
-            engine_id: situation_builder.SeenReport(
+            engine_id: situation_builder.AgedReport(
                 report, max(0.0, now_unix_s - report.reported_unix_s)
             )
             for engine_id, report in self._reports.items()
@@ -164,7 +164,7 @@
     def _situation(
         self,
         vms: Mapping[str, fleet.VmRecord],
-        reports: Mapping[str, situation_builder.SeenReport],
+        reports: Mapping[str, situation_builder.AgedReport],
         demand: role_planner.Demand | None,
     ) -> rules.Situation:
         situation = situation_builder.build(
@@ -231,7 +231,7 @@
 
 def _facts(
     vms: Mapping[str, fleet.VmRecord],
-    reports: Mapping[str, situation_builder.SeenReport],
+    reports: Mapping[str, situation_builder.AgedReport],
     records: Mapping[str, order_records.OrderRecord],
     wanted: Mapping[str, findings.WantedEngine],
     accepted_unix_s: Mapping[str, float],
@@ -255,4 +255,4 @@
 def _read_engine(
     vm: fleet.VmRecord,
 ) -> Result[fleet.LoadReport, errors.EngineError]:
-    return state.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
+    return load_client.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
--- a/src/mulberrywharf/programs/_controller_options.py
+++ b/src/mulberrywharf/programs/_controller_options.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from mulberrywharf import settings
-from mulberrywharf.authority import quiet_time
+from mulberrywharf.authority import takeover_delay
 from mulberrywharf.policy import role_planner
 
 _DEFAULT_EVALUATE_INTERVAL_S = 1.0
@@ -19,7 +19,8 @@
         clock_margin_s: Allowed difference between clocks, in seconds.
         user_timeout_s: How long sent order bytes may stay unacknowledged, in
             seconds.
-        quiet: From when a new lease holder may send orders to an engine.
+        delay_after_takeover: From when a new lease holder may send orders to an
+            engine.
         planner: Settings of the role planner.
     """
 
@@ -28,7 +29,7 @@
     evaluate_interval_s: float
     clock_margin_s: float
     user_timeout_s: float
-    quiet: quiet_time.QuietTime
+    delay_after_takeover: takeover_delay.TakeoverDelay
     planner: role_planner.PlannerSettings
 
     @classmethod
@@ -53,7 +54,7 @@
             ),
             clock_margin_s=margin_s,
             user_timeout_s=timeout_s,
-            quiet=quiet_time.QuietTime(
+            delay_after_takeover=takeover_delay.TakeoverDelay(
                 ttl_s, timeout_s, margin_s, frozenset(kinds)
             ),
             planner=role_planner.PlannerSettings.from_config(config),
--- a/src/mulberrywharf/programs/_controller_records.py
+++ b/src/mulberrywharf/programs/_controller_records.py
@@ -6,7 +6,7 @@
 
 from mulberrywharf import clock as clocks
 from mulberrywharf import metrics
-from mulberrywharf.authority import order_records, quiet_time, record_store
+from mulberrywharf.authority import order_records, record_store, takeover_delay
 from mulberrywharf.operators import audit
 from mulberrywharf.programs import _controller_lease, _controller_options
 
@@ -40,7 +40,7 @@
         self._clock = clock
         self._audit = audit_log
         self._held: _controller_lease.HeldLease | None = None
-        self.takeover = quiet_time.Takeover(0.0, True)
+        self.takeover = takeover_delay.Takeover(0.0, True)
         self.change_ends_unix_s: tuple[float, ...] = ()
 
     @property
@@ -69,7 +69,7 @@
         if isinstance(claimed, Err):
             return claimed
         self._held = held
-        self.takeover = quiet_time.Takeover(
+        self.takeover = takeover_delay.Takeover(
             acquired_s=held.acquired_s,
             predecessor_unsettled=(
                 predecessor is not None and not predecessor.settled
@@ -92,7 +92,7 @@
         """
         if not changed:
             return Ok(None)
-        before = self._store.zone_records.without_gone(
+        before = self._store.zone_records.without_removed_engines(
             engine_ids, self._clock.unix_s()
         ).records
         written = self._write(held, {**before, **changed}, settled=False)
@@ -121,11 +121,11 @@
         """Records for the next holder that no order can still arrive.
 
         The caller ensures this for its own orders. Those of its predecessor
-        may still arrive until the quiet time is over.
+        may still arrive until the takeover delay has ended.
         """
         if self._held is not held:
             return
-        if self._options.quiet.all_over(
+        if self._options.delay_after_takeover.has_ended(
             self.takeover, self._clock.monotonic_s()
         ):
             self._write(held, self.by_engine, settled=True)
--- a/src/mulberrywharf/programs/_controller_sending.py
+++ b/src/mulberrywharf/programs/_controller_sending.py
@@ -8,7 +8,7 @@
 import gevent.pool
 
 from mulberrywharf import errors, fleet, metrics
-from mulberrywharf.authority import lease_fuse
+from mulberrywharf.authority import lease_watchdog
 from mulberrywharf.engines import orders
 
 _CONCURRENT_ORDERS_COUNT = 32
@@ -43,8 +43,10 @@
 class OrderSender:
     """Sends orders while the lease is held, and cancels them when it ends."""
 
-    def __init__(self, fuse: lease_fuse.LeaseFuse, *, user_timeout_s: float):
-        self._fuse = fuse
+    def __init__(
+        self, watchdog: lease_watchdog.LeaseWatchdog, *, user_timeout_s: float
+    ):
+        self._watchdog = watchdog
         self._user_timeout_s = user_timeout_s
         self._pool = gevent.pool.Pool(_CONCURRENT_ORDERS_COUNT)
 
@@ -72,7 +74,7 @@
     ) -> SentOrder:
         def before_send() -> None:
             check()
-            self._fuse.check()
+            self._watchdog.check()
 
         result = orders.send_order(
             outgoing.address,
--- a/src/mulberrywharf/programs/_controller_status.py
+++ b/src/mulberrywharf/programs/_controller_status.py
@@ -2,7 +2,7 @@
 
 from mulberrywharf import settings
 from mulberrywharf.authority import findings
-from mulberrywharf.operators import order_status, situations, status
+from mulberrywharf.operators import order_status, status, status_conversion
 from mulberrywharf.programs import _controller_lease, _controller_observer
 
 
@@ -50,9 +50,11 @@
         ),
     )
     if view.match is not None:
-        report["rule"] = situations.rule_status(view.match, view.config_version)
+        report["rule"] = status_conversion.rule_status(
+            view.match, view.config_version
+        )
     if view.situation is not None:
-        report["situation"] = situations.situation_status(view.situation)
+        report["situation"] = status_conversion.situation_status(view.situation)
     return report
 
 
--- a/src/mulberrywharf/programs/_controller_zone.py
+++ b/src/mulberrywharf/programs/_controller_zone.py
@@ -208,7 +208,7 @@
             if step.planned and not may_plan:
                 continue
             if isinstance(
-                finding, findings.Astray
+                finding, findings.NotAsDesired
             ) and not self._may_start_order(engine_id, step.record):
                 continue
             may_plan = may_plan and not step.planned
@@ -218,12 +218,12 @@
     def _holder(
         self, held: _controller_lease.HeldLease, vm: fleet.VmRecord
     ) -> findings.Holder:
-        ends_s = self._options.quiet.ends_s(
+        ends_s = self._options.delay_after_takeover.ends_s(
             self._records.takeover, vm.engine_kind
         )
         return findings.Holder(
             held.fencing_number,
-            quiet=self._clock.monotonic_s() < ends_s,
+            is_waiting=self._clock.monotonic_s() < ends_s,
             clock_margin_s=self._options.clock_margin_s,
         )
 
--- a/src/mulberrywharf/programs/_ctl_apply.py
+++ b/src/mulberrywharf/programs/_ctl_apply.py
@@ -237,7 +237,7 @@
                 held_version=held_version, seen_version=newest_version
             )
         )
-    holds = store.still_holds(accepted)
+    holds = store.includes(accepted)
     if isinstance(holds, Err):
         return holds
     if holds.ok_value:
--- a/src/mulberrywharf/programs/_ctl_plan.py
+++ b/src/mulberrywharf/programs/_ctl_plan.py
@@ -5,8 +5,8 @@
 
 from result import Err, Ok
 
-from mulberrywharf.operators.situations import situation_from_status
 from mulberrywharf.operators.status import StatusReport
+from mulberrywharf.operators.status_conversion import situation_from_status
 from mulberrywharf.programs._ctl_check import (
     fault_result,
     load_and_check,
@@ -26,7 +26,7 @@
 )
 from mulberrywharf.programs._ctl_show import diff_lines
 from mulberrywharf.rules import Document, WantedRoles, wanted_roles
-from mulberrywharf.rules.configuration import diff
+from mulberrywharf.rules.audit_trail import diff
 from mulberrywharf.rules.explain import reason
 from mulberrywharf.rules.match import Match, match_once
 
--- a/src/mulberrywharf/programs/_ctl_show.py
+++ b/src/mulberrywharf/programs/_ctl_show.py
@@ -11,7 +11,7 @@
 from mulberrywharf.programs._ctl_context import Context
 from mulberrywharf.programs._ctl_result import CommandResult, ExitCode
 from mulberrywharf.programs._ctl_result import error_result as _error_result
-from mulberrywharf.rules.configuration import AuditEntry, DiffLine
+from mulberrywharf.rules.audit_trail import AuditEntry, DiffLine
 
 
 def run_show(context: Context) -> CommandResult:
--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -15,9 +15,9 @@
     gateway_settings,
     server_ends,
 )
-from mulberrywharf.authority import role_holder, role_keeper
+from mulberrywharf.authority import duty_holder, role_manager
 from mulberrywharf.callers import listener, routed_server
-from mulberrywharf.customers import admission, usage
+from mulberrywharf.customers import authentication, usage
 from mulberrywharf.duties import client as duty_client
 from mulberrywharf.duties import usage_reporter
 from mulberrywharf.engines import role_orders
@@ -57,7 +57,7 @@
 
 _MS_PER_S = 1000.0
 READINESS_INTERVAL_S = 0.2
-DUTY_TIMING = role_holder.HolderTiming(lease_ttl_s=3.0, look_interval_s=1.5)
+DUTY_TIMING = duty_holder.HolderTiming(lease_ttl_s=3.0, check_interval_s=1.5)
 """Lease timing of the usage duty. A report is due about ten seconds after the
 end of its window; a successor takes over from a failed duty holder within
 five."""
@@ -161,7 +161,7 @@
         self._routes.on_change(lambda _: self._revision_exchange.on_change())
         self._listener = _listener(config)
         self._duties: tuple[
-            usage_reporter.UsageReporter | role_holder.RoleHolder, ...
+            usage_reporter.UsageReporter | duty_holder.DutyHolder, ...
         ] = ()
         self._usage_exchange: usage_exchange.UsageExchange | None = None
         on_request_started = self._usage_parts()
@@ -295,16 +295,16 @@
 
     def _role_parts(
         self,
-    ) -> tuple[role_keeper.RoleKeeper, role_holder.RoleHolder] | tuple[()]:
+    ) -> tuple[role_manager.RoleManager, duty_holder.DutyHolder] | tuple[()]:
         """Creates the parts that order engine roles, in the order to close."""
         if "roles" not in self._config:
             return ()
-        holder = role_holder.RoleHolder(
+        holder = duty_holder.DutyHolder(
             self._store,
             self._config["vm_id"],
-            turn_s=self._config["roles"]["turn_ms"] / _MS_PER_S,
+            min_lease_s=self._config["roles"]["turn_ms"] / _MS_PER_S,
         )
-        keeper = role_keeper.RoleKeeper(
+        manager = role_manager.RoleManager(
             holder,
             _Engines(
                 self._servers,
@@ -320,7 +320,7 @@
             self._on_role_ordered,
             self._servers.mark_restarted,
         )
-        return keeper, holder
+        return manager, holder
 
     def _on_role_ordered(self, server: fleet.Server) -> None:
         self._tracker.role_change_ordered(
@@ -367,12 +367,12 @@
             window_timing.length_s,
             wall_clock.unix_s,
         )
-        holder = role_holder.RoleHolder(
+        holder = duty_holder.DutyHolder(
             self._store,
             self._config["vm_id"],
-            turn_s=settings["lease_ms"] / _MS_PER_S,
+            min_lease_s=settings["lease_ms"] / _MS_PER_S,
             timing=DUTY_TIMING,
-            duty=role_holder.Duty(
+            duty=duty_holder.Duty(
                 "usage",
                 "mulberrywharf/usage/",
                 is_fencing_checked=settings["checks_fencing"],
@@ -383,7 +383,7 @@
         client = duty_client.DutyClient(
             fleet.Address(platform["ip"], platform["port"]),
             duties.DutyDialect(),
-            user_timeout_s=role_holder.USER_TIMEOUT_S,
+            user_timeout_s=duty_holder.USER_TIMEOUT_S,
             before_send=holder.check,
         )
         reporter = usage_reporter.UsageReporter(
@@ -427,7 +427,7 @@
                     self._clock,
                 )
             ),
-            customers=admission.CustomerAdmission(
+            customers=authentication.CustomerAdmission(
                 self._freshness, _revocation_bound_s(self._config)
             ),
             system_clock=self._clock,
@@ -477,10 +477,10 @@
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
         """Returns the engines that accept new requests, by service."""
         routes = self._routes.current()
-        services = routes.prompt_services() if routes else frozenset()
+        services = routes.engine_services() if routes else frozenset()
         return {name: self._servers.usable(name) for name in services}
 
-    def may_ask(self, server: fleet.Server) -> bool:
+    def accepts_calls(self, server: fleet.Server) -> bool:
         """Returns whether this gateway may send anything to an engine now.
 
         It may not until the engine's last Retry-After has passed.
--- a/src/mulberrywharf/programs/_router.py
+++ b/src/mulberrywharf/programs/_router.py
@@ -21,9 +21,9 @@
     _router_status,
 )
 from mulberrywharf.requests import (
+    background_tasks,
     demand_rates,
     generation,
-    in_flight,
     service_call,
 )
 
@@ -62,7 +62,7 @@
             self._platform,
             fleet.Address(callers["listen"]["ip"], caller_listener.port),
         )
-        self._background = in_flight.InFlight()
+        self._background = background_tasks.InFlight()
         self._build_request_pipelines(callers, caller_listener)
         self._readiness: gevent.Greenlet | None = None
 
@@ -211,7 +211,7 @@
 
     def _is_ready(self) -> bool:
         has_configuration = self._configuration.catalogue() is not None
-        return has_configuration and self._backends.knows_vms()
+        return has_configuration and self._backends.has_vm_list()
 
     def _status(self) -> status.StatusReport:
         return status.StatusReport(
--- a/src/mulberrywharf/programs/_router_backends.py
+++ b/src/mulberrywharf/programs/_router_backends.py
@@ -6,7 +6,7 @@
 
 from mulberrywharf import clock, fleet, settings
 from mulberrywharf.backend_servers import client, directory
-from mulberrywharf.engines import loads
+from mulberrywharf.engines import load_reader
 from mulberrywharf.policy import prefix_index
 from mulberrywharf.programs import _router_drains, _router_platform
 from mulberrywharf.requests import places
@@ -32,7 +32,7 @@
         rng: random.Random,
     ):
         index = prefix_index.PrefixIndex.from_config()
-        self.loads = loads.LoadReader.from_config(
+        self.loads = load_reader.LoadReader.from_config(
             config.get("engines"), sink=index, now=system_clock, chance=rng
         )
         self.places = places.EnginePlaces(
@@ -50,7 +50,7 @@
         self._backend_addresses: frozenset[fleet.Address] = frozenset()
         self._greenlet: gevent.Greenlet | None = None
 
-    def knows_vms(self) -> bool:
+    def has_vm_list(self) -> bool:
         """Tells whether a VM list was received, so that targets are known."""
         return self._vm_list_version > 0
 
--- a/src/mulberrywharf/programs/_router_configuration.py
+++ b/src/mulberrywharf/programs/_router_configuration.py
@@ -52,7 +52,7 @@
         )
         self._apply()
         self._audit.record(
-            audit.ConfigurationInForce(
+            audit.ConfigurationActivated(
                 new_configuration.version,
                 new_configuration.author,
                 new_configuration.change_id,
--- a/src/mulberrywharf/programs/_router_nodes.py
+++ b/src/mulberrywharf/programs/_router_nodes.py
@@ -63,7 +63,7 @@
 
     def serve_rates(self, rates: demand_rates.DemandRates) -> None:
         """Answers the zone's controller with the rates of this router."""
-        node_rates.answer_from(
+        node_rates.register_rates_handler(
             self._server, lambda: rates.read(time.monotonic())
         )
 
--- a/src/mulberrywharf/programs/_router_rules.py
+++ b/src/mulberrywharf/programs/_router_rules.py
@@ -10,7 +10,7 @@
 
 from mulberrywharf import clock, fleet, rules
 from mulberrywharf.authority import situation_builder
-from mulberrywharf.engines import loads
+from mulberrywharf.engines import load_reader
 from mulberrywharf.nodes import mesh
 from mulberrywharf.platform_service import config_follower, vm_list
 from mulberrywharf.policy import role_planner
@@ -28,7 +28,7 @@
         availability_zone: str,
         *,
         follower: config_follower.ConfigFollower,
-        reader: loads.LoadReader,
+        reader: load_reader.LoadReader,
         vms: vm_list.VmListReader,
         node_mesh: mesh.NodeMesh,
         rates: demand_rates.DemandRates,
@@ -80,7 +80,7 @@
             if view.vm.availability_zone == self._zone
         ]
         seen = {
-            view.vm.vm_id: situation_builder.SeenReport(
+            view.vm.vm_id: situation_builder.AgedReport(
                 view.report, view.report_age_s
             )
             for view in views
@@ -106,7 +106,7 @@
         )
 
     def _demand(
-        self, seen: dict[str, situation_builder.SeenReport]
+        self, seen: dict[str, situation_builder.AgedReport]
     ) -> role_planner.Demand | None:
         self._tracker.observe([entry.report for entry in seen.values()])
         return self._tracker.demand(list(seen.values()))
--- a/src/mulberrywharf/programs/_router_sharing.py
+++ b/src/mulberrywharf/programs/_router_sharing.py
@@ -16,7 +16,7 @@
 from result import Ok
 
 from mulberrywharf import clock, fleet, metrics
-from mulberrywharf.engines import loads, state
+from mulberrywharf.engines import load_client, load_reader
 from mulberrywharf.nodes import mesh, slices
 from mulberrywharf.platform_service import vm_list
 from mulberrywharf.policy import limits, shares
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        reader: loads.LoadReader,
+        reader: load_reader.LoadReader,
         node_mesh: mesh.NodeMesh,
         system_clock: clock.Clock,
         rng: random.Random,
@@ -84,9 +84,9 @@
         own = frozenset(vm.vm_id for vm in self._mesh.engine_slice())
         self._publish(views, own)
         if len(views) <= WHOLE_FLEET_LIMIT_COUNT:
-            self._reader.set_slice(None)
+            self._reader.set_polled_engines(None)
             return
-        self._reader.set_slice(own)
+        self._reader.set_polled_engines(own)
         others = [view for view in views if view.vm.vm_id not in own]
         self._read_due(others)
         self._apply_coarse_loads(others, self._mesh.coarse_loads())
@@ -114,13 +114,13 @@
         return known is None or known.next_read_s <= now_s
 
     def _read(self, vm: fleet.VmRecord) -> None:
-        read = state.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
+        read = load_client.read_load(vm.address, timeout_s=_READ_TIMEOUT_S)
         if not isinstance(read, Ok) or read.ok_value.engine_id != vm.vm_id:
             return
         delay_s = FULL_READ_INTERVAL_S * self._rng.uniform(0.5, 1.0)
         next_read_s = self._clock.monotonic_s() + delay_s
         self._known[vm.vm_id] = _OutsideEngine(read.ok_value, next_read_s)
-        self._reader.accept(read.ok_value, 0.0)
+        self._reader.record_report(read.ok_value, 0.0)
 
     def _apply_coarse_loads(
         self,
@@ -136,7 +136,7 @@
                 known.next_read_s = 0.0
             known.was_serving = aged.load.is_serving
             report = slices.refresh(known.report, aged.load)
-            self._reader.accept(report, aged.age_s)
+            self._reader.record_report(report, aged.age_s)
 
 
 class LimitSharing:
@@ -194,7 +194,9 @@
     another zone, and a growing age of the VM list.
     """
 
-    def __init__(self, reader: loads.LoadReader, vms: vm_list.VmListReader):
+    def __init__(
+        self, reader: load_reader.LoadReader, vms: vm_list.VmListReader
+    ):
         self._reader = reader
         self._vms = vms
         self._zones: set[str] = set()
--- a/src/mulberrywharf/programs/controller.py
+++ b/src/mulberrywharf/programs/controller.py
@@ -20,7 +20,7 @@
 
 from mulberrywharf import _wsgi, settings
 from mulberrywharf import clock as clocks
-from mulberrywharf.authority import lease_fuse, record_store
+from mulberrywharf.authority import lease_watchdog, record_store
 from mulberrywharf.operators import audit, server, status
 from mulberrywharf.platform_service import (
     config_follower,
@@ -87,7 +87,7 @@
         self._load_permissions = _controller_weights.LoadPermissions(
             weight_store.WeightStoreClient.from_config(config)
         )
-        fuse = lease_fuse.LeaseFuse(
+        watchdog = lease_watchdog.LeaseWatchdog(
             clock,
             margin_s=_controller_options.clock_margin_s(config),
             user_timeout_s=_controller_options.user_timeout_s(config),
@@ -99,7 +99,7 @@
         self._lease_keeper = _controller_lease.LeaseKeeper.from_config(
             config,
             self._key_value,
-            fuse,
+            watchdog,
             clock,
             self._audit,
             operators_port=self._operators.port,
@@ -108,7 +108,7 @@
             config, self._vm_list.vms, clock
         )
         sender = _controller_sending.OrderSender(
-            fuse, user_timeout_s=_controller_options.user_timeout_s(config)
+            watchdog, user_timeout_s=_controller_options.user_timeout_s(config)
         )
         self._lease_keeper.on_step_down = sender.cancel_all
         self._zone = self._make_zone(sender, mechanisms)
@@ -160,7 +160,11 @@
             self._config, self._lease_keeper.ttl_s
         )
         if not mechanisms.quiet:
-            options = options._replace(quiet=options.quiet._replace(off=True))
+            options = options._replace(
+                delay_after_takeover=options.delay_after_takeover._replace(
+                    is_disabled=True
+                )
+            )
         store = record_store.RecordStore(
             self._key_value,
             f"/mulberry/{deployment}/orders/{zone}",
@@ -206,7 +210,7 @@
 def run(config: settings.Settings, mechanisms: Mechanisms) -> None:
     """Runs a controller until SIGTERM or SIGINT."""
     _startup.configure_logs(config, "controller")
-    lease_fuse.restore_default_alarm()
+    lease_watchdog.restore_default_alarm()
     program = ControllerProgram.from_config(config, mechanisms)
     gevent.signal_handler(signal.SIGTERM, program.stopping.set)
     gevent.signal_handler(signal.SIGINT, program.stopping.set)
--- a/src/mulberrywharf/requests/claimed_call.py
+++ b/src/mulberrywharf/requests/claimed_call.py
@@ -15,7 +15,11 @@
 from mulberrywharf.backend_servers import client
 from mulberrywharf.callers import passthrough
 from mulberrywharf.nodes import claims
-from mulberrywharf.requests import in_flight, kept_answers, service_exchange
+from mulberrywharf.requests import (
+    background_tasks,
+    kept_answers,
+    service_exchange,
+)
 
 _CLAIM_TIMEOUT_S = 4.0
 _RUN_MARGIN_S = 5.0
@@ -78,7 +82,7 @@
         vm_id: str,
         backend: client.BackendClient,
         node_claims: Claims,
-        background: in_flight.InFlight,
+        background: background_tasks.InFlight,
         system_clock: clock.Clock,
         rng: random.Random,
     ):
@@ -91,12 +95,12 @@
         self._answers = kept_answers.AnswerStore()
 
     def run(
-        self, wanted: passthrough.ServiceCall, key: str, run_once: RunCall
+        self, call: passthrough.ServiceCall, key: str, run_once: RunCall
     ) -> passthrough.ServiceAnswer:
         """Returns the answer of the call's only run, now or earlier.
 
         Args:
-            wanted: The call.
+            call: The call.
             key: The idempotency key of the call.
             run_once: Runs the call at a backend server; used if the claim is
                 granted.
@@ -106,22 +110,22 @@
         """
         found_earlier_claim = False
         while True:
-            claimed = self._claim(wanted, key)
+            claimed = self._claim(call, key)
             if isinstance(claimed, Err):
                 raise _adjust_outcome(claimed.err_value, found_earlier_claim)
             if isinstance(claimed.ok_value, claims.ClaimGranted):
-                return self._run_granted(wanted, claimed.ok_value, run_once)
+                return self._run_granted(call, claimed.ok_value, run_once)
             found_earlier_claim = True
-            answer = self._first_answer(wanted, key, claimed.ok_value)
+            answer = self._first_answer(call, key, claimed.ok_value)
             if answer is not None:
                 return answer
             gevent.sleep(self._rng.uniform(0.0, _CLAIM_RETRY_LIMIT_S))
 
     def _claim(
-        self, wanted: passthrough.ServiceCall, key: str
+        self, call: passthrough.ServiceCall, key: str
     ) -> Result[claims.ClaimGranted | claims.ClaimMet, errors.RequestError]:
-        caller = wanted.caller
-        left_s = self._time_left_s(wanted)
+        caller = call.caller
+        left_s = self._time_left_s(call)
         if left_s <= 0:
             return Err(errors.DeadlineExceededError("the deadline has passed"))
         subject = f"{caller.method} {caller.target}\n".encode() + caller.body
@@ -130,18 +134,18 @@
             key,
             claims.digest(subject),
             caller.request_id,
-            run_bound_s=left_s + wanted.timeout_s + _RUN_MARGIN_S,
+            run_bound_s=left_s + call.timeout_s + _RUN_MARGIN_S,
             timeout_s=min(_CLAIM_TIMEOUT_S, left_s),
         )
 
     def _run_granted(
         self,
-        wanted: passthrough.ServiceCall,
+        call: passthrough.ServiceCall,
         granted: claims.ClaimGranted,
         run_once: RunCall,
     ) -> passthrough.ServiceAnswer:
         try:
-            answer = run_once(wanted)
+            answer = run_once(call)
         except errors.RequestError as error:
             if error.outcome == "not-run":
                 self._background.spawn(self._claims.release, granted)
@@ -155,14 +159,14 @@
 
     def _first_answer(
         self,
-        wanted: passthrough.ServiceCall,
+        call: passthrough.ServiceCall,
         key: str,
         earlier_claim: claims.ClaimMet,
     ) -> passthrough.ServiceAnswer | None:
         """Returns the first request's answer, or None to claim again."""
         if earlier_claim.state == "in-progress":
-            left_s = max(0.0, self._time_left_s(wanted))
-            waited = self._claims.wait(wanted.caller.customer, key, left_s)
+            left_s = max(0.0, self._time_left_s(call))
+            waited = self._claims.wait(call.caller.customer, key, left_s)
             if isinstance(waited, Err):
                 # Either the claim was released because nothing ran, or the
                 # owner of the claim's shard is unavailable. The next claim
@@ -170,7 +174,7 @@
                 return None
             earlier_claim = waited.ok_value
         if earlier_claim.state == "done":
-            answer = self._stored_answer(wanted, key, earlier_claim)
+            answer = self._stored_answer(call, key, earlier_claim)
             if answer is not None:
                 _duplicates_total.inc({"result": "answered"})
                 return answer
@@ -194,7 +198,7 @@
 
     def _stored_answer(
         self,
-        wanted: passthrough.ServiceCall,
+        call: passthrough.ServiceCall,
         key: str,
         earlier_claim: claims.ClaimMet,
     ) -> passthrough.ServiceAnswer | None:
@@ -203,22 +207,22 @@
                 earlier_claim.status, earlier_claim.answer
             )
         if earlier_claim.runner_vm_id != self._vm_id:
-            return self._fetch_from_runner(wanted, earlier_claim.runner_address)
-        claim = claims.claim_id(wanted.caller.customer, key)
+            return self._fetch_from_runner(call, earlier_claim.runner_address)
+        claim = claims.claim_id(call.caller.customer, key)
         encoded = self._answers.get(claim)
         if encoded is None:
             return None
         return kept_answers.decode(earlier_claim.status, encoded)
 
     def _fetch_from_runner(
-        self, wanted: passthrough.ServiceCall, runner: fleet.Address
+        self, call: passthrough.ServiceCall, runner: fleet.Address
     ) -> passthrough.ServiceAnswer | None:
         """Sends the request again to the router that ran it and has its answer.
 
         That router finds the completed claim, so it runs nothing. It does not
         forward the request either, because it is the runner itself.
         """
-        caller = wanted.caller
+        caller = call.caller
         request = client.ServiceRequest(
             caller.method,
             caller.target,
@@ -226,7 +230,7 @@
             caller.body,
             caller.request_id,
             idempotent=True,
-            timeout_s=max(_MIN_TIMEOUT_S, self._time_left_s(wanted)),
+            timeout_s=max(_MIN_TIMEOUT_S, self._time_left_s(call)),
         )
         sent = self._backend.send(runner, request)
         if isinstance(sent, Err):
@@ -239,8 +243,8 @@
             return None
         return answer
 
-    def _time_left_s(self, wanted: passthrough.ServiceCall) -> float:
-        return wanted.caller.deadline_s - self._clock.monotonic_s()
+    def _time_left_s(self, call: passthrough.ServiceCall) -> float:
+        return call.caller.deadline_s - self._clock.monotonic_s()
 
 
 def _adjust_outcome(
--- a/src/mulberrywharf/requests/generation.py
+++ b/src/mulberrywharf/requests/generation.py
@@ -20,7 +20,7 @@
     settings,
 )
 from mulberrywharf.callers import request
-from mulberrywharf.engines import handover, loads, resume, streams
+from mulberrywharf.engines import handover, load_reader, resume, streams
 from mulberrywharf.policy import (
     engine_choice,
     limits,
@@ -83,7 +83,7 @@
     def __init__(
         self,
         *,
-        reader: loads.LoadReader,
+        reader: load_reader.LoadReader,
         engine_places: places.EnginePlaces,
         customer_limits: limits.CustomerLimits,
         retries: retry_budget.RetryBudget,
@@ -109,7 +109,7 @@
         self._lengths = output_lengths.OutputLengths()
 
     def generate(
-        self, wanted: request.CompletionRequest
+        self, completion: request.CompletionRequest
     ) -> Iterator[streams.TokenBatch]:
         """Yields the answer; the last batch marks it as complete.
 
@@ -117,52 +117,56 @@
             RequestError: The request was refused, or its answer cannot be
                 completed.
         """
-        self._crashes.check(wanted.caller)
+        self._crashes.check(completion.caller)
         now_s = self._clock.monotonic_s()
-        slot_request = self._slot_request(wanted)
-        self._rates.count(slot_request.customer, wanted.model, now_s)
+        slot_request = self._slot_request(completion)
+        self._rates.count(slot_request.customer, completion.model, now_s)
         expected_tokens = (
-            wanted.prompt_tokens + slot_request.shape.expected_output_tokens
+            completion.prompt_tokens + slot_request.shape.expected_output_tokens
         )
         taken = self._limits.take(slot_request.customer, expected_tokens, now_s)
         if isinstance(taken, Err):
             raise taken.err_value
         self._retries.on_first_attempt(slot_request.customer, now_s)
         attempts = _Attempts(
-            wanted, slot_request, self._reader, self._places, self._crashes
+            completion, slot_request, self._reader, self._places, self._crashes
         )
-        answer = self._make_stream(wanted, slot_request, attempts)
+        answer = self._make_stream(completion, slot_request, attempts)
         try:
             yield from self._record_timing(
-                answer, attempts, wanted.model, now_s
+                answer, attempts, completion.model, now_s
             )
-            self._crashes.note_completed(wanted.caller)
-            self._lengths.record(wanted.model, answer.delivered_count)
+            self._crashes.note_completed(completion.caller)
+            self._lengths.record(completion.model, answer.delivered_count)
         finally:
             attempts.close()
-            used_tokens = wanted.prompt_tokens + answer.delivered_count
+            used_tokens = completion.prompt_tokens + answer.delivered_count
             self._limits.settle(
                 slot_request.customer, expected_tokens, used_tokens
             )
-            _tokens_total.add({"model": wanted.model}, answer.delivered_count)
+            _tokens_total.add(
+                {"model": completion.model}, answer.delivered_count
+            )
 
     def _slot_request(
-        self, wanted: request.CompletionRequest
+        self, completion: request.CompletionRequest
     ) -> places.SlotRequest:
-        caller = wanted.caller
+        caller = completion.caller
         standings = self._standings()
         customer_standing = standings.of(caller.customer)
         # A caller may lower the customer's priority for a request (a higher
         # number), but not raise it.
         priority = max(customer_standing.priority, caller.priority or 0)
         shape = engine_choice.RequestShape(
-            model=wanted.model,
-            adapter=wanted.adapter,
-            prompt_tokens=wanted.prompt_tokens,
+            model=completion.model,
+            adapter=completion.adapter,
+            prompt_tokens=completion.prompt_tokens,
             expected_output_tokens=self._lengths.expected(
-                wanted.model, wanted.max_tokens
+                completion.model, completion.max_tokens
+            ),
+            prompt_block_hashes=prefix_index.prompt_block_hashes(
+                completion.prompt
             ),
-            prompt_block_hashes=prefix_index.prompt_block_hashes(wanted.prompt),
             priority=priority,
             availability_zone=self._availability_zone,
         )
@@ -178,20 +182,20 @@
 
     def _make_stream(
         self,
-        wanted: request.CompletionRequest,
+        completion: request.CompletionRequest,
         slot_request: places.SlotRequest,
         attempts: "_Attempts",
     ) -> resume.ResumingStream:
         def decide(
-            failed: resume.FailedTry,
+            failed: resume.AttemptFailure,
         ) -> retry_budget.Retry | retry_budget.GiveUp:
-            return self._decide(wanted, slot_request, failed)
+            return self._decide(completion, slot_request, failed)
 
         return resume.ResumingStream(
             attempts.generation,
-            next_engine=attempts.next_engine,
+            choose_engine=attempts.choose_engine,
             decide=decide,
-            books=attempts,
+            tracker=attempts,
             prepare=attempts.prepare,
             idle_timeout_s=self._timeouts.idle_s,
             connect_timeout_s=self._timeouts.connect_s,
@@ -220,9 +224,9 @@
 
     def _decide(
         self,
-        wanted: request.CompletionRequest,
+        completion: request.CompletionRequest,
         slot_request: places.SlotRequest,
-        failed: resume.FailedTry,
+        failed: resume.AttemptFailure,
     ) -> retry_budget.Retry | retry_budget.GiveUp:
         _attempts_failed_total.inc({"reason": failed.error.code})
         if failed.progress == "refused":
@@ -231,12 +235,12 @@
         if view is not None:
             _note_possible_crash(
                 self._crashes,
-                wanted,
+                completion,
                 view.vm,
                 failed.error,
                 made_output=failed.made_output,
             )
-        if self._crashes.is_blocked(wanted.caller):
+        if self._crashes.is_blocked(completion.caller):
             return retry_budget.GiveUp(
                 errors.BackEndLostError(failed.error.message, outcome="unknown")
             )
@@ -247,7 +251,7 @@
                 attempt_count=failed.attempt_count,
                 progress=failed.progress,
                 # A generation has no side effects unless the caller says so.
-                is_idempotent=wanted.caller.idempotent is not False,
+                is_idempotent=completion.caller.idempotent is not False,
                 time_left_s=slot_request.deadline_s - now_s,
                 outcome=failed.outcome,
                 # The failed engine's Retry-After is left out because the next
@@ -268,19 +272,19 @@
 
     def __init__(
         self,
-        wanted: request.CompletionRequest,
+        completion: request.CompletionRequest,
         slot_request: places.SlotRequest,
-        reader: loads.LoadReader,
+        reader: load_reader.LoadReader,
         engine_places: places.EnginePlaces,
         crashes: crash_watch.CrashWatch,
     ):
-        self._wanted = wanted
+        self._completion = completion
         self._crashes = crashes
         self.generation = resume.Generation(
-            wanted.caller.path,
-            _engine_body(wanted),
-            run_ids.make(wanted.caller.request_id),
-            wanted.prompt_tokens,
+            completion.caller.path,
+            _engine_body(completion),
+            run_ids.make(completion.caller.request_id),
+            completion.prompt_tokens,
             slot_request.shape.priority,
         )
         self._slot_request = slot_request
@@ -297,7 +301,7 @@
             self._slot.release(failed=False)
             self._slot = None
 
-    def next_engine(
+    def choose_engine(
         self, excluded_engine_ids: frozenset[str]
     ) -> Result[fleet.EngineView, errors.RequestError]:
         """Allocates a slot and returns its decode engine."""
@@ -321,11 +325,11 @@
             )
         return Ok(view)
 
-    def prepare(self, view: fleet.EngineView) -> resume.Prepared:
+    def prepare(self, view: fleet.EngineView) -> resume.PreparedRequest:
         """Has another engine prefill the prompt if the slot is split."""
         slot = self._slot
         if slot is None or not slot.choice.is_split:
-            return resume.Prepared(
+            return resume.PreparedRequest(
                 self.generation.body, self.generation.prompt_tokens
             )
         prefill_vm = slot.choice.prefill
@@ -335,19 +339,19 @@
             self._reader,
             on_failed=lambda error: _note_possible_crash(
                 self._crashes,
-                self._wanted,
+                self._completion,
                 prefill_vm,
                 error,
                 made_output=False,
             ),
         )
 
-    def begin(self, engine_id: str, prompt_tokens: int) -> None:
+    def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         """Records the time at which the request is sent to the engine."""
         self._sent_s = self._places.now_s()
         self._pace = answer_pace.AnswerPace()
 
-    def end(self, engine_id: str, failed: bool) -> None:
+    def request_finished(self, engine_id: str, failed: bool) -> None:
         """Reports the pace of the attempt and releases its slot."""
         if self._slot is not None:
             self._report_pace(self._pace.finish())
@@ -375,7 +379,7 @@
 
 def _note_possible_crash(
     crashes: crash_watch.CrashWatch,
-    wanted: request.CompletionRequest,
+    completion: request.CompletionRequest,
     vm: fleet.VmRecord,
     error: errors.EngineError,
     *,
@@ -384,13 +388,13 @@
     """Reports a failed exchange that may have been caused by a crash."""
     if crash_watch.may_be_crash(error):
         start = fleet.ServerStart(vm.vm_id)
-        run = crash_watch.RequestRun(wanted.caller, start, vm.address)
+        run = crash_watch.RequestRun(completion.caller, start, vm.address)
         crashes.note_connection_lost(run, made_output=made_output)
 
 
-def _engine_body(wanted: request.CompletionRequest) -> dict[str, Any]:
-    body = dict(wanted.body)
-    body["model"] = wanted.model
-    if wanted.adapter:
-        body["adapter"] = wanted.adapter
+def _engine_body(completion: request.CompletionRequest) -> dict[str, Any]:
+    body = dict(completion.body)
+    body["model"] = completion.model
+    if completion.adapter:
+        body["adapter"] = completion.adapter
     return body
--- a/src/mulberrywharf/requests/places.py
+++ b/src/mulberrywharf/requests/places.py
@@ -15,7 +15,7 @@
 from result import Err
 
 from mulberrywharf import clock, errors, fleet, metrics
-from mulberrywharf.engines import loads
+from mulberrywharf.engines import load_reader
 from mulberrywharf.policy import (
     admission,
     concurrency,
@@ -117,7 +117,7 @@
 
     def __init__(
         self,
-        reader: loads.LoadReader,
+        reader: load_reader.LoadReader,
         index: prefix_index.PrefixIndex,
         *,
         system_clock: clock.Clock,
@@ -247,7 +247,7 @@
 
     def release(self, choice: engine_choice.Choice, failed: bool) -> None:
         """Frees a slot and dispatches waiting requests."""
-        self._reader.end(choice.decode.vm_id, failed)
+        self._reader.request_finished(choice.decode.vm_id, failed)
         self._dispatch_all()
 
     # --- state ------------------------------------------------------------
@@ -294,7 +294,7 @@
             slot_request.shape.prompt_block_hashes,
             self.now_s(),
         )
-        self._reader.begin(
+        self._reader.request_started(
             choice.decode.vm_id, 0 if choice.is_split else uncached_tokens
         )
         target_s = slot_request.between_tokens_target_s
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -14,9 +14,9 @@
 from mulberrywharf.callers import passthrough
 from mulberrywharf.policy import limits, outcome, retry_budget
 from mulberrywharf.requests import (
+    background_tasks,
     claimed_call,
     demand_rates,
-    in_flight,
     run_ids,
     service_exchange,
 )
@@ -43,7 +43,7 @@
         customer_limits: limits.CustomerLimits,
         retries: retry_budget.RetryBudget,
         rates: demand_rates.DemandRates,
-        background: in_flight.InFlight,
+        background: background_tasks.InFlight,
         crashes: crash_watch.CrashWatch,
         system_clock: clock.Clock,
         rng: random.Random,
@@ -65,64 +65,60 @@
             rng=rng,
         )
 
-    def call(
-        self, wanted: passthrough.ServiceCall
-    ) -> passthrough.ServiceAnswer:
+    def call(self, call: passthrough.ServiceCall) -> passthrough.ServiceAnswer:
         """Returns the full answer.
 
         Raises:
             RequestError: The call failed; the error has its outcome.
         """
-        self._crashes.check(wanted.caller)
+        self._crashes.check(call.caller)
         now_s = self._clock.monotonic_s()
-        self._rates.count(wanted.caller.customer, "", now_s)
-        taken = self._limits.take(wanted.caller.customer, 0.0, now_s)
+        self._rates.count(call.caller.customer, "", now_s)
+        taken = self._limits.take(call.caller.customer, 0.0, now_s)
         if isinstance(taken, Err):
             raise taken.err_value
-        if self._time_left_s(wanted) <= 0:
+        if self._time_left_s(call) <= 0:
             raise errors.DeadlineExceededError("the deadline has passed")
-        self._retries.on_first_attempt(wanted.caller.customer, now_s)
-        if wanted.idempotent or wanted.caller.idempotency_key is None:
-            return self._run(wanted)
-        return self._run_under_claim(wanted, wanted.caller.idempotency_key)
+        self._retries.on_first_attempt(call.caller.customer, now_s)
+        if call.idempotent or call.caller.idempotency_key is None:
+            return self._run(call)
+        return self._run_under_claim(call, call.caller.idempotency_key)
 
-    def _time_left_s(self, wanted: passthrough.ServiceCall) -> float:
-        return wanted.caller.deadline_s - self._clock.monotonic_s()
+    def _time_left_s(self, call: passthrough.ServiceCall) -> float:
+        return call.caller.deadline_s - self._clock.monotonic_s()
 
     def _run_under_claim(
-        self, wanted: passthrough.ServiceCall, key: str
+        self, call: passthrough.ServiceCall, key: str
     ) -> passthrough.ServiceAnswer:
-        return self._claimed.run(wanted, key, self._run)
+        return self._claimed.run(call, key, self._run)
 
-    def _run(
-        self, wanted: passthrough.ServiceCall
-    ) -> passthrough.ServiceAnswer:
+    def _run(self, call: passthrough.ServiceCall) -> passthrough.ServiceAnswer:
         tried_ids: set[str] = set()
         outcome_so_far: errors.Outcome = "not-run"
-        run_id = run_ids.make(wanted.caller.request_id)
+        run_id = run_ids.make(call.caller.request_id)
         while True:
             chosen = self._servers.choose(
-                wanted.service, self._clock.monotonic_s(), frozenset(tried_ids)
+                call.service, self._clock.monotonic_s(), frozenset(tried_ids)
             )
             if isinstance(chosen, Err):
                 raise _no_server_error(chosen.err_value, outcome_so_far)
             vm = chosen.ok_value
             tried_ids.add(vm.vm_id)
-            attempted = self._attempt(wanted, vm, run_id)
+            attempted = self._attempt(call, vm, run_id)
             if isinstance(attempted, Ok):
                 return attempted.ok_value
-            if self._crashes.is_blocked(wanted.caller):
+            if self._crashes.is_blocked(call.caller):
                 raise errors.BackEndLostError(
                     attempted.err_value.message, outcome="unknown"
                 )
             progress = _progress(attempted.err_value)
             decision = self._retries.decide(
                 retry_budget.FailedAttempt(
-                    customer=wanted.caller.customer,
+                    customer=call.caller.customer,
                     attempt_count=len(tried_ids),
                     progress=progress,
-                    is_idempotent=wanted.idempotent,
-                    time_left_s=self._time_left_s(wanted),
+                    is_idempotent=call.idempotent,
+                    time_left_s=self._time_left_s(call),
                     outcome=outcome_so_far,
                 ),
                 self._rng,
@@ -137,47 +133,47 @@
 
     def _attempt(
         self,
-        wanted: passthrough.ServiceCall,
+        call: passthrough.ServiceCall,
         vm: fleet.VmRecord,
         run_id: str,
     ) -> Result[passthrough.ServiceAnswer, errors.EngineError]:
-        caller = wanted.caller
-        left_s = max(_MIN_TIMEOUT_S, self._time_left_s(wanted))
+        caller = call.caller
+        left_s = max(_MIN_TIMEOUT_S, self._time_left_s(call))
         request = client.ServiceRequest(
             caller.method,
-            wanted.path,
-            wanted.headers,
+            call.path,
+            call.headers,
             caller.body,
             run_id,
-            idempotent=wanted.idempotent,
-            timeout_s=min(wanted.timeout_s, left_s),
+            idempotent=call.idempotent,
+            timeout_s=min(call.timeout_s, left_s),
         )
         sent = self._backend.send(vm.address, request)
         if isinstance(sent, Err):
-            return self._record_failure(wanted, vm, sent.err_value)
+            return self._record_failure(call, vm, sent.err_value)
         try:
             answer = service_exchange.read_whole(sent.ok_value)
         except errors.EngineError as error:
-            return self._record_failure(wanted, vm, error)
+            return self._record_failure(call, vm, error)
         self._servers.succeeded(vm.vm_id)
         if answer.status < _SERVER_ERROR_STATUS:
-            self._crashes.note_completed(wanted.caller)
-        _attempts_total.inc({"service": wanted.service, "result": "answered"})
+            self._crashes.note_completed(call.caller)
+        _attempts_total.inc({"service": call.service, "result": "answered"})
         return Ok(answer)
 
     def _record_failure(
         self,
-        wanted: passthrough.ServiceCall,
+        call: passthrough.ServiceCall,
         vm: fleet.VmRecord,
         error: errors.EngineError,
     ) -> Err[errors.EngineError]:
         self._servers.failed(vm.vm_id, self._clock.monotonic_s())
         if crash_watch.may_be_crash(error):
             run = crash_watch.RequestRun(
-                wanted.caller, fleet.ServerStart(vm.vm_id), vm.address
+                call.caller, fleet.ServerStart(vm.vm_id), vm.address
             )
             self._crashes.note_connection_lost(run, made_output=False)
-        _attempts_total.inc({"service": wanted.service, "result": error.code})
+        _attempts_total.inc({"service": call.service, "result": error.code})
         return Err(error)
 
 
--- a/src/mulberrywharf/routes/table.py
+++ b/src/mulberrywharf/routes/table.py
@@ -160,7 +160,7 @@
                 return route
         return None
 
-    def prompt_services(self) -> frozenset[str]:
+    def engine_services(self) -> frozenset[str]:
         """Returns the names of the services whose servers are engines."""
         return frozenset(
             name for name, service in self.services.items() if service.engine
--- a/src/mulberrywharf/rules/situation.py
+++ b/src/mulberrywharf/rules/situation.py
@@ -22,7 +22,7 @@
     age_s: float
 
 
-UNKNOWN = Reading(None, float("inf"))
+UNKNOWN_READING = Reading(None, float("inf"))
 
 
 class Situation(NamedTuple):
@@ -47,9 +47,9 @@
 
     availability_zone: str
     utc_minute: int
-    prefill_share: Reading = UNKNOWN
-    queue_delay_s: Reading = UNKNOWN
-    engines_lost_count: Reading = UNKNOWN
+    prefill_share: Reading = UNKNOWN_READING
+    queue_delay_s: Reading = UNKNOWN_READING
+    engines_lost_count: Reading = UNKNOWN_READING
     customer_requests_per_s: Mapping[str, float] = _NO_RATES
     model_requests_per_s: Mapping[str, float] = _NO_RATES
     absent_requests_per_s: float | None = 0.0
--- a/tests/authority_faults.py
+++ b/tests/authority_faults.py
@@ -242,7 +242,7 @@
                 "engines_count": 1,
             }
             document["models"] = {self._model: {"adapters": [], "versions": []}}
-        self._zone.accept(document)
+        self._zone.put_configuration(document)
 
     def _has_converged(self) -> bool:
         if not self._zone.has_converged(*self._split):
--- a/tests/builders_authority.py
+++ b/tests/builders_authority.py
@@ -222,7 +222,7 @@
             self.controllers.append(process)
         return process
 
-    def accept(self, document: dict[str, Any]) -> int:
+    def put_configuration(self, document: dict[str, Any]) -> int:
         """Stores a configuration and returns its version."""
         self._version += 1
         built = configuration.build(
--- a/tests/builders_engines.py
+++ b/tests/builders_engines.py
@@ -32,14 +32,14 @@
     Attributes:
         requests: Every complete request received, head and body.
         connection_count: Number of accepted connections.
-        carried_counts: Number of requests per connection, for connections
-            with at least one request.
+        requests_per_connection: Number of requests per connection, for
+            connections with at least one request.
     """
 
     def __init__(self, script: Script):
         self.requests: list[bytes] = []
         self.connection_count = 0
-        self.carried_counts: list[int] = []
+        self.requests_per_connection: list[int] = []
         self._script = script
         self._server = StreamServer(
             ("127.0.0.1", 0), self._serve, spawn=gevent.pool.Pool()
@@ -61,9 +61,9 @@
         try:
             while request := read_request(sock):
                 if number is None:
-                    number = len(self.carried_counts)
-                    self.carried_counts.append(0)
-                self.carried_counts[number] += 1
+                    number = len(self.requests_per_connection)
+                    self.requests_per_connection.append(0)
+                self.requests_per_connection[number] += 1
                 self.requests.append(request)
                 self._script(sock, request)
         except OSError:
--- a/tests/builders_mesh.py
+++ b/tests/builders_mesh.py
@@ -29,7 +29,7 @@
     def current(self):
         return self.held
 
-    def offer(self, raw):
+    def apply_if_newer(self, raw):
         offered = HeldConfiguration(int(raw), raw)
         if offered.version <= self.held.version:
             return Ok(False)
--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -21,7 +21,7 @@
 WAIT_LIMIT_S = 10.0
 DEPLOYMENT = "test"
 
-GENEROUS = call_budget.CallBudget(per_s=10_000.0, burst_count=10_000)
+LARGE_BUDGET = call_budget.CallBudget(per_s=10_000.0, burst_count=10_000)
 PURPOSES = ("test", "config", "config-change", "lease")
 
 
@@ -52,7 +52,7 @@
     return key_value.KeyValueClient(
         [endpoint(port) for port in ports],
         timeout_s=timeout_s,
-        purpose_budgets=dict.fromkeys(PURPOSES, GENEROUS),
+        purpose_budgets=dict.fromkeys(PURPOSES, LARGE_BUDGET),
     )
 
 
--- a/tests/builders_routes.py
+++ b/tests/builders_routes.py
@@ -97,7 +97,9 @@
     return made._replace(**changes)
 
 
-def crashes_of(client: server_client.ServerClient) -> crash_watch.CrashWatch:
+def crash_watch_for(
+    client: server_client.ServerClient,
+) -> crash_watch.CrashWatch:
     system_clock = clock.SystemClock()
     return crash_watch.CrashWatch(
         server_ends.ServerEnds(client, system_clock),
@@ -125,7 +127,8 @@
         [builders_platform.endpoint(port)],
         timeout_s=timeout_s,
         purpose_budgets=dict.fromkeys(
-            ("test", "routes", "servers", "peers"), builders_platform.GENEROUS
+            ("test", "routes", "servers", "peers"),
+            builders_platform.LARGE_BUDGET,
         ),
         dialect=store.StoreDialect(wait_s),
     )
--- a/tests/config_scenarios.py
+++ b/tests/config_scenarios.py
@@ -143,7 +143,7 @@
     return Outcome(ready_s, violations, {"replaced": 1})
 
 
-def find_nothing(running: ConfigCluster, zone: str) -> Outcome:
+def start_without_configuration(running: ConfigCluster, zone: str) -> Outcome:
     """Starts a router that can reach neither the service nor other nodes.
 
     Returns:
@@ -220,7 +220,7 @@
     return Outcome(seconds, violations, counts)
 
 
-def replaced_change(running: ConfigCluster, change_id: str) -> Outcome:
+def change_on_empty_service(running: ConfigCluster, change_id: str) -> Outcome:
     """Applies a change to an empty service while all nodes are paused.
 
     Returns:
--- a/tests/config_without.py
+++ b/tests/config_without.py
@@ -50,7 +50,7 @@
 
 def _ignore_configuration_in_readiness() -> None:
     def is_ready(running: _router.Router) -> bool:
-        return running._backends.knows_vms()
+        return running._backends.has_vm_list()
 
     _patch(_router.Router, "_is_ready", is_ready)
 
--- a/tests/router_without.py
+++ b/tests/router_without.py
@@ -46,9 +46,9 @@
 
 
 def _run_without_claims() -> None:
-    def run(pipeline: Any, wanted: Any, key: str) -> Any:
+    def run(pipeline: Any, call: Any, key: str) -> Any:
         del key
-        return pipeline._run(wanted)
+        return pipeline._run(call)
 
     _patch(service_call.ServiceCallPipeline, "_run_under_claim", run)
 
@@ -128,7 +128,7 @@
     _patch(directory.ServiceDirectory, "set_vms", set_all_live)
 
 
-OFF: dict[str, Callable[[], None]] = {
+PATCHES_BY_MECHANISM: dict[str, Callable[[], None]] = {
     "request-ids": _ignore_request_ids,
     "claims": _run_without_claims,
     "claim-log": _claim_in_memory_only,
@@ -157,11 +157,11 @@
     """Runs the router until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True)
-    parser.add_argument("--off", choices=sorted(OFF))
+    parser.add_argument("--off", choices=sorted(PATCHES_BY_MECHANISM))
     parser.add_argument("--claim-lease-s", type=float, default=0.0)
     arguments = parser.parse_args()
     if arguments.off:
-        OFF[arguments.off]()
+        PATCHES_BY_MECHANISM[arguments.off]()
     if arguments.claim_lease_s:
         _shorten_claim_lease(arguments.claim_lease_s)
     sys.argv = [sys.argv[0], "--settings", arguments.settings]
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -89,7 +89,7 @@
 class ControllerTest(unittest.TestCase):
     def test_controllers_reach_the_wanted_state_and_stop_gracefully(self):
         zone = _zone(self)
-        zone.accept(builders_authority.roles_document(2, 2))
+        zone.put_configuration(builders_authority.roles_document(2, 2))
         self.assertTrue(
             builders_authority.wait_for(lambda: zone.has_converged(2, 2))
         )
@@ -105,14 +105,14 @@
         although the timer is only for suspended processes.
         """
         zone = _zone(self)
-        zone.accept(builders_authority.roles_document(2, 2))
+        zone.put_configuration(builders_authority.roles_document(2, 2))
         wait_for = builders_authority.wait_for
         self.assertTrue(wait_for(lambda: zone.has_converged(2, 2)))
         zone.set_key_value_faults(down=True)
         time.sleep(2.5 * zone.timing.lease_ttl_s)
         self.assertEqual([c.poll() for c in zone.controllers], [None, None])
         zone.set_key_value_faults()
-        zone.accept(builders_authority.roles_document(3, 1))
+        zone.put_configuration(builders_authority.roles_document(3, 1))
         self.assertTrue(wait_for(lambda: zone.has_converged(3, 1)))
 
     def test_silent_watch_does_not_keep_old_rules_in_force(self):
@@ -125,12 +125,12 @@
         """
         zone = builders_authority.Zone(controllers=1)
         self.addCleanup(zone.close)
-        zone.accept(builders_authority.roles_document(1, 3))
+        zone.put_configuration(builders_authority.roles_document(1, 3))
         zone.start_controller(0)
         wait_for = builders_authority.wait_for
         self.assertTrue(wait_for(lambda: zone.has_converged(1, 3)))
         zone.set_proxy_faults("key-value-0", mode="half-open-down")
-        zone.accept(builders_authority.roles_document(3, 1))
+        zone.put_configuration(builders_authority.roles_document(3, 1))
         time.sleep(0.2)
         zone.set_proxy_faults("key-value-0", mode="pass")
         self.assertTrue(wait_for(lambda: zone.has_converged(3, 1), 20.0))
@@ -139,7 +139,7 @@
         """Guards against a response that is cut by a planned role change."""
         zone = _zone(self, engines=1)
         stream = builders_authority.Stream(zone, "engine-0", tokens=300)
-        zone.accept(builders_authority.roles_document(0, 1))
+        zone.put_configuration(builders_authority.roles_document(0, 1))
         self.assertTrue(
             builders_authority.wait_for(lambda: zone.has_converged(0, 1))
         )
@@ -155,7 +155,7 @@
         load = {"model": "waiver-2", "engines_count": 3}
         document["default"]["load"] = load
         document["models"] = {"waiver-2": {"adapters": [], "versions": []}}
-        zone.accept(document)
+        zone.put_configuration(document)
 
         def loaded() -> list[str]:
             return [
--- a/tests/test_config_exchange.py
+++ b/tests/test_config_exchange.py
@@ -46,9 +46,9 @@
         super().__init__(version)
         self.offered: list[int] = []
 
-    def offer(self, raw: bytes) -> Any:
+    def apply_if_newer(self, raw: bytes) -> Any:
         self.offered.append(int(raw))
-        return super().offer(raw)
+        return super().apply_if_newer(raw)
 
 
 class FetchTest(unittest.TestCase):
@@ -106,7 +106,7 @@
         Cause: news waited for the turn of the zone that lacked it.
         """
         self.told()
-        self.nodes[0].configuration.offer(b"7")
+        self.nodes[0].configuration.apply_if_newer(b"7")
         self.assertEqual(self.told(), self.others)
         self.assertNotEqual(self.told(), self.others)
 
@@ -118,7 +118,7 @@
             self.assertEqual(self.told(), self.others)
 
     def test_a_node_that_is_behind_is_answered(self):
-        self.nodes[0].configuration.offer(b"7")
+        self.nodes[0].configuration.apply_if_newer(b"7")
         sender = self.nodes[1]
         for version, answers_count in ((3, 1), (7, 0), (9, 0)):
             with self.subTest(version=version):
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -36,17 +36,17 @@
                 seen: list[int] = []
                 follower.on_change(lambda c, seen=seen: seen.append(c.version))
                 for index in order:
-                    follower.offer(offers[index].raw).unwrap()
+                    follower.apply_if_newer(offers[index].raw).unwrap()
                 self.assertEqual(follower.current(), offers[1])
                 self.assertEqual(seen, sorted(seen))
 
     def test_invalid_configuration_is_ignored(self) -> None:
         follower = self.follower()
-        follower.offer(builders.configuration_of(1).raw).unwrap()
+        follower.apply_if_newer(builders.configuration_of(1).raw).unwrap()
         faulty = builders.configuration_of(2, document={"bad": 1}).raw
         for offered in (b"", b"{}", b"\xff", faulty):
             with self.subTest(offered=offered):
-                refused = follower.offer(offered).unwrap_err()
+                refused = follower.apply_if_newer(offered).unwrap_err()
                 self.assertIsInstance(refused, errors.DocumentError)
         self.assertEqual(follower.version(), 1)
 
@@ -55,7 +55,7 @@
         seen: list[int] = []
         follower.on_change(lambda _: [][0])
         follower.on_change(lambda c: seen.append(c.version))
-        follower.offer(builders.configuration_of(1).raw).unwrap()
+        follower.apply_if_newer(builders.configuration_of(1).raw).unwrap()
         self.assertEqual(seen, [1])
 
     def test_wait_times_out_without_a_configuration(self) -> None:
@@ -126,7 +126,7 @@
         self.change(1)
         self.assert_reaches(follower, 1)
         self.service.set_faults(down=True)
-        follower.offer(builders.configuration_of(2).raw).unwrap()
+        follower.apply_if_newer(builders.configuration_of(2).raw).unwrap()
         self.assertEqual(follower.version(), 2)
 
     def test_restored_service_does_not_revert_nodes(self) -> None:
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -81,7 +81,7 @@
             )
             gevent.sleep(0.5)
             held = builders_platform.configuration_of(5)
-            self.store.reinstate(held).unwrap()
+            self.store.write_back(held).unwrap()
 
         greenlet = gevent.spawn(put_back)
         self.addCleanup(greenlet.kill)
@@ -172,7 +172,9 @@
         any other node yet. If its readiness did not require a configuration,
         the load balancer would send it callers.
         """
-        self.expect_none(config_scenarios.find_nothing(self.running, ZONES[2]))
+        self.expect_none(
+            config_scenarios.start_without_configuration(self.running, ZONES[2])
+        )
 
     def test_newest_version_survives_a_restore_from_a_backup(self):
         """Guards against reverted rules and changes without effect.
@@ -200,7 +202,7 @@
         """
         self.running.apply(config_cluster.document_of("second"))
         self.expect_none(
-            config_scenarios.replaced_change(self.running, "doomed")
+            config_scenarios.change_on_empty_service(self.running, "doomed")
         )
 
 
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -216,8 +216,8 @@
         self.service.restore(backup)
         refused = self.refusal("three", 1, seen_version=2)
         self.assertIsInstance(refused, errors.ConfigStoreBehindError)
-        self.assertTrue(self.store.reinstate(lost).unwrap())
-        self.assertFalse(self.store.reinstate(lost).unwrap())
+        self.assertTrue(self.store.write_back(lost).unwrap())
+        self.assertFalse(self.store.write_back(lost).unwrap())
         self.assertEqual(self.change("three", 2, seen_version=2).version, 3)
 
     def test_change_replaced_after_a_restore_is_detected(self) -> None:
@@ -233,10 +233,10 @@
         latest = self.change("three", 2)
         self.service.restore(backup)
         lost = self.change("lost", 1)
-        self.store.reinstate(latest).unwrap()
-        self.assertFalse(self.store.still_holds(lost).unwrap())
-        self.assertTrue(self.store.still_holds(first).unwrap())
-        self.assertTrue(self.store.still_holds(latest).unwrap())
+        self.store.write_back(latest).unwrap()
+        self.assertFalse(self.store.includes(lost).unwrap())
+        self.assertTrue(self.store.includes(first).unwrap())
+        self.assertTrue(self.store.includes(latest).unwrap())
 
     def test_change_during_an_outage_is_not_written(self) -> None:
         self.service.close()
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -9,7 +9,7 @@
 from mulberrywharf.peers import crash_codec, crash_reports, datagrams
 from mulberrywharf.policy import crash_suspects
 from tests import builders_platform
-from tests.test_peers import KnownPeers
+from tests.test_peers import FakePeers
 
 FINGERPRINT = 2**64 - 5
 
@@ -49,7 +49,7 @@
             self.assertIsInstance(decoded, Err, cut)
 
 
-class LossyPeers(KnownPeers):
+class LossyPeers(FakePeers):
     """Peers to which the first ``lost_count`` datagrams are lost."""
 
     lost_count = 0
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -13,7 +13,7 @@
 import gevent
 
 from mulberrywharf.authority import order_records
-from mulberrywharf.operators.situations import (
+from mulberrywharf.operators.status_conversion import (
     rule_status,
     situation_from_status,
     situation_status,
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from mulberrywharf import errors
-from mulberrywharf.customers import admission, directory
+from mulberrywharf.customers import authentication, directory
 from mulberrywharf.platform import documents, requests
 from mulberrywharf.routes import table
 from tests import builders_customers as build
@@ -215,7 +215,9 @@
 class AdmissionTest(unittest.TestCase):
     def setUp(self) -> None:
         self.freshness = build.FreshnessStub()
-        self.admission = admission.CustomerAdmission(self.freshness, BOUND_S)
+        self.admission = authentication.CustomerAdmission(
+            self.freshness, BOUND_S
+        )
         self.routes = build.routes(1, build.customer_keys("ann", build.KEY))
         self.is_public = False
 
@@ -269,7 +271,7 @@
 
     def test_newly_added_key_does_not_get_401(self) -> None:
         """Guards against 401 from a gateway with outdated routes."""
-        self.advance_clock(admission.UNKNOWN_KEY_AGE_LIMIT_S + 0.1)
+        self.advance_clock(authentication.UNKNOWN_KEY_AGE_LIMIT_S + 0.1)
         with self.assertRaises(errors.UnconfirmedKeyError):
             self.admit("added")
         self.freshness.confirms_on_wait = True
@@ -294,7 +296,7 @@
         self.assertIsNone(self.admit("anything"))
 
     def test_known_key_without_a_bound_needs_no_confirmation(self) -> None:
-        self.admission = admission.CustomerAdmission(self.freshness, None)
+        self.admission = authentication.CustomerAdmission(self.freshness, None)
         self.advance_clock(60.0)
         self.assertEqual(self.admit(build.KEY), "ann")
 
--- a/tests/test_role_holder.py
+++ b/tests/test_duty_holder.py
@@ -5,15 +5,15 @@
 from result import Err, Ok
 
 from mulberrywharf import clock, errors
-from mulberrywharf.authority import role_holder
+from mulberrywharf.authority import duty_holder
 from tests import builders_platform
 from tests import builders_routes as build
 
-TIMING = role_holder.HolderTiming(
-    lease_ttl_s=2.0, first_look_s=0.0, look_interval_s=0.1
+TIMING = duty_holder.HolderTiming(
+    lease_ttl_s=2.0, first_check_max_delay_s=0.0, check_interval_s=0.1
 )
 QUIET_S = (
-    TIMING.lease_ttl_s + role_holder.USER_TIMEOUT_S + role_holder.CLOCK_MARGIN_S
+    TIMING.lease_ttl_s + duty_holder.USER_TIMEOUT_S + duty_holder.CLOCK_MARGIN_S
 )
 
 
@@ -32,11 +32,11 @@
 
     def start(
         self, vm_id: str = "vm-1", system_clock: clock.Clock | None = None
-    ) -> role_holder.RoleHolder:
-        made = role_holder.RoleHolder(
+    ) -> duty_holder.DutyHolder:
+        made = duty_holder.DutyHolder(
             self.client(),
             vm_id,
-            turn_s=1.0,
+            min_lease_s=1.0,
             timing=TIMING,
             system_clock=system_clock,
         )
@@ -44,17 +44,17 @@
         self.addCleanup(made.close)
         return made
 
-    def client(self) -> role_holder.key_value.KeyValueClient:
+    def client(self) -> duty_holder.key_value.KeyValueClient:
         made = build.store_client(self.store.port)
         made.start()
         self.addCleanup(made.close)
         return made
 
-    def number(self, holder: role_holder.RoleHolder) -> int | None:
+    def number(self, holder: duty_holder.DutyHolder) -> int | None:
         held = holder.authority()
         return held.ok_value.number if isinstance(held, Ok) else None
 
-    def wait_for(self, holder: role_holder.RoleHolder) -> int:
+    def wait_for(self, holder: duty_holder.DutyHolder) -> int:
         builders_platform.wait_until(lambda: self.number(holder))
         number = self.number(holder)
         assert number is not None
@@ -130,7 +130,7 @@
         """
         holder = self.start()
         self.wait_for(holder)
-        self.store.delete(role_holder.ROLES_DUTY.holder_key)
+        self.store.delete(duty_holder.ROLES_DUTY.holder_key)
         self.assertIsInstance(holder.record(b"order"), Err)
         self.assertIsInstance(holder.authority(), Err)
 
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -78,7 +78,7 @@
             requests.ServerDialect(), self.tracker, self.clock
         )
         self.addCleanup(self.client.close)
-        self.crashes = build.crashes_of(self.client)
+        self.crashes = build.crash_watch_for(self.client)
         self.budget = repeat_budget.RepeatBudget(
             repeat_budget.RepeatBudgetSettings(allowance_count=100.0),
             lambda: 1,
--- a/tests/test_graceful_stop.py
+++ b/tests/test_graceful_stop.py
@@ -14,7 +14,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from mulberrywharf.nodes import claims
-from mulberrywharf.requests import in_flight
+from mulberrywharf.requests import background_tasks
 from proofs import histories
 from standins import engine_tokens
 from tests import (
@@ -325,7 +325,7 @@
 
 class InFlightTest(unittest.TestCase):
     def test_wait_idle_waits_for_background_tasks(self) -> None:
-        tracker = in_flight.InFlight()
+        tracker = background_tasks.InFlight()
         may_end = gevent.event.Event()
         tracker.spawn(may_end.wait)
         waiting = gevent.spawn(tracker.wait_idle)
--- a/tests/test_key_value.py
+++ b/tests/test_key_value.py
@@ -146,7 +146,7 @@
         client = key_value.KeyValueClient(
             [builders.endpoint(self.service.port)],
             timeout_s=0.3,
-            purpose_budgets={"test": builders.GENEROUS},
+            purpose_budgets={"test": builders.LARGE_BUDGET},
             system_clock=mock_clock,
         )
         self.addCleanup(client.close)
--- a/tests/test_lease_fuse.py
+++ b/tests/test_lease_watchdog.py
@@ -9,7 +9,7 @@
 import unittest
 
 from mulberrywharf import errors
-from mulberrywharf.authority import lease_fuse
+from mulberrywharf.authority import lease_watchdog
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _LEASE_S = 0.4
@@ -21,14 +21,14 @@
 _WRITER = """
 import sys, time
 from mulberrywharf import clock
-from mulberrywharf.authority import lease_fuse
-lease_fuse.restore_default_alarm()
+from mulberrywharf.authority import lease_watchdog
+lease_watchdog.restore_default_alarm()
 system = clock.SystemClock()
-fuse = lease_fuse.LeaseFuse(
+watchdog = lease_watchdog.LeaseWatchdog(
     system, margin_s=float(sys.argv[2]), user_timeout_s=0.0,
     enabled=sys.argv[3] == "on")
 end_s = time.monotonic() + float(sys.argv[1])
-fuse.renewed(end_s)
+watchdog.on_renewed(end_s)
 print(time.time() + end_s - time.monotonic(), flush=True)
 while time.monotonic() < end_s:
     for _ in range(20000):
@@ -51,24 +51,26 @@
         return self.now_s + self.offset_s
 
 
-def _fuse(clock: _FakeClock) -> lease_fuse.LeaseFuse:
-    fuse = lease_fuse.LeaseFuse(clock, margin_s=1.0, user_timeout_s=2.0)
+def _watchdog(clock: _FakeClock) -> lease_watchdog.LeaseWatchdog:
+    watchdog = lease_watchdog.LeaseWatchdog(
+        clock, margin_s=1.0, user_timeout_s=2.0
+    )
     # The real timer would end the test run.
-    fuse._arm = lambda: True  # type: ignore[method-assign]
-    return fuse
+    watchdog._arm = lambda: True  # type: ignore[method-assign]
+    return watchdog
 
 
 class DeadlineTest(unittest.TestCase):
     def test_holds_while_order_bytes_cannot_outlive_the_lease(self):
         clock = _FakeClock()
-        fuse = _fuse(clock)
-        self.assertFalse(fuse.holds())
-        fuse.renewed(110.0)
+        watchdog = _watchdog(clock)
+        self.assertFalse(watchdog.may_order())
+        watchdog.on_renewed(110.0)
         cases = ((0.0, True), (6.9, True), (7.1, False), (20.0, False))
         for later_s, holds in cases:
             with self.subTest(later_s=later_s):
                 clock.now_s = 100.0 + later_s
-                self.assertEqual(fuse.holds(), holds)
+                self.assertEqual(watchdog.may_order(), holds)
 
     def test_vm_pause_that_only_the_wall_clock_shows_ends_authority(self):
         """Guards against an order sent minutes after a takeover.
@@ -78,25 +80,25 @@
         pause.
         """
         clock = _FakeClock()
-        fuse = _fuse(clock)
-        fuse.renewed(110.0)
+        watchdog = _watchdog(clock)
+        watchdog.on_renewed(110.0)
         clock.offset_s += 60.0
-        self.assertFalse(fuse.holds())
+        self.assertFalse(watchdog.may_order())
         with self.assertRaises(errors.AuthorityLostError):
-            fuse.check()
+            watchdog.check()
 
     def test_vm_pause_during_the_renewal_ends_authority(self):
         clock = _FakeClock()
-        fuse = _fuse(clock)
+        watchdog = _watchdog(clock)
         clock.offset_s += 60.0
-        fuse.renewed(110.0)
-        self.assertFalse(fuse.holds())
+        watchdog.on_renewed(110.0)
+        self.assertFalse(watchdog.may_order())
 
     def test_step_down_ends_authority_immediately(self):
-        fuse = _fuse(_FakeClock())
-        fuse.renewed(110.0)
-        fuse.step_down()
-        self.assertFalse(fuse.holds())
+        watchdog = _watchdog(_FakeClock())
+        watchdog.on_renewed(110.0)
+        watchdog.step_down()
+        self.assertFalse(watchdog.may_order())
 
 
 class ArmTest(unittest.TestCase):
@@ -123,17 +125,19 @@
                 return self.now_s
 
         clock = PausedOnce()
-        fuse = lease_fuse.LeaseFuse(clock, margin_s=1.0, user_timeout_s=2.0)
+        watchdog = lease_watchdog.LeaseWatchdog(
+            clock, margin_s=1.0, user_timeout_s=2.0
+        )
         clock.reads_count = 0
-        self.assertTrue(fuse.renewed(161.0))
+        self.assertTrue(watchdog.on_renewed(161.0))
         left_s, _ = signal.getitimer(signal.ITIMER_REAL)
         self.assertAlmostEqual(left_s, 30.0, delta=1.0)
 
     def test_timer_is_not_armed_without_lease_time_left(self):
-        fuse = lease_fuse.LeaseFuse(
+        watchdog = lease_watchdog.LeaseWatchdog(
             _FakeClock(), margin_s=1.0, user_timeout_s=2.0
         )
-        self.assertFalse(fuse.renewed(100.5))
+        self.assertFalse(watchdog.on_renewed(100.5))
 
 
 class SuspendedProcessTest(unittest.TestCase):
@@ -157,13 +161,13 @@
         self.assertGreater(late_count, 0)
 
 
-def _run_suspended(fuse: str) -> tuple[float, list[float], int]:
+def _run_suspended(watchdog: str) -> tuple[float, list[float], int]:
     """Suspends a writing process until its lease has ended.
 
     Returns:
         The end of the lease, the times of the writes and the exit code.
     """
-    arguments = [str(_LEASE_S), str(_MARGIN_S), fuse]
+    arguments = [str(_LEASE_S), str(_MARGIN_S), watchdog]
     with tempfile.NamedTemporaryFile("w") as file:
         written = pathlib.Path(file.name)
         child = subprocess.Popen(
--- a/tests/test_loads.py
+++ b/tests/test_load_reader.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from mulberrywharf import fleet
-from mulberrywharf.engines import engine_load, loads
+from mulberrywharf.engines import engine_load, load_reader
 from mulberrywharf.policy import prefix_index
 from tests import builders_engines as build
 
@@ -77,7 +77,7 @@
         self.engine = FakeEngine()
         self.addCleanup(self.engine.server.close)
         self.sink = RecordingSink()
-        self.reader = loads.LoadReader.from_config(
+        self.reader = load_reader.LoadReader.from_config(
             {"load_interval_s": 0.01}, sink=self.sink, chance=random.Random(1)
         )
         self.addCleanup(self.reader.close)
@@ -148,7 +148,7 @@
         """
         event = {"sequence": 1, "kind": "stored", "block_hash": "not hex"}
         index = prefix_index.PrefixIndex.from_config()
-        self.reader = loads.LoadReader.from_config(
+        self.reader = load_reader.LoadReader.from_config(
             {"load_interval_s": 0.01}, sink=index
         )
         self.addCleanup(self.reader.close)
@@ -169,7 +169,7 @@
 
     def test_the_prefix_index_accepts_cache_events(self) -> None:
         index = prefix_index.PrefixIndex.from_config()
-        self.reader = loads.LoadReader.from_config(
+        self.reader = load_reader.LoadReader.from_config(
             {"load_interval_s": 0.01}, sink=index
         )
         self.addCleanup(self.reader.close)
@@ -192,10 +192,10 @@
     def test_engines_outside_the_slice_are_not_polled_but_accept_reports(
         self,
     ) -> None:
-        self.reader.set_slice([])
+        self.reader.set_polled_engines([])
         self.start()
         report = fleet.LoadReport("e1", "decode", "ready", ())
-        self.reader.accept(report, age_s=0.5)
+        self.reader.record_report(report, age_s=0.5)
         self.assertEqual(self.view().report, report)
         self.assertGreaterEqual(self.view().report_age_s, 0.5)
         self.assertEqual(self.engine.server.requests, [])
@@ -204,7 +204,7 @@
 class RequestCountTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.reader = loads.LoadReader.from_config(now=self.clock)
+        self.reader = load_reader.LoadReader.from_config(now=self.clock)
         self.reader.set_vms([_vm(build.closed_address())])
 
     def view(self) -> fleet.EngineView:
@@ -223,25 +223,25 @@
         while others idle. The same happens if a node drops them from its count
         on a report whose figures are older than these requests.
         """
-        self.reader.begin("e1", 100)
+        self.reader.request_started("e1", 100)
         self.clock.now_s += 1
-        self.reader.begin("e1", 30)
+        self.reader.request_started("e1", 30)
         self.assertEqual(self.view().own_prompt_tokens_since, 130)
-        self.reader.accept(self.report(), age_s=0.5)
+        self.reader.record_report(self.report(), age_s=0.5)
         self.assertEqual(self.view().own_prompt_tokens_since, 30)
         self.assertEqual(self.view().own_in_flight_count, 2)
-        self.reader.end("e1", failed=False)
+        self.reader.request_finished("e1", failed=False)
         self.assertEqual(self.view().own_in_flight_count, 1)
 
     def test_an_older_report_does_not_replace_a_newer_one(self) -> None:
         newer = self.report()._replace(waiting_count=5)
-        self.reader.accept(newer, age_s=0.1)
-        self.reader.accept(self.report(), age_s=2.0)
+        self.reader.record_report(newer, age_s=0.1)
+        self.reader.record_report(self.report(), age_s=2.0)
         self.assertEqual(self.view().report, newer)
 
     def test_old_failures_are_not_counted(self) -> None:
-        self.reader.begin("e1", 1)
-        self.reader.end("e1", failed=True)
+        self.reader.request_started("e1", 1)
+        self.reader.request_finished("e1", failed=True)
         self.assertEqual(self.view().failures_recent_count, 1)
         self.clock.now_s += 60
         self.assertEqual(self.view().failures_recent_count, 0)
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -145,13 +145,13 @@
         vm_list = builders_claims.ListedVms()
         _, here = self.start_zone(2, vm_list)
         _, there = self.start_zone(2, vm_list, zone="winnipeg-hall")
-        here[0].configuration.offer(b"7")
+        here[0].configuration.apply_if_newer(b"7")
         for node in here + there:
             wait_until(lambda n=node: n.configuration.version() == 7)
 
     def test_an_older_neighbour_changes_nothing(self):
         _, nodes = self.start_zone(2)
-        nodes[0].configuration.offer(b"7")
+        nodes[0].configuration.apply_if_newer(b"7")
         wait_until(lambda: nodes[1].configuration.version() == 7)
         self.assertEqual(nodes[0].configuration.version(), 7)
 
--- a/tests/test_node_rates.py
+++ b/tests/test_node_rates.py
@@ -175,7 +175,7 @@
         started = server.NodeServer(
             "127.0.0.1", 0, f"entry-{number}", builders_nodes.KEY
         )
-        rates.answer_from(started, lambda: (customers, {}))
+        rates.register_rates_handler(started, lambda: (customers, {}))
         started.start()
         self.addCleanup(started.close)
         self.vms.append(builders_nodes.entry_vm(number, started.port))
--- a/tests/test_operators_server.py
+++ b/tests/test_operators_server.py
@@ -75,7 +75,7 @@
     def test_status_shows_the_report_and_the_audit_trail(self):
         for version in range(5):
             self.audit.record(
-                audit.ConfigurationInForce(version, "ana", f"c{version}")
+                audit.ConfigurationActivated(version, "ana", f"c{version}")
             )
         status, body = self.send("GET", "/status", build.TOKEN)
         self.assertEqual(status, 200)
@@ -104,11 +104,11 @@
 class AuditLogTest(unittest.TestCase):
     def test_every_event_is_recorded(self):
         events = [
-            audit.ConfigurationInForce(7, "ana", "c7"),
+            audit.ConfigurationActivated(7, "ana", "c7"),
             audit.OrderChanged("e1", "o1", "set-role", "sent", 4, "rule x"),
             audit.RoleChanged("e1", "decode", "prefill"),
-            audit.DrainBegan("e1", "rule x"),
-            audit.LeaseTaken("controllers/hall-a", 4),
+            audit.DrainStarted("e1", "rule x"),
+            audit.LeaseAcquired("controllers/hall-a", 4),
             audit.LeaseLost("controllers/hall-a", 4, "lapsed"),
         ]
         log = audit.AuditLog(SystemClock())
--- a/tests/test_order_records.py
+++ b/tests/test_order_records.py
@@ -54,7 +54,7 @@
         records = order_records.ZoneRecords(
             None, {"here": old, "gone": old, "just-gone": new}
         )
-        kept = records.without_gone({"here"}, 100_000.0).records
+        kept = records.without_removed_engines({"here"}, 100_000.0).records
         self.assertEqual(set(kept), {"here", "just-gone"})
 
     def test_role_is_sent_only_with_a_role_change(self):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
     return part_caches.HeldPart(key, 60_000)
 
 
-class KnownPeers:
+class FakePeers:
     """Peers with the addresses that a test passes in."""
 
     def __init__(self, *addresses: fleet.Address):
@@ -111,8 +111,8 @@
         self.one_at = fleet.Address("127.0.0.1", self.free_port())
         self.two_at = fleet.Address("127.0.0.1", self.free_port())
         self.received: list[notice_codec.Placement] = []
-        self.one = self.start(self.one_at, KnownPeers(self.two_at))
-        self.two = self.start(self.two_at, KnownPeers(self.one_at))
+        self.one = self.start(self.one_at, FakePeers(self.two_at))
+        self.two = self.start(self.two_at, FakePeers(self.one_at))
         self.two.set_sources(
             lambda notice: self.received.extend(notice.placements)
         )
@@ -123,7 +123,7 @@
             return int(sock.getsockname()[1])
 
     def start(
-        self, address: fleet.Address, peers: KnownPeers
+        self, address: fleet.Address, peers: FakePeers
     ) -> notices.NoticeExchange:
         made = notices.NoticeExchange(
             address, peers, 1, ZONE, clock.SystemClock()
@@ -184,7 +184,7 @@
         """
         unknown = notices.NoticeExchange(
             fleet.Address("127.0.0.2", self.free_port()),
-            KnownPeers(self.two_at),
+            FakePeers(self.two_at),
             9,
             ZONE,
             clock.SystemClock(),
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -7,7 +7,7 @@
 import gevent
 
 from mulberrywharf import clock, errors, fleet
-from mulberrywharf.engines import loads
+from mulberrywharf.engines import load_reader
 from mulberrywharf.policy import concurrency, engine_choice, prefix_index
 from mulberrywharf.requests import places
 
@@ -15,9 +15,9 @@
 _ENGINE = "engine-1"
 
 
-def _reader(count: int = 1) -> loads.LoadReader:
+def _reader(count: int = 1) -> load_reader.LoadReader:
     """Returns a load reader with reports of ``count`` ready engines."""
-    reader = loads.LoadReader.from_config()
+    reader = load_reader.LoadReader.from_config()
     engine_ids = [f"engine-{number}" for number in range(1, count + 1)]
     reader.set_vms(
         fleet.VmRecord(
@@ -30,7 +30,7 @@
     )
     for engine_id in engine_ids:
         report = fleet.LoadReport(engine_id, "mixed", "ready", ("tagger",))
-        reader.accept(report, 0.0)
+        reader.record_report(report, 0.0)
     return reader
 
 
@@ -42,7 +42,7 @@
             concurrency.ConcurrencyLimit.from_config().limit_count
         )
 
-    def _places(self, reader: loads.LoadReader) -> places.EnginePlaces:
+    def _places(self, reader: load_reader.LoadReader) -> places.EnginePlaces:
         engine_places = places.EnginePlaces(
             reader,
             prefix_index.PrefixIndex.from_config(),
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -58,7 +58,7 @@
             requests.ServerDialect(), self.tracker, self.clock
         )
         self.addCleanup(self.client.close)
-        self.crashes = build.crashes_of(self.client)
+        self.crashes = build.crash_watch_for(self.client)
         self.budget = repeat_budget.RepeatBudget(
             repeat_budget.RepeatBudgetSettings(allowance_count=100.0),
             lambda: 1,
@@ -306,7 +306,7 @@
             except errors.BackEndLostError:
                 continue
             self.assertEqual(got.body, b"one")
-        self.assertEqual(server.carried_counts, [1, 1])
+        self.assertEqual(server.requests_per_connection, [1, 1])
 
     def test_refusal_before_the_body_was_read_is_passed_on(self) -> None:
         """A caller with a long body waited until its deadline.
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -96,7 +96,7 @@
             [(d.service, d.weight) for d in stream.destinations],
             [("engines", 90.0), ("plain", 10.0)],
         )
-        self.assertEqual(routes.prompt_services(), {"engines"})
+        self.assertEqual(routes.engine_services(), {"engines"})
         engine = routes.services["engines"].engine
         assert engine is not None
         self.assertEqual(engine.link_bytes_per_s, 46.25e9)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -5,7 +5,9 @@
 from mulberrywharf.authority import findings, reconcile, steps
 from tests import builders_authority
 
-_HOLDER = findings.Holder(fencing_number=7, quiet=False, clock_margin_s=0.5)
+_HOLDER = findings.Holder(
+    fencing_number=7, is_waiting=False, clock_margin_s=0.5
+)
 _PREFILL = findings.WantedEngine(role="prefill", rule="day", config_version=3)
 _MIXED = _PREFILL._replace(role="mixed")
 _CONTEXT = steps.StepContext(7, "new-order", 2_000.0)
@@ -51,7 +53,7 @@
             with self.subTest(name):
                 finding = _find(wanted=wanted, report=report)
                 if isinstance(expected, str):
-                    self.assertIsInstance(finding, findings.Astray)
+                    self.assertIsInstance(finding, findings.NotAsDesired)
                     self.assertEqual(finding.action, expected)
                 else:
                     self.assertIsInstance(finding, expected)
@@ -162,7 +164,7 @@
         self.assertEqual(finding.wanted.role, "prefill")
 
     def test_applied_orders_are_noted_while_no_order_may_be_sent(self):
-        quiet = _HOLDER._replace(quiet=True)
+        quiet = _HOLDER._replace(is_waiting=True)
         done = _report(role="prefill", order_id="order-1")
         self.assertIsInstance(
             _find(record=_record(), report=done, holder=quiet),
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import _exchange, errors, fleet
-from mulberrywharf.engines import handover, plain, resume
+from mulberrywharf.engines import completion_assembly, handover, resume
 from mulberrywharf.policy import retry_budget
 from tests import builders_engines as build
 from tests import processes
@@ -25,10 +25,10 @@
         self.begun: list[tuple[str, int]] = []
         self.ended: list[tuple[str, bool]] = []
 
-    def begin(self, engine_id: str, prompt_tokens: int) -> None:
+    def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         self.begun.append((engine_id, prompt_tokens))
 
-    def end(self, engine_id: str, failed: bool) -> None:
+    def request_finished(self, engine_id: str, failed: bool) -> None:
         self.ended.append((engine_id, failed))
 
 
@@ -56,7 +56,7 @@
 
 
 def _decide_retry(
-    attempt: resume.FailedTry,
+    attempt: resume.AttemptFailure,
 ) -> retry_budget.Retry | retry_budget.GiveUp:
     if attempt.attempt_count < _ATTEMPTS_LIMIT_COUNT:
         return retry_budget.Retry(0.0)
@@ -67,11 +67,11 @@
 class ResumeCase(build.ScriptedServerCase):
     def setUp(self) -> None:
         self.tracker = RecordingTracker()
-        self.failed_attempts: list[resume.FailedTry] = []
+        self.failed_attempts: list[resume.AttemptFailure] = []
         self.retry_limit_count = 3
 
     def decide(
-        self, attempt: resume.FailedTry
+        self, attempt: resume.AttemptFailure
     ) -> retry_budget.Retry | retry_budget.GiveUp:
         self.failed_attempts.append(attempt)
         if len(self.failed_attempts) > self.retry_limit_count:
@@ -101,9 +101,9 @@
         )
         return resume.ResumingStream(
             generation,
-            next_engine=FirstEngineChooser(list(views)),
+            choose_engine=FirstEngineChooser(list(views)),
             decide=self.decide,
-            books=self.tracker,
+            tracker=self.tracker,
             **options,
         )
 
@@ -204,7 +204,7 @@
             + build.LAST_CHUNK,
             vm_id="e2",
         )
-        answer = plain.assemble(
+        answer = completion_assembly.assemble(
             self.stream(first, second).batches(),
             request_id=build.REQUEST_ID,
             model=build.MODEL,
@@ -277,7 +277,7 @@
 
     def test_an_assembled_answer_has_a_size_limit(self) -> None:
         first, _ = self.engine(build.whole_stream(0, _TOKEN_COUNT))
-        error = plain.assemble(
+        error = completion_assembly.assemble(
             self.stream(first).batches(),
             request_id=build.REQUEST_ID,
             model=build.MODEL,
@@ -323,9 +323,9 @@
     def assert_whole(self, **options: Any) -> None:
         stream = resume.ResumingStream(
             self.generation(),
-            next_engine=FirstEngineChooser(self.views),
+            choose_engine=FirstEngineChooser(self.views),
             decide=_decide_retry,
-            books=RecordingTracker(),
+            tracker=RecordingTracker(),
             **options,
         )
         tokens = [t for batch in stream.batches() for t in batch.tokens]
--- a/tests/test_role_keeper.py
+++ b/tests/test_role_manager.py
@@ -7,14 +7,14 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import errors, fleet
-from mulberrywharf.authority import role_holder, role_keeper
+from mulberrywharf.authority import duty_holder, role_manager
 from mulberrywharf.engines import role_orders
 from mulberrywharf.platform import orders
 from mulberrywharf.platform_service import key_value
 from tests import builders_engines
 from tests import builders_routes as build
 
-AUTHORITY = role_holder.Authority(41, key_value.Guard("holder", 7))
+AUTHORITY = duty_holder.Authority(41, key_value.Guard("holder", 7))
 
 
 def _started(server: fleet.Server, unix_ms: int) -> fleet.Server:
@@ -32,7 +32,7 @@
 
     def authority(
         self,
-    ) -> Result[role_holder.Authority, errors.AuthorityLostError]:
+    ) -> Result[duty_holder.Authority, errors.AuthorityLostError]:
         if self.is_held:
             return Ok(AUTHORITY)
         return Err(errors.AuthorityLostError("not held"))
@@ -58,7 +58,7 @@
     def engines(self) -> dict[str, tuple[fleet.Server, ...]]:
         return {}
 
-    def may_ask(self, server: fleet.Server) -> bool:
+    def accepts_calls(self, server: fleet.Server) -> bool:
         return server.server_id not in self.blocked_ids
 
     def trouble_age_s(self) -> float:
@@ -124,7 +124,7 @@
         self.clock = build.ManualClock()
         self.holder = _Holder()
         self.listed = _Engines()
-        self.keeper = role_keeper.RoleKeeper(
+        self.manager = role_manager.RoleManager(
             self.holder,
             self.listed,
             role_orders.RoleClient(orders.OrderDialect()),
@@ -133,7 +133,7 @@
             on_restarted=lambda *starts: self.restarted.append(starts),
         )
         self.restarted: list[tuple[fleet.ServerStart, ...]] = []
-        self.addCleanup(self.keeper.close)
+        self.addCleanup(self.manager.close)
         self.engines = [_Engine("prefill", 5)]
         self.engines += [_Engine("decode", 2 + n) for n in range(3)]
         self.scripted = [self.serve(one.script) for one in self.engines]
@@ -148,7 +148,7 @@
 
     def rounds(self, count: int) -> None:
         for _ in range(count):
-            self.keeper.round("service", self.servers)
+            self.manager.round("service", self.servers)
             self.clock.now_s += 1.0
 
     def sent(self) -> list[dict[str, Any]]:
--- a/tests/test_rules_document.py
+++ b/tests/test_rules_document.py
@@ -12,7 +12,7 @@
 
 from mulberrywharf.errors import RulesError
 from mulberrywharf.rules import parse
-from mulberrywharf.rules.configuration import diff
+from mulberrywharf.rules.audit_trail import diff
 from mulberrywharf.rules.document import DOCUMENT_LIMIT_BYTES
 from mulberrywharf.rules.parse import _read
 from tests import builders_rules as build
--- a/tests/test_rules_match.py
+++ b/tests/test_rules_match.py
@@ -9,7 +9,7 @@
 from mulberrywharf.rules import Reading, Sustain, match, wanted_roles
 from mulberrywharf.rules.explain import explain, reason
 from mulberrywharf.rules.situation import is_in_window, utc_minute
-from mulberrywharf.rules.wanted import largest_remainder
+from mulberrywharf.rules.wanted_roles import largest_remainder
 from tests import builders_rules as build
 
 BOUNDED = settings(derandomize=True, max_examples=100, deadline=None)
--- a/tests/test_situation_builder.py
+++ b/tests/test_situation_builder.py
@@ -9,7 +9,7 @@
 
 
 def _seen(report, age_s=0.5):
-    return situation_builder.SeenReport(report, age_s)
+    return situation_builder.AgedReport(report, age_s)
 
 
 class DemandTrackerTest(unittest.TestCase):
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -14,7 +14,7 @@
 import gevent
 from result import Err, Ok
 
-from mulberrywharf.authority import role_holder
+from mulberrywharf.authority import duty_holder
 from mulberrywharf.forwarding import servers
 from mulberrywharf.peers import directory, notice_codec, revision_exchange
 from mulberrywharf.platform import documents
@@ -316,14 +316,14 @@
         The store is restored and assigns lower revisions again, and the next
         holder gets one of them. Revisions alone don't always increase.
         """
-        timing = role_holder.HolderTiming(
-            lease_ttl_s=2.0, first_look_s=0.0, look_interval_s=0.1
+        timing = duty_holder.HolderTiming(
+            lease_ttl_s=2.0, first_check_max_delay_s=0.0, check_interval_s=0.1
         )
         copy = self.store.copy()
         for _ in range(20):
             self.store.put("other", b"")
-        holder = role_holder.RoleHolder(
-            self.client, "vm-1", turn_s=1.0, timing=timing
+        holder = duty_holder.DutyHolder(
+            self.client, "vm-1", min_lease_s=1.0, timing=timing
         )
         holder.start()
         self.addCleanup(holder.close)
@@ -340,7 +340,7 @@
         quiet_s = time.monotonic() - restored_s
         self.assertGreater(quiet_s, timing.lease_ttl_s)
 
-    def number(self, holder: role_holder.RoleHolder) -> int:
+    def number(self, holder: duty_holder.DutyHolder) -> int:
         self.assertTrue(wait_for(lambda: holder.authority().is_ok(), 8.0))
         return holder.authority().unwrap().number
 
--- a/tests/test_quiet_time.py
+++ b/tests/test_takeover_delay.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from mulberrywharf.authority import quiet_time
+from mulberrywharf.authority import takeover_delay
 
-_QUIET = quiet_time.QuietTime(10.0, 2.0, 0.5, frozenset(("careful",)))
+_QUIET = takeover_delay.TakeoverDelay(10.0, 2.0, 0.5, frozenset(("careful",)))
 
 
 class QuietTimeTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         )
         for kind, unsettled, ends_s in cases:
             with self.subTest(kind=kind, unsettled=unsettled):
-                takeover = quiet_time.Takeover(100.0, unsettled)
+                takeover = takeover_delay.Takeover(100.0, unsettled)
                 self.assertEqual(_QUIET.ends_s(takeover, kind), ends_s)
 
     def test_holder_that_leaves_early_does_not_end_its_predecessors_wait(
@@ -29,11 +29,11 @@
         record that all orders are settled, or the next holder orders
         immediately.
         """
-        takeover = quiet_time.Takeover(100.0, True)
-        self.assertFalse(_QUIET.all_over(takeover, 112.0))
-        self.assertTrue(_QUIET.all_over(takeover, 112.5))
-        settled = quiet_time.Takeover(100.0, False)
-        self.assertTrue(_QUIET.all_over(settled, 100.0))
+        takeover = takeover_delay.Takeover(100.0, True)
+        self.assertFalse(_QUIET.has_ended(takeover, 112.0))
+        self.assertTrue(_QUIET.has_ended(takeover, 112.5))
+        settled = takeover_delay.Takeover(100.0, False)
+        self.assertTrue(_QUIET.has_ended(settled, 100.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from mulberrywharf import clock, errors, fleet
-from mulberrywharf.authority import role_holder
+from mulberrywharf.authority import duty_holder
 from mulberrywharf.customers import usage
 from mulberrywharf.duties import client, usage_reporter
 from mulberrywharf.peers import datagrams, usage_codec, usage_exchange
@@ -293,11 +293,11 @@
 
     def authority(
         self,
-    ) -> Result[role_holder.Authority, errors.AuthorityLostError]:
+    ) -> Result[duty_holder.Authority, errors.AuthorityLostError]:
         if self.number is None:
             return Err(errors.AuthorityLostError("not here"))
         return Ok(
-            role_holder.Authority(self.number, key_value.Guard("holder", 1))
+            duty_holder.Authority(self.number, key_value.Guard("holder", 1))
         )
 
     def record(self, value: bytes) -> Result[None, errors.PlatformError]:
--- a/tests/test_wanted_states.py
+++ b/tests/test_wanted_states.py
@@ -17,7 +17,7 @@
     match = rules.Match("day", 0, actions, (), undecided=undecided)
     zone = wanted_states.Zone(
         {
-            report.engine_id: situation_builder.SeenReport(report, 0.5)
+            report.engine_id: situation_builder.AgedReport(report, 0.5)
             for report in reports
         },
         records or {},
