--- a/src/mulberrywharf/authority/role_manager.py
+++ b/src/mulberrywharf/authority/role_manager.py
@@ -57,7 +57,7 @@
         """Tells whether this node may send an engine anything now."""
         ...
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the time since the list was last possibly stale."""
         ...
 
@@ -217,7 +217,7 @@
         )
         if self._unsettled is not None:
             return role_split.Stay("the last order is not settled")
-        if self._engines.trouble_age_s() < STALE_LIST_S:
+        if self._engines.outage_age_s() < STALE_LIST_S:
             return role_split.Stay("the list of engines may be old")
         return decision
 
--- a/src/mulberrywharf/backend_servers/directory.py
+++ b/src/mulberrywharf/backend_servers/directory.py
@@ -17,17 +17,17 @@
     availability zone. Uses round robin among equally good servers.
     """
 
-    def __init__(self, availability_zone: str, chance: random.Random):
+    def __init__(self, availability_zone: str, rng: random.Random):
         """Creates an empty directory.
 
         Args:
             availability_zone: The availability zone of this node.
-            chance: Random number generator that chooses where the round robin
+            rng: Random number generator that chooses where the round robin
                 starts. Otherwise all nodes would send their first requests to
                 the same server.
         """
         self._availability_zone = availability_zone
-        self._chance = chance
+        self._rng = rng
         self._by_service: dict[str, list[fleet.VmRecord]] = {}
         self._turns: dict[str, int] = {}
         self._failed_at_s: dict[str, float] = {}
@@ -90,11 +90,11 @@
             equally_ranked[self._next_turn(service) % len(equally_ranked)]
         )
 
-    def failed(self, vm_id: str, now_s: float) -> None:
+    def record_failure(self, vm_id: str, now_s: float) -> None:
         """Records that an exchange with a server failed."""
         self._failed_at_s[vm_id] = now_s
 
-    def succeeded(self, vm_id: str) -> None:
+    def record_success(self, vm_id: str) -> None:
         """Clears the recorded failure of a server."""
         self._failed_at_s.pop(vm_id, None)
 
@@ -108,6 +108,6 @@
 
     def _next_turn(self, service: str) -> int:
         if service not in self._turns:
-            self._turns[service] = self._chance.randrange(1 << 16)
+            self._turns[service] = self._rng.randrange(1 << 16)
         self._turns[service] += 1
         return self._turns[service]
--- a/src/mulberrywharf/engines/load_reader.py
+++ b/src/mulberrywharf/engines/load_reader.py
@@ -72,12 +72,12 @@
         interval_s: float,
         sink: CacheEventSink | None,
         now: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ):
         self._interval_s = interval_s
         self._sink = sink
         self._clock = now
-        self._random = chance
+        self._random = rng
         self._pool = _connections.ConnectionPool(idle_limit_count=1)
         self._loads: dict[str, engine_load.EngineLoad] = {}
         self._readers: dict[str, gevent.Greenlet] = {}
@@ -92,7 +92,7 @@
         *,
         sink: CacheEventSink | None = None,
         now: clock.Clock | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> "LoadReader":
         """Returns a reader without engines; ``set_vms`` adds them.
 
@@ -100,7 +100,7 @@
             config: The ``engines`` section of the settings.
             sink: Receives cache events, such as the prefix index.
             now: The clock; the system clock if None.
-            chance: Random source of the jitter on the interval, which keeps
+            rng: Random source of the jitter on the interval, which keeps
                 nodes from polling an engine at the same time.
         """
         engines: Any = config or {}
@@ -108,7 +108,7 @@
             engines.get("load_interval_s", DEFAULT_INTERVAL_S),
             sink,
             now or clock.SystemClock(),
-            chance or random.Random(),
+            rng or random.Random(),
         )
 
     def start(self) -> None:
--- a/src/mulberrywharf/forwarding/servers.py
+++ b/src/mulberrywharf/forwarding/servers.py
@@ -269,7 +269,7 @@
         server = self._by_id.get(server_id)
         if server is None or server_id in self._missing:
             return
-        left_s = self._missing_hold_s - self._client.trouble_age_s()
+        left_s = self._missing_hold_s - self._client.outage_age_s()
         if left_s <= 0:
             self._drop(server_id, "its record is gone")
             return
@@ -281,7 +281,7 @@
         )
         logger.bind(
             server_id=server_id,
-            trouble_age_s=round(self._client.trouble_age_s(), 3),
+            trouble_age_s=round(self._client.outage_age_s(), 3),
             left_s=round(left_s, 3),
         ).warning("a server's record vanished in an outage; the server is kept")
 
--- a/src/mulberrywharf/platform/store.py
+++ b/src/mulberrywharf/platform/store.py
@@ -66,22 +66,28 @@
 
 @dialect.read_prefix.register
 def _(
-    store: StoreDialect, calls: service_calls.Gateway, prefix: str, purpose: str
-) -> Result[dialect.Reading, errors.PlatformError]:
+    store: StoreDialect,
+    calls: service_calls.ServiceCalls,
+    prefix: str,
+    purpose: str,
+) -> Result[dialect.PrefixRead, errors.PlatformError]:
     return _read_pages(calls, {"prefix": prefix}, purpose)
 
 
 @dialect.read_stale.register
 def _(
-    store: StoreDialect, calls: service_calls.Gateway, prefix: str, purpose: str
-) -> Result[dialect.Reading, errors.PlatformError]:
+    store: StoreDialect,
+    calls: service_calls.ServiceCalls,
+    prefix: str,
+    purpose: str,
+) -> Result[dialect.PrefixRead, errors.PlatformError]:
     query = {"prefix": prefix, "allow-stale": "1"}
     return _read_pages(calls, query, purpose)
 
 
 def _read_pages(
-    calls: service_calls.Gateway, query: dict[str, str], purpose: str
-) -> Result[dialect.Reading, errors.PlatformError]:
+    calls: service_calls.ServiceCalls, query: dict[str, str], purpose: str
+) -> Result[dialect.PrefixRead, errors.PlatformError]:
     found: list[KeyValue] = []
     first_revision: int | None = None
     while True:
@@ -105,7 +111,7 @@
 @dialect.open_watch.register
 def _(
     store: StoreDialect,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     request: dialect.WatchRequest,
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
     return Ok(_PollStream(calls, request, store.wait_s))
@@ -114,7 +120,7 @@
 @dialect.read_changes.register
 def _(
     store: StoreDialect,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     prefix: str,
     after_revision: int,
     purpose: str,
@@ -137,7 +143,10 @@
 
 @dialect.read_key.register
 def _(
-    store: StoreDialect, calls: service_calls.Gateway, key: str, purpose: str
+    store: StoreDialect,
+    calls: service_calls.ServiceCalls,
+    key: str,
+    purpose: str,
 ) -> Result[KeyValue | None, errors.PlatformError]:
     # The store responds to a read of a single missing key with 404, as it does
     # to a wrong path. A range read returns an empty list instead.
@@ -149,7 +158,9 @@
 
 @dialect.write_key.register
 def _(
-    store: StoreDialect, calls: service_calls.Gateway, write: dialect.KeyWrite
+    store: StoreDialect,
+    calls: service_calls.ServiceCalls,
+    write: dialect.KeyWrite,
 ) -> Result[KeyValue, errors.PlatformError]:
     body = {
         "expected": [
@@ -182,7 +193,7 @@
 @dialect.grant_lease.register
 def _(
     store: StoreDialect,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     ttl_s: float,
     purpose: str,
 ) -> Result[int, errors.PlatformError]:
@@ -194,7 +205,7 @@
 @dialect.keep_alive.register
 def _(
     store: StoreDialect,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     lease_id: int,
     purpose: str,
 ) -> Result[float, errors.PlatformError]:
@@ -211,7 +222,7 @@
 @dialect.revoke.register
 def _(
     store: StoreDialect,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     lease_id: int,
     purpose: str,
 ) -> Result[None, errors.PlatformError]:
@@ -238,7 +249,7 @@
 
     def __init__(
         self,
-        calls: service_calls.Gateway,
+        calls: service_calls.ServiceCalls,
         request: dialect.WatchRequest,
         max_wait_s: float,
     ):
--- a/src/mulberrywharf/platform_service/dialect.py
+++ b/src/mulberrywharf/platform_service/dialect.py
@@ -21,7 +21,7 @@
     WatchEvent,
 )
 
-Reading = tuple[list[KeyValue], ServiceState]
+PrefixRead = tuple[list[KeyValue], ServiceState]
 """All keys under a prefix, and the state of the service at that time."""
 
 
@@ -101,8 +101,8 @@
 
 @singledispatch
 def read_prefix(
-    dialect: Any, calls: service_calls.Gateway, prefix: str, purpose: str
-) -> Result[Reading, errors.PlatformError]:
+    dialect: Any, calls: service_calls.ServiceCalls, prefix: str, purpose: str
+) -> Result[PrefixRead, errors.PlatformError]:
     """Reads all keys with a prefix.
 
     Args:
@@ -116,8 +116,8 @@
 
 @singledispatch
 def read_stale(
-    dialect: Any, calls: service_calls.Gateway, prefix: str, purpose: str
-) -> Result[Reading, errors.PlatformError]:
+    dialect: Any, calls: service_calls.ServiceCalls, prefix: str, purpose: str
+) -> Result[PrefixRead, errors.PlatformError]:
     """Reads all keys with a prefix, possibly some seconds out of date.
 
     This costs less than ``read_prefix`` at services that offer stale reads;
@@ -128,7 +128,7 @@
 
 @singledispatch
 def read_key(
-    dialect: Any, calls: service_calls.Gateway, key: str, purpose: str
+    dialect: Any, calls: service_calls.ServiceCalls, key: str, purpose: str
 ) -> Result[KeyValue | None, errors.PlatformError]:
     """Reads one key; returns ``Ok(None)`` if it does not exist."""
     raise TypeError(f"dialect {dialect!r} does not implement read_key")
@@ -136,7 +136,7 @@
 
 @singledispatch
 def open_watch(
-    dialect: Any, calls: service_calls.Gateway, request: WatchRequest
+    dialect: Any, calls: service_calls.ServiceCalls, request: WatchRequest
 ) -> Result[WatchStream, errors.PlatformError]:
     """Opens a watch.
 
@@ -151,7 +151,7 @@
 @singledispatch
 def read_changes(
     dialect: Any,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     prefix: str,
     after_revision: int,
     purpose: str,
@@ -174,7 +174,7 @@
     return read_prefix(dialect, calls, prefix, purpose).map(_as_changes)
 
 
-def _as_changes(reading: Reading) -> WatchMessage:
+def _as_changes(reading: PrefixRead) -> WatchMessage:
     found, state = reading
     return WatchMessage(tuple(WatchEvent("put", kv) for kv in found), state)
 
@@ -199,7 +199,7 @@
 
 @singledispatch
 def write_key(
-    dialect: Any, calls: service_calls.Gateway, write: KeyWrite
+    dialect: Any, calls: service_calls.ServiceCalls, write: KeyWrite
 ) -> Result[KeyValue, errors.PlatformError]:
     """Writes or deletes a key if all guards hold.
 
@@ -218,7 +218,7 @@
 
 @singledispatch
 def grant_lease(
-    dialect: Any, calls: service_calls.Gateway, ttl_s: float, purpose: str
+    dialect: Any, calls: service_calls.ServiceCalls, ttl_s: float, purpose: str
 ) -> Result[int, errors.PlatformError]:
     """Requests a lease and returns its id.
 
@@ -233,7 +233,7 @@
 
 @singledispatch
 def keep_alive(
-    dialect: Any, calls: service_calls.Gateway, lease_id: int, purpose: str
+    dialect: Any, calls: service_calls.ServiceCalls, lease_id: int, purpose: str
 ) -> Result[float, errors.PlatformError]:
     """Renews a lease.
 
@@ -246,7 +246,7 @@
 
 @singledispatch
 def revoke(
-    dialect: Any, calls: service_calls.Gateway, lease_id: int, purpose: str
+    dialect: Any, calls: service_calls.ServiceCalls, lease_id: int, purpose: str
 ) -> Result[None, errors.PlatformError]:
     """Revokes a lease; the service deletes its keys at once."""
     raise TypeError(f"dialect {dialect!r} does not implement revoke")
--- a/src/mulberrywharf/platform_service/etcd.py
+++ b/src/mulberrywharf/platform_service/etcd.py
@@ -26,10 +26,10 @@
 @dialect.read_prefix.register
 def _(
     _dialect: EtcdGateway,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     prefix: str,
     purpose: str,
-) -> Result[dialect.Reading, errors.PlatformError]:
+) -> Result[dialect.PrefixRead, errors.PlatformError]:
     body = {"key": encode_key(prefix), "range_end": encode_prefix_end(prefix)}
     call = service_calls.Call("/v3/kv/range", body, "range", purpose, False)
     return calls.send(call).map(
@@ -42,7 +42,10 @@
 
 @dialect.read_key.register
 def _(
-    _dialect: EtcdGateway, calls: service_calls.Gateway, key: str, purpose: str
+    _dialect: EtcdGateway,
+    calls: service_calls.ServiceCalls,
+    key: str,
+    purpose: str,
 ) -> Result[KeyValue | None, errors.PlatformError]:
     call = service_calls.Call(
         "/v3/kv/range", {"key": encode_key(key)}, "range", purpose, False
@@ -58,7 +61,7 @@
 @dialect.open_watch.register
 def _(
     _dialect: EtcdGateway,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     request: dialect.WatchRequest,
 ) -> Result[dialect.WatchStream, errors.PlatformError]:
     create_request = {
@@ -121,7 +124,9 @@
 
 @dialect.write_key.register
 def _(
-    _dialect: EtcdGateway, calls: service_calls.Gateway, write: dialect.KeyWrite
+    _dialect: EtcdGateway,
+    calls: service_calls.ServiceCalls,
+    write: dialect.KeyWrite,
 ) -> Result[KeyValue, errors.PlatformError]:
     operations = [_write_operation(write), _revision_read(write.key)]
     body = {
@@ -143,7 +148,7 @@
 @dialect.grant_lease.register
 def _(
     _dialect: EtcdGateway,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     ttl_s: float,
     purpose: str,
 ) -> Result[int, errors.PlatformError]:
@@ -159,7 +164,7 @@
 @dialect.keep_alive.register
 def _(
     _dialect: EtcdGateway,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     lease_id: int,
     purpose: str,
 ) -> Result[float, errors.PlatformError]:
@@ -181,7 +186,7 @@
 @dialect.revoke.register
 def _(
     _dialect: EtcdGateway,
-    calls: service_calls.Gateway,
+    calls: service_calls.ServiceCalls,
     lease_id: int,
     purpose: str,
 ) -> Result[None, errors.PlatformError]:
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -52,7 +52,7 @@
             dialect: Dialect of the service; None for etcd's JSON gateway.
         """
         self._dialect = dialect or etcd.EtcdGateway()
-        self._gateway = service_calls.Gateway(
+        self._gateway = service_calls.ServiceCalls(
             endpoints,
             timeout_s=timeout_s,
             purpose_budgets=purpose_budgets,
@@ -102,13 +102,13 @@
         """
         return self._gateway.age_s()
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the seconds since the service's last outage ended, or inf.
 
         During an outage, calls of this process fail; ``outage.LastOutage``
         estimates when it ended.
         """
-        return self._gateway.trouble_age_s()
+        return self._gateway.outage_age_s()
 
     @property
     def era(self) -> int:
@@ -312,7 +312,7 @@
 
     def read_for_watch(
         self, prefix: str, *, purpose: str
-    ) -> Result[dialect_module.Reading, errors.PlatformError]:
+    ) -> Result[dialect_module.PrefixRead, errors.PlatformError]:
         """Reads all keys with a prefix, and the state of the service."""
         return dialect_module.read_prefix(
             self._dialect, self._gateway, prefix, purpose
--- a/src/mulberrywharf/platform_service/service_calls.py
+++ b/src/mulberrywharf/platform_service/service_calls.py
@@ -53,7 +53,7 @@
     method: str = "POST"
 
 
-class Gateway:
+class ServiceCalls:
     """Client for all endpoints of the service.
 
     Calls are counted and budgeted by purpose.
@@ -95,7 +95,7 @@
         """
         return self._clock.monotonic_s() - self._answered_s
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the seconds since the last outage ended, or inf."""
         return self._outage.age_s(self._clock.monotonic_s())
 
@@ -227,7 +227,7 @@
 class Poll:
     """Long-polling calls that reuse one connection."""
 
-    def __init__(self, gateway: Gateway, endpoint: http_calls.HttpCalls):
+    def __init__(self, gateway: ServiceCalls, endpoint: http_calls.HttpCalls):
         self._gateway = gateway
         self._endpoint = endpoint
 
--- a/src/mulberrywharf/programs/_gateway.py
+++ b/src/mulberrywharf/programs/_gateway.py
@@ -489,9 +489,9 @@
             server.start, self._clock.monotonic_s()
         )
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the time since the store's last outage, inf before any."""
-        return self._client.trouble_age_s()
+        return self._client.outage_age_s()
 
     def wanted_prefill(self, service: str) -> float | None:
         """Returns how many prefill engines all callers' prompts keep busy.
--- a/src/mulberrywharf/programs/_router_backends.py
+++ b/src/mulberrywharf/programs/_router_backends.py
@@ -33,7 +33,7 @@
     ):
         index = prefix_index.PrefixIndex.from_config()
         self.loads = load_reader.LoadReader.from_config(
-            config.get("engines"), sink=index, now=system_clock, chance=rng
+            config.get("engines"), sink=index, now=system_clock, rng=rng
         )
         self.places = places.EnginePlaces(
             self.loads, index, system_clock=system_clock, rng=rng
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -155,7 +155,7 @@
             answer = service_exchange.read_whole(sent.ok_value)
         except errors.EngineError as error:
             return self._record_failure(call, vm, error)
-        self._servers.succeeded(vm.vm_id)
+        self._servers.record_success(vm.vm_id)
         if answer.status < _SERVER_ERROR_STATUS:
             self._crashes.note_completed(call.caller)
         _attempts_total.inc({"service": call.service, "result": "answered"})
@@ -167,7 +167,7 @@
         vm: fleet.VmRecord,
         error: errors.EngineError,
     ) -> Err[errors.EngineError]:
-        self._servers.failed(vm.vm_id, self._clock.monotonic_s())
+        self._servers.record_failure(vm.vm_id, self._clock.monotonic_s())
         if crash_watch.may_be_crash(error):
             run = crash_watch.RequestRun(
                 call.caller, fleet.ServerStart(vm.vm_id), vm.address
--- a/tests/builders_routes.py
+++ b/tests/builders_routes.py
@@ -82,7 +82,7 @@
     )
 
 
-def routed(now_s: float, **changes: Any) -> request.RoutedRequest:
+def routed_request(now_s: float, **changes: Any) -> request.RoutedRequest:
     made = request.RoutedRequest(
         request_id=REQUEST_ID,
         method="POST",
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -147,11 +147,11 @@
 
     def test_a_failed_server_is_chosen_last_for_some_time(self) -> None:
         self.directory.set_vms([_server("a"), _server("c", "nave-heredia")])
-        self.directory.failed("a", 0.0)
+        self.directory.record_failure("a", 0.0)
         self.assertEqual(self.chosen_ids(1, 1.0), ["c"])
         self.assertEqual(self.chosen_ids(1, 60.0), ["a"])
-        self.directory.failed("c", 60.0)
-        self.directory.failed("a", 60.0)
+        self.directory.record_failure("c", 60.0)
+        self.directory.record_failure("a", 60.0)
         self.assertEqual(self.chosen_ids(1, 61.0), ["a"])
 
     def test_no_server_left_and_unknown_service_are_errors(self) -> None:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -76,7 +76,7 @@
             crash_watch.NullReportsAndRecords(),
             system_clock,
         )
-        routed_request = build.routed(0.0)
+        routed_request = build.routed_request(0.0)
         # Blocks the event loop once ``note_connection_lost`` starts to wait.
         gevent.spawn(time.sleep, 2 * crash_watch.PROBE_WAIT_S)
         watch.note_connection_lost(
@@ -98,8 +98,10 @@
 
 class FingerprintTest(unittest.TestCase):
     def test_fingerprint_depends_on_the_request_and_its_caller(self) -> None:
-        original = build.routed(0.0, caller="key-1")
-        repeated = build.routed(9.0, caller="key-1", request_id="another")
+        original = build.routed_request(0.0, caller="key-1")
+        repeated = build.routed_request(
+            9.0, caller="key-1", request_id="another"
+        )
         self.assertEqual(original.fingerprint(), repeated.fingerprint())
         for changed in (
             {"target": "/a/x?q=2"},
@@ -113,8 +115,8 @@
                 self.assertNotEqual(original.fingerprint(), other.fingerprint())
 
     def test_boundary_between_parts_changes_the_fingerprint(self) -> None:
-        first = build.routed(0.0, target="/a/xkey", caller="")
-        second = build.routed(0.0, target="/a/x", caller="key")
+        first = build.routed_request(0.0, target="/a/xkey", caller="")
+        second = build.routed_request(0.0, target="/a/x", caller="key")
         self.assertNotEqual(first.fingerprint(), second.fingerprint())
 
 
--- a/tests/test_engine_estimates.py
+++ b/tests/test_engine_estimates.py
@@ -105,7 +105,7 @@
             [prompt_placement.EngineView(_LOCAL)],
         )[0]
         self.estimates.record_placement(
-            build.routed(0.0, prompt=prompt),
+            build.routed_request(0.0, prompt=prompt),
             table.Service("service", 100, build.ENGINE),
             plan,
         )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 from tests import builders_platform, processes
 from tests import builders_routes as build
 
-TOKENS = (
+PROMPT_FIELDS = (
     "x-mulberrywharf-model: m\r\n"
     "x-mulberrywharf-token-usage: 16000,50\r\n"
     "x-mulberrywharf-prompt-prefix: aa:13000,bb:3000\r\n"
@@ -176,7 +176,7 @@
             plain.headers["x-mulberrywharf-response-signature"], "plain-1"
         )
         self.assertEqual(self.ask("/unknown/x").status, 404)
-        stream = self.ask("/stream/x", fields=TOKENS)
+        stream = self.ask("/stream/x", fields=PROMPT_FIELDS)
         self.assertEqual(stream.status, 200)
         self.assertEqual(stream.body.count(b"data: "), 5)
         self.assertTrue(stream.body.endswith(b"0\r\n\r\n"))
@@ -193,7 +193,7 @@
         for engine in self.decodes:
             engine.faults = {"break_after": 3}
         # The second run starts after event 3, so the fault does not end it.
-        stream = self.ask("/stream/x", fields=TOKENS)
+        stream = self.ask("/stream/x", fields=PROMPT_FIELDS)
         runs = self.decodes[0].runs + self.decodes[1].runs
         self.assertEqual([run["after"] for run in runs][-1], "3")
         self.assertEqual(stream.body.count(b"data: id-1 3"), 1)
@@ -207,7 +207,7 @@
         self.wait_ready()
         for engine in self.decodes:
             engine.crash_on = "body"
-        answer = self.ask("/stream/x", fields=TOKENS)
+        answer = self.ask("/stream/x", fields=PROMPT_FIELDS)
         self.assertEqual(answer.status, 502)
         self.assertIn(b"back-end-lost", answer.body)
 
@@ -250,7 +250,7 @@
     """
 
     def ask_in_background(self, path: str) -> gevent.Greenlet:
-        asked = gevent.spawn(self.ask, path, fields=TOKENS)
+        asked = gevent.spawn(self.ask, path, fields=PROMPT_FIELDS)
         gevent.sleep(0.2)
         return asked
 
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -118,7 +118,9 @@
         route = build.route(
             kind=kind, timeout_s=1.0, target_s=0.5, has_prompt=True
         )
-        routed_request = build.routed(self.clock.monotonic_s(), **changes)
+        routed_request = build.routed_request(
+            self.clock.monotonic_s(), **changes
+        )
         return generations.open(
             routed_request, route, table.Service("service", 100, engine)
         )
@@ -298,7 +300,7 @@
             sock.sendall(refusal())
 
         suspects = self.crashes._suspects
-        routed_request = build.routed(0.0)
+        routed_request = build.routed_request(0.0)
         fingerprint = routed_request.fingerprint()
         healthy = self.respond_with(HEAD + chunks(event(1)))
         with self.assertRaises(errors.CrashingRequestError) as refused:
@@ -386,9 +388,9 @@
 
         def script(sock: Any, asked: bytes) -> None:
             placed = [one for one in self.planned_decode_ids if one != "s0"]
-            self.servers.known = tuple(
+            self.servers.servers = tuple(
                 one._replace(is_draining=one.server_id in placed)
-                for one in self.servers.known
+                for one in self.servers.servers
             )
             sock.sendall(PREFILLED)
 
@@ -598,7 +600,7 @@
         )
         route = build.route(kind=NOT_RESUMABLE, timeout_s=5.0, target_s=0.4)
         service = table.Service("service", 100, build.ENGINE)
-        routed_request = build.routed(
+        routed_request = build.routed_request(
             self.clock.monotonic_s(), prompt=build.prompt()
         )
         limit = time_limits.TimeLimit.of(routed_request, route, self.clock)
--- a/tests/test_load_reader.py
+++ b/tests/test_load_reader.py
@@ -78,7 +78,7 @@
         self.addCleanup(self.engine.server.close)
         self.sink = RecordingSink()
         self.reader = load_reader.LoadReader.from_config(
-            {"load_interval_s": 0.01}, sink=self.sink, chance=random.Random(1)
+            {"load_interval_s": 0.01}, sink=self.sink, rng=random.Random(1)
         )
         self.addCleanup(self.reader.close)
 
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -21,13 +21,13 @@
 class StaticServers:
     """A server list whose servers a test sets."""
 
-    def __init__(self, *known: Any):
-        self.known = known
+    def __init__(self, *servers: Any):
+        self.servers = servers
 
     def usable(self, service: str) -> tuple[Any, ...]:
         return tuple(
             one
-            for one in self.known
+            for one in self.servers
             if one.service == service and not one.is_draining
         )
 
@@ -86,7 +86,9 @@
             )
         )
         route = build.route(kind=kind or kinds.Idempotent())
-        routed_request = build.routed(self.clock.monotonic_s(), **changes)
+        routed_request = build.routed_request(
+            self.clock.monotonic_s(), **changes
+        )
         return calls.call(
             routed_request, route._replace(timeout_s=1.0), "service"
         )
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -44,9 +44,11 @@
 
     def test_retry_after_is_read_from_refusals_only(self) -> None:
         for status in (429, 503):
-            self.assertEqual(self.head(status, retry_after="1.5").rest_s, 1.5)
-        self.assertIsNone(self.head(200, retry_after="1.5").rest_s)
-        self.assertIsNone(self.head(421, retry_after="1.5").rest_s)
+            self.assertEqual(
+                self.head(status, retry_after="1.5").retry_after_s, 1.5
+            )
+        self.assertIsNone(self.head(200, retry_after="1.5").retry_after_s)
+        self.assertIsNone(self.head(421, retry_after="1.5").retry_after_s)
 
     def test_invalid_retry_after_is_ignored(self) -> None:
         """Guards against excluding a server because of a malformed field."""
@@ -62,7 +64,9 @@
             "Thu, 03 Dec 2026 08:00:00 GMT",
         ):
             with self.subTest(text=text):
-                self.assertIsNone(self.head(503, retry_after=text).rest_s)
+                self.assertIsNone(
+                    self.head(503, retry_after=text).retry_after_s
+                )
 
     def test_leaving_server_is_recognized(self) -> None:
         self.assertTrue(self.head(200, server_leaving="1").is_leaving)
--- a/tests/test_role_manager.py
+++ b/tests/test_role_manager.py
@@ -61,7 +61,7 @@
     def accepts_calls(self, server: fleet.Server) -> bool:
         return server.server_id not in self.blocked_ids
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         return self.age_s
 
     def wanted_prefill(self, service: str) -> float | None:
--- a/tests/test_server_list.py
+++ b/tests/test_server_list.py
@@ -89,7 +89,7 @@
         taken for a server that had left.
         """
         self.store.faults = {"down": True}
-        builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
+        builders_platform.wait_until(lambda: self.client.outage_age_s() < 1.0)
         self.store.delete(KEY)
         self.store.faults = {}
         emptied = self.wait_usable(0, limit_s=HOLD_S / 2)
@@ -108,10 +108,10 @@
         back for 1.7 s, went on sending.
         """
         self.store.faults = {"down": True}
-        builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
+        builders_platform.wait_until(lambda: self.client.outage_age_s() < 1.0)
         self.store.faults = {}
         builders_platform.wait_until(
-            lambda: self.client.trouble_age_s() > 0.7 * HOLD_S
+            lambda: self.client.outage_age_s() > 0.7 * HOLD_S
         )
         self.store.delete(KEY)
         self.assertTrue(self.wait_usable(0, limit_s=0.7 * HOLD_S))
@@ -123,7 +123,7 @@
         server was kept forever.
         """
         self.store.faults = {"down": True}
-        builders_platform.wait_until(lambda: self.client.trouble_age_s() < 1.0)
+        builders_platform.wait_until(lambda: self.client.outage_age_s() < 1.0)
         self.store.delete(KEY)
         self.store.faults = {}
         self.assertTrue(self.wait_usable(0, limit_s=10 * HOLD_S))
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -75,7 +75,7 @@
         self.store.faults = SILENT
         self.store.mute_connections()
         leave_unobserved(self.store)
-        wait_for(lambda: self.client.trouble_age_s() < 1.0)
+        wait_for(lambda: self.client.outage_age_s() < 1.0)
         self.store.faults = {}
         self.assertTrue(
             builders_platform.wait_until(
