--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -32,7 +32,7 @@
         change_ends_unix_s: Wall clock times at which recent role changes ended.
     """
 
-    reports: Mapping[str, situation_builder.SeenReport]
+    reports: Mapping[str, situation_builder.AgedReport]
     records: Mapping[str, order_records.OrderRecord]
     demand: role_planner.Demand | None = None
     change_ends_unix_s: tuple[float, ...] = ()
@@ -101,7 +101,7 @@
         engines=engines,
         demand=zone.demand,
         target=_target(actions, engines),
-        in_change_count=in_change_count(zone),
+        changing_count=changing_count(zone),
         change_ends_unix_s=zone.change_ends_unix_s,
     )
     return role_planner.plan(view, options, now_unix_s)
@@ -157,7 +157,7 @@
     return surplus[next_role] > 0 and surplus[now_role] < 0
 
 
-def in_change_count(zone: Zone) -> int:
+def changing_count(zone: Zone) -> int:
     """Returns how many engines are unavailable because of a planned change."""
     return sum(
         1
@@ -174,7 +174,7 @@
 
 
 def _planner_engine(
-    seen: situation_builder.SeenReport,
+    seen: situation_builder.AgedReport,
     record: order_records.OrderRecord | None,
     speeds: situation_builder.Speeds,
 ) -> role_planner.PlannerEngine:
--- a/src/mulberrywharf/engines/loads.py
+++ b/src/mulberrywharf/engines/load_reader.py
@@ -72,12 +72,12 @@
         interval_s: float,
         sink: CacheEventSink | None,
         now: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ):
         self._interval_s = interval_s
         self._sink = sink
         self._clock = now
-        self._random = chance
+        self._random = rng
         self._pool = _connections.ConnectionPool(idle_limit_count=1)
         self._loads: dict[str, engine_load.EngineLoad] = {}
         self._readers: dict[str, gevent.Greenlet] = {}
@@ -92,7 +92,7 @@
         *,
         sink: CacheEventSink | None = None,
         now: clock.Clock | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> "LoadReader":
         """Returns a reader without engines; ``set_vms`` adds them.
 
@@ -100,7 +100,7 @@
             config: The ``engines`` section of the settings.
             sink: Receives cache events, such as the prefix index.
             now: The clock; the system clock if None.
-            chance: Random source of the jitter on the interval, which keeps
+            rng: Random source of the jitter on the interval, which keeps
                 nodes from polling an engine at the same time.
         """
         engines: Any = config or {}
@@ -108,7 +108,7 @@
             engines.get("load_interval_s", DEFAULT_INTERVAL_S),
             sink,
             now or clock.SystemClock(),
-            chance or random.Random(),
+            rng or random.Random(),
         )
 
     def start(self) -> None:
@@ -142,12 +142,12 @@
         """Sets the engines that must get no new work."""
         self._drained = frozenset(engine_ids)
 
-    def set_slice(self, engine_ids: Collection[str] | None) -> None:
+    def set_polled_engines(self, engine_ids: Collection[str] | None) -> None:
         """Sets the engines that this node polls itself; None polls all."""
         self._slice = None if engine_ids is None else frozenset(engine_ids)
         self._sync_readers()
 
-    def accept(self, report: fleet.LoadReport, age_s: float) -> None:
+    def record_report(self, report: fleet.LoadReport, age_s: float) -> None:
         """Stores a report that another node read, unless a newer one is known.
 
         Args:
@@ -174,7 +174,7 @@
         now_s = self._clock.monotonic_s()
         return load.view(now_s, engine_id in self._drained)
 
-    def begin(self, engine_id: str, prompt_tokens: int) -> None:
+    def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         """Records that a request is sent to an engine.
 
         Args:
@@ -186,8 +186,8 @@
         if load is not None:
             load.request_started(prompt_tokens, self._clock.monotonic_s())
 
-    def end(self, engine_id: str, failed: bool) -> None:
-        """Records that a request at an engine ended; once per ``begin``."""
+    def request_finished(self, engine_id: str, failed: bool) -> None:
+        """Records that a request ended; once per ``request_started``."""
         load = self._loads.get(engine_id)
         if load is not None:
             load.request_finished(failed, self._clock.monotonic_s())
--- a/src/mulberrywharf/forwarding/engine_loads.py
+++ b/src/mulberrywharf/forwarding/engine_loads.py
@@ -3,9 +3,9 @@
 from typing import Protocol
 
 from mulberrywharf import clock, fleet
-from mulberrywharf.forwarding import server_book
-from mulberrywharf.peers import codec
-from mulberrywharf.policy import engine_queues, server_choice, usual_load
+from mulberrywharf.forwarding import server_tracker
+from mulberrywharf.peers import notice_codec
+from mulberrywharf.policy import engine_queues, load_estimates, server_choice
 
 RELAYED_LOAD_MAX_AGE_S = 0.5
 """Oldest engine load that is passed on to peers. A batch of short answers is
@@ -22,13 +22,13 @@
 """Keys of an availability zone and of a service, and whether the engines are
 prefill engines."""
 
-_NO_LOAD = usual_load.IDLE, float("-inf")
+_NO_LOAD = load_estimates.IDLE, float("-inf")
 
 
 class NoticeScope(Protocol):
     """Tells which engines' placements this gateway gets notices of."""
 
-    def hears_of(self, server: fleet.Server) -> bool:
+    def receives_notices_for(self, server: fleet.Server) -> bool:
         """Tells whether this gateway gets notices of all work at an engine."""
         ...
 
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        book: server_book.ServerBook,
+        tracker: server_tracker.ServerTracker,
         queues: engine_queues.EngineQueues,
         notices: NoticeScope,
         system_clock: clock.Clock,
@@ -57,24 +57,26 @@
         """Initializes the loads; no engine is known.
 
         Args:
-            book: Own and reported requests per engine.
+            tracker: Own and reported requests per engine.
             queues: Estimated prefill queues of the engines.
             notices: Tells which engines' placements are announced here.
             system_clock: Source of monotonic time.
         """
-        self._book = book
+        self._tracker = tracker
         self._queues = queues
         self._notices = notices
         self._clock = system_clock
         self._server_by_key: dict[int, fleet.Server] = {}
         self._zone_by_start: dict[fleet.ServerStart, str] = {}
-        self._mean_loads: dict[_ServiceRole, tuple[usual_load.Load, float]] = {}
+        self._mean_loads: dict[
+            _ServiceRole, tuple[load_estimates.Load, float]
+        ] = {}
         self._reported_shares: dict[_ServiceRole, tuple[float, float]] = {}
         self._zone_loads: dict[
-            _ZoneServiceRole, tuple[usual_load.Load, float]
+            _ZoneServiceRole, tuple[load_estimates.Load, float]
         ] = {}
 
-    def follow(self, known: dict[int, fleet.Server]) -> None:
+    def set_engines(self, known: dict[int, fleet.Server]) -> None:
         """Replaces the known engines, given by their keys in notices."""
         self._server_by_key = known
         self._zone_by_start = {
@@ -85,54 +87,56 @@
 
     def load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the estimated load of an engine."""
-        if self._notices.hears_of(candidate.server):
+        if self._notices.receives_notices_for(candidate.server):
             return self._observed_load(candidate, now_s)
-        return usual_load.at_least(
+        return load_estimates.raised_to(
             self._known_load(candidate, now_s),
             self._believed(candidate.server, now_s),
         )
 
-    def reported(self, availability_zone: str) -> tuple[codec.Load, ...]:
+    def recent_reports(
+        self, availability_zone: str
+    ) -> tuple[notice_codec.Load, ...]:
         """Returns the recent load reports of a zone's engines."""
         now_s = self._clock.monotonic_s()
         return tuple(
-            codec.Load(
-                codec.key_of_server(start),
+            notice_codec.Load(
+                notice_codec.hash_server_start(start),
                 load.requests_count,
                 now_s - reported_s,
             )
-            for start, load, reported_s in self._book.reported_since(
+            for start, load, reported_s in self._tracker.reported_since(
                 now_s - RELAYED_LOAD_MAX_AGE_S
             )
             if self._zone_by_start.get(start) == availability_zone
         )
 
-    def of_roles(self) -> tuple[codec.RoleLoad, ...]:
+    def mean_load_by_role(self) -> tuple[notice_codec.RoleLoad, ...]:
         """Returns the mean load of the engines with full notices, by role."""
         now_s = self._clock.monotonic_s()
         kinds = {
             (one.service, one.role)
             for one in self._server_by_key.values()
-            if one.role is not None and self._notices.hears_of(one)
+            if one.role is not None and self._notices.receives_notices_for(one)
         }
         return tuple(
-            codec.RoleLoad(
-                codec.key_of(service),
+            notice_codec.RoleLoad(
+                notice_codec.hash_name(service),
                 role == "prefill",
                 self._mean_load((service, role), now_s),
             )
             for service, role in sorted(kinds)
         )
 
-    def on_notice(self, notice: codec.Notice) -> None:
+    def on_notice(self, notice: notice_codec.Notice) -> None:
         """Applies the loads in another gateway's notice."""
         now_s = self._clock.monotonic_s()
         for load in notice.loads:
             server = self._server_by_key.get(load.engine_key)
             if server is not None:
-                self._book.note_requests_count(
+                self._tracker.note_requests_count(
                     server.start, load.requests_count, now_s - load.age_s
                 )
         for report in notice.role_loads:
@@ -141,46 +145,52 @@
 
     def _known_load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the load of the work at an engine that this gateway knows."""
         server = candidate.server
-        running_count = candidate.own_count + candidate.others_count
-        return usual_load.Load(
+        running_count = (
+            candidate.own_in_flight_count + candidate.others_in_flight_count
+        )
+        return load_estimates.Load(
             running_count / max(1, server.slots_count),
             self._queues.wait_s(server.start, now_s),
         )
 
     def _observed_load(
         self, candidate: server_choice.Candidate, now_s: float
-    ) -> usual_load.Load:
+    ) -> load_estimates.Load:
         """Returns the load of an engine with full notices."""
         server = candidate.server
         known = self._known_load(candidate, now_s)
-        unknown_share = 1.0 - self._book.others_load(server.start, now_s).weight
+        unknown_share = (
+            1.0 - self._tracker.others_load(server.start, now_s).weight
+        )
         mean_share = self._told_share((server.service, server.role), now_s)
         return known._replace(
             running_share=known.running_share + unknown_share * mean_share
         )
 
-    def _believed(self, server: fleet.Server, now_s: float) -> usual_load.Load:
+    def _believed(
+        self, server: fleet.Server, now_s: float
+    ) -> load_estimates.Load:
         """Returns the estimated load of an engine without full notices."""
         kind = (
-            codec.key_of(server.availability_zone),
-            codec.key_of(server.service),
+            notice_codec.hash_name(server.availability_zone),
+            notice_codec.hash_name(server.service),
             server.role == "prefill",
         )
         load, reported_s = self._zone_loads.get(kind, _NO_LOAD)
-        if now_s - reported_s <= usual_load.TOLD_AGE_S:
+        if now_s - reported_s <= load_estimates.MAX_REPORT_AGE_S:
             return load
         return self._mean_load((server.service, server.role), now_s)
 
     def _told_share(self, kind: _ServiceRole, now_s: float) -> float:
         """Returns the mean share of slots taken by others' requests."""
         found, found_s = self._reported_shares.get(kind, (0.0, float("-inf")))
-        if now_s - found_s < usual_load.KEPT_S:
+        if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
         reports = [
-            (self._book.others_load(one.start, now_s), one.slots_count)
+            (self._tracker.others_load(one.start, now_s), one.slots_count)
             for one in self._observed_engines(kind)
         ]
         weight = sum(load.weight for load, _ in reports)
@@ -201,16 +211,18 @@
             for one in self._server_by_key.values()
             if (one.service, one.role) == kind
             and not one.is_draining
-            and self._notices.hears_of(one)
+            and self._notices.receives_notices_for(one)
         ]
 
-    def _mean_load(self, kind: _ServiceRole, now_s: float) -> usual_load.Load:
+    def _mean_load(
+        self, kind: _ServiceRole, now_s: float
+    ) -> load_estimates.Load:
         """Returns the mean load of a kind's engines with full notices."""
         found, found_s = self._mean_loads.get(kind, _NO_LOAD)
-        if now_s - found_s < usual_load.KEPT_S:
+        if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
-        observed = self._book.candidates(self._observed_engines(kind), now_s)
-        found = usual_load.mean(
+        observed = self._tracker.candidates(self._observed_engines(kind), now_s)
+        found = load_estimates.mean(
             [self._observed_load(candidate, now_s) for candidate in observed]
         )
         self._mean_loads[kind] = found, now_s
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -27,7 +27,7 @@
 service. Reads only recover what no report from another gateway delivered, for
 example during a network partition."""
 
-WRITTEN_WITHIN_S = (0.2, 0.6)
+WRITE_DELAY_RANGE_S = (0.2, 0.6)
 """Range of the random delay between blocking a request and writing its record.
 By then, reports from other gateways that would change the decision have
 arrived, and another gateway may have written the record."""
@@ -82,14 +82,14 @@
 
     def close(self) -> None:
         """Stops the task; the records remain in the service."""
-        self._client.forget_restored(self._on_restored)
+        self._client.remove_on_restored(self._on_restored)
         if self._task is not None:
             self._task.kill()
 
-    def write_soon(self) -> None:
+    def schedule_write(self) -> None:
         """Schedules an update that writes missing records."""
         gevent.spawn_later(
-            random.uniform(*WRITTEN_WITHIN_S), self._update_requested.set
+            random.uniform(*WRITE_DELAY_RANGE_S), self._update_requested.set
         )
 
     def remove(self, fingerprint: int) -> None:
@@ -183,16 +183,18 @@
             )
             return
         for end in ends:
-            self._suspects.note_end(fingerprint, end)
+            self._suspects.record_server_end(fingerprint, end)
 
-    def _decode_end(self, fields: Mapping[str, Any]) -> crash_suspects.End:
+    def _decode_end(
+        self, fields: Mapping[str, Any]
+    ) -> crash_suspects.ServerEnd:
         age_s = self._clock.unix_s() - float(fields["unix_s"])
         # The wall clocks of gateways differ and may be adjusted.
-        age_s = min(max(age_s, 0.0), crash_suspects.KEPT_S)
+        age_s = min(max(age_s, 0.0), crash_suspects.SUSPECT_KEPT_S)
         server_key = int(fields["server_key"])
         if not 0 <= server_key <= _SERVER_KEY_LIMIT:
             raise ValueError(f"server key {server_key} is out of range")
-        return crash_suspects.End(
+        return crash_suspects.ServerEnd(
             server_key,
             bool(fields["made_output"]),
             self._clock.monotonic_s() - age_s,
--- a/src/mulberrywharf/platform_service/key_value.py
+++ b/src/mulberrywharf/platform_service/key_value.py
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from mulberrywharf import clock, errors, settings
-from mulberrywharf.platform_service import call_budget, etcd, gateway
+from mulberrywharf.platform_service import call_budget, etcd, service_calls
 from mulberrywharf.platform_service import dialect as dialect_module
 from mulberrywharf.platform_service import watch as watch_module
 from mulberrywharf.platform_service.key_value_types import (
@@ -52,7 +52,7 @@
             dialect: Dialect of the service; None for etcd's JSON gateway.
         """
         self._dialect = dialect or etcd.EtcdGateway()
-        self._gateway = gateway.Gateway(
+        self._gateway = service_calls.ServiceCalls(
             endpoints,
             timeout_s=timeout_s,
             purpose_budgets=purpose_budgets,
@@ -102,13 +102,13 @@
         """
         return self._gateway.age_s()
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the seconds since the service's last outage ended, or inf.
 
         During an outage, calls of this process fail; ``outage.LastOutage``
         estimates when it ended.
         """
-        return self._gateway.trouble_age_s()
+        return self._gateway.outage_age_s()
 
     @property
     def era(self) -> int:
@@ -128,7 +128,7 @@
         """
         self._gateway.era.on_restored(callback)
 
-    def forget_restored(self, callback: Callable[[], None]) -> None:
+    def remove_on_restored(self, callback: Callable[[], None]) -> None:
         """Removes a callback registered with ``on_restored``."""
         self._gateway.era.remove_callback(callback)
 
@@ -275,7 +275,9 @@
         on_change: Callable[[WatchEvent], None],
         *,
         purpose: str,
-        patience: Callable[[], watch_module.Patience] = watch_module.Patience,
+        timeouts: Callable[
+            [], watch_module.WatchTimeouts
+        ] = watch_module.WatchTimeouts,
     ) -> watch_module.Watch:
         """Starts a watch that reports existing keys, then each change.
 
@@ -286,14 +288,14 @@
             prefix: Prefix of the keys.
             on_change: Called in the watch's greenlet, one event at a time.
             purpose: Call budget that is charged.
-            patience: Returns the current timeouts of the watch.
+            timeouts: Returns the current timeouts of the watch.
 
         Returns:
             The running watch. Its owner closes it, or it closes with the
             client.
         """
         watch = watch_module.Watch(
-            self, prefix, on_change, purpose=purpose, patience=patience
+            self, prefix, on_change, purpose=purpose, timeouts=timeouts
         )
         self._watches.append(watch)
         watch.start()
@@ -310,7 +312,7 @@
 
     def read_for_watch(
         self, prefix: str, *, purpose: str
-    ) -> Result[dialect_module.Reading, errors.PlatformError]:
+    ) -> Result[dialect_module.PrefixRead, errors.PlatformError]:
         """Reads all keys with a prefix, and the state of the service."""
         return dialect_module.read_prefix(
             self._dialect, self._gateway, prefix, purpose
--- a/src/mulberrywharf/platform_service/gateway.py
+++ b/src/mulberrywharf/platform_service/service_calls.py
@@ -53,7 +53,7 @@
     method: str = "POST"
 
 
-class Gateway:
+class ServiceCalls:
     """Client for all endpoints of the service.
 
     Calls are counted and budgeted by purpose.
@@ -95,7 +95,7 @@
         """
         return self._clock.monotonic_s() - self._answered_s
 
-    def trouble_age_s(self) -> float:
+    def outage_age_s(self) -> float:
         """Returns the seconds since the last outage ended, or inf."""
         return self._outage.age_s(self._clock.monotonic_s())
 
@@ -120,7 +120,7 @@
         body: Mapping[str, Any],
         *,
         attempt: int,
-        silence_s: float,
+        silence_timeout_s: float,
         purpose: str,
     ) -> Result[http_calls.LineStream, errors.PlatformError]:
         """Opens a watch stream.
@@ -129,14 +129,17 @@
             path: Path of the request.
             body: JSON body of the request.
             attempt: Number of the attempt; selects the endpoint.
-            silence_s: A read fails after this many seconds without data.
+            silence_timeout_s: A read fails after this many seconds without
+                data.
             purpose: Call budget that is charged.
         """
         if not self.try_charge(purpose):
             return Err(_budget_exceeded_error(purpose))
         endpoint = self._endpoints[attempt % len(self._endpoints)]
         try:
-            stream = endpoint.open_stream(path, body, silence_s=silence_s)
+            stream = endpoint.open_stream(
+                path, body, silence_timeout_s=silence_timeout_s
+            )
         except (OSError, response.HTTPParseError) as error:
             self._count(purpose, "watch", "failed")
             message = f"{endpoint.name}: opening a watch failed: {error}"
@@ -152,7 +155,7 @@
         self.record_success()
         return Ok(stream)
 
-    def open_poll(self, *, attempt: int, timeout_s: float) -> "Poll":
+    def open_long_poll(self, *, attempt: int, timeout_s: float) -> "Poll":
         """Creates a separate connection for long-polling calls.
 
         Args:
@@ -224,7 +227,7 @@
 class Poll:
     """Long-polling calls that reuse one connection."""
 
-    def __init__(self, gateway: Gateway, endpoint: http_calls.HttpCalls):
+    def __init__(self, gateway: ServiceCalls, endpoint: http_calls.HttpCalls):
         self._gateway = gateway
         self._endpoint = endpoint
 
--- a/src/mulberrywharf/programs/_router.py
+++ b/src/mulberrywharf/programs/_router.py
@@ -21,9 +21,9 @@
     _router_status,
 )
 from mulberrywharf.requests import (
+    background_tasks,
     demand_rates,
     generation,
-    in_flight,
     service_call,
 )
 
@@ -62,7 +62,7 @@
             self._platform,
             fleet.Address(callers["listen"]["ip"], caller_listener.port),
         )
-        self._background = in_flight.InFlight()
+        self._background = background_tasks.InFlight()
         self._build_request_pipelines(callers, caller_listener)
         self._readiness: gevent.Greenlet | None = None
 
@@ -100,7 +100,7 @@
         )
         retries = retry_budget.RetryBudget.from_config(now_s)
         rates = demand_rates.DemandRates()
-        crashes = crash_watch.CrashWatch.of_node_alone(self._clock)
+        crashes = crash_watch.CrashWatch.standalone(self._clock)
         self._nodes.serve_rates(rates)
         self._configuration = _router_configuration.RouterConfiguration(
             self._platform.follower, customer_limits, self._audit, self._clock
@@ -211,7 +211,7 @@
 
     def _is_ready(self) -> bool:
         has_configuration = self._configuration.catalogue() is not None
-        return has_configuration and self._backends.knows_vms()
+        return has_configuration and self._backends.has_vm_list()
 
     def _status(self) -> status.StatusReport:
         return status.StatusReport(
--- a/tests/builders_routes.py
+++ b/tests/builders_routes.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from mulberrywharf import clock, crash_watch, fleet, server_ends
-from mulberrywharf.forwarding import exchanges, request
+from mulberrywharf.forwarding import request, server_client
 from mulberrywharf.platform import store
 from mulberrywharf.platform_service import key_value
 from mulberrywharf.policy import crash_suspects
@@ -82,7 +82,7 @@
     )
 
 
-def routed(now_s: float, **changes: Any) -> request.RoutedRequest:
+def routed_request(now_s: float, **changes: Any) -> request.RoutedRequest:
     made = request.RoutedRequest(
         request_id=REQUEST_ID,
         method="POST",
@@ -97,13 +97,15 @@
     return made._replace(**changes)
 
 
-def crashes_of(client: exchanges.ServerClient) -> crash_watch.CrashWatch:
+def crash_watch_for(
+    client: server_client.ServerClient,
+) -> crash_watch.CrashWatch:
     system_clock = clock.SystemClock()
     return crash_watch.CrashWatch(
         server_ends.ServerEnds(client, system_clock),
         crash_suspects.CrashSuspects(),
-        crash_watch.Alone(),
-        crash_watch.Alone(),
+        crash_watch.NullReportsAndRecords(),
+        crash_watch.NullReportsAndRecords(),
         system_clock,
     )
 
@@ -125,7 +127,8 @@
         [builders_platform.endpoint(port)],
         timeout_s=timeout_s,
         purpose_budgets=dict.fromkeys(
-            ("test", "routes", "servers", "peers"), builders_platform.GENEROUS
+            ("test", "routes", "servers", "peers"),
+            builders_platform.LARGE_BUDGET,
         ),
         dialect=store.StoreDialect(wait_s),
     )
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -31,11 +31,11 @@
 
     def block(self, suspects: crash_suspects.CrashSuspects) -> None:
         for server_key in (1, 2):
-            end = crash_suspects.End(
+            end = crash_suspects.ServerEnd(
                 server_key, False, self.clock.monotonic_s()
             )
-            suspects.note_end(FINGERPRINT, end)
-        self.records.write_soon()
+            suspects.record_server_end(FINGERPRINT, end)
+        self.records.schedule_write()
 
     def is_stored(self) -> bool:
         return self.client.get(KEY, purpose="test").unwrap() is not None
@@ -70,7 +70,7 @@
         suspects = self.start()
         self.block(suspects)
         self.assertTrue(builders_platform.wait_until(self.is_stored))
-        suspects.note_whole(FINGERPRINT, self.clock.monotonic_s())
+        suspects.record_completed(FINGERPRINT, self.clock.monotonic_s())
         self.records.remove(FINGERPRINT)
         self.assertTrue(
             builders_platform.wait_until(lambda: not self.is_stored())
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -9,7 +9,7 @@
 from mulberrywharf.peers import crash_codec, crash_reports, datagrams
 from mulberrywharf.policy import crash_suspects
 from tests import builders_platform
-from tests.test_peers import KnownPeers
+from tests.test_peers import FakePeers
 
 FINGERPRINT = 2**64 - 5
 
@@ -37,7 +37,7 @@
             for number in range(crash_codec.ENDS_LIMIT_COUNT)
         )
         encoded = crash_codec.encode(crash_codec.CrashReport(ends))
-        sealed = datagrams.seal(b"c", encoded)
+        sealed = datagrams.frame_datagram(b"c", encoded)
         self.assertLessEqual(len(sealed), datagrams.DATAGRAM_LIMIT_BYTES)
 
     def test_a_truncated_report_is_an_error(self) -> None:
@@ -49,7 +49,7 @@
             self.assertIsInstance(decoded, Err, cut)
 
 
-class LossyPeers(KnownPeers):
+class LossyPeers(FakePeers):
     """Peers to which the first ``lost_count`` datagrams are lost."""
 
     lost_count = 0
@@ -82,8 +82,8 @@
 
     def report_end(self, server_key: int) -> None:
         now_s = self._clock.monotonic_s()
-        end = crash_suspects.End(server_key, False, now_s)
-        self.suspects.note_end(FINGERPRINT, end)
+        end = crash_suspects.ServerEnd(server_key, False, now_s)
+        self.suspects.record_server_end(FINGERPRINT, end)
         self.reports.tell(FINGERPRINT)
 
     def is_blocking(self) -> bool:
@@ -132,7 +132,7 @@
         self.first.report_end(1)
         self.first.report_end(2)
         self.assert_blocking(self.second)
-        self.second.suspects.note_whole(
+        self.second.suspects.record_completed(
             FINGERPRINT, clock.SystemClock().monotonic_s()
         )
         self.second.reports.broadcast_cleared(FINGERPRINT)
--- a/tests/test_forwarding_policy.py
+++ b/tests/test_forwarding_policy.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from mulberrywharf.forwarding import request, server_book
+from mulberrywharf.forwarding import request, server_tracker
 from mulberrywharf.policy import (
     background_work,
     engine_queues,
@@ -30,14 +30,16 @@
         return made._replace(**changes)
 
     def test_the_less_loaded_server_is_chosen(self) -> None:
-        busy = self.candidate("busy", own_count=2, others_count=1.0)
+        busy = self.candidate(
+            "busy", own_in_flight_count=2, others_in_flight_count=1.0
+        )
         self.assertEqual(self.choose(busy, self.candidate("idle")), "idle")
 
     def test_the_own_zone_is_preferred_until_it_is_more_loaded(self) -> None:
         near = self.candidate("near")
-        far = self.candidate("far", is_near=False)
+        far = self.candidate("far", is_same_zone=False)
         self.assertEqual(self.choose(near, far), "near")
-        fuller = near._replace(own_count=2)
+        fuller = near._replace(own_in_flight_count=2)
         self.assertEqual(self.choose(fuller, far), "far")
 
     def test_a_server_that_fails_requests_is_avoided(self) -> None:
@@ -48,18 +50,22 @@
         """
         failing = self.candidate("failing", failure_share=0.4)
         self.assertEqual(
-            self.choose(failing, self.candidate("sound", own_count=3)), "sound"
+            self.choose(
+                failing, self.candidate("sound", own_in_flight_count=3)
+            ),
+            "sound",
         )
 
     def test_a_slow_server_is_avoided_at_lower_load(self) -> None:
-        slow = self.candidate("slow", pace=5.0)
+        slow = self.candidate("slow", slowdown=5.0)
         self.assertEqual(
-            self.choose(slow, self.candidate("sound", own_count=2)), "sound"
+            self.choose(slow, self.candidate("sound", own_in_flight_count=2)),
+            "sound",
         )
 
     def test_a_suspected_server_is_a_last_resort(self) -> None:
         suspected = self.candidate("suspected", is_suspected=True)
-        full = self.candidate("full", own_count=12)
+        full = self.candidate("full", own_in_flight_count=12)
         self.assertEqual(self.choose(suspected, full), "full")
         self.assertEqual(self.choose(suspected), "suspected")
 
@@ -71,62 +77,64 @@
     """Servers that ask for a pause with Retry-After."""
 
     def setUp(self) -> None:
-        self.book = server_book.ServerBook("zone-a")
+        self.tracker = server_tracker.ServerTracker("zone-a")
         self.one, self.two = build.server("one"), build.server("two")
 
     def test_a_server_gets_no_requests_until_its_retry_after(self) -> None:
-        self.book.rests(self.one.start, 3.0, 10.0)
-        reached = self.book.reachable([self.one, self.two], 12.9)
+        self.tracker.pause_until_retry_after(self.one.start, 3.0, 10.0)
+        reached = self.tracker.reachable([self.one, self.two], 12.9)
         self.assertEqual(reached, [self.two])
-        self.assertTrue(self.book.may_use(self.one.start, 13.0))
+        self.assertTrue(self.tracker.may_use(self.one.start, 13.0))
 
     def test_a_shorter_retry_after_does_not_replace_a_longer_one(self) -> None:
-        self.book.rests(self.one.start, 5.0, 10.0)
-        self.book.rests(self.one.start, 0.1, 10.0)
-        self.assertTrue(self.book.is_resting(self.one.start, 14.0))
+        self.tracker.pause_until_retry_after(self.one.start, 5.0, 10.0)
+        self.tracker.pause_until_retry_after(self.one.start, 0.1, 10.0)
+        self.assertTrue(self.tracker.is_paused(self.one.start, 14.0))
 
     def test_a_complete_answer_does_not_clear_the_retry_after(self) -> None:
-        self.book.rests(self.one.start, 5.0, 10.0)
-        self.book.succeeded(self.one.start)
-        self.assertTrue(self.book.is_resting(self.one.start, 14.0))
+        self.tracker.pause_until_retry_after(self.one.start, 5.0, 10.0)
+        self.tracker.succeeded(self.one.start)
+        self.assertTrue(self.tracker.is_paused(self.one.start, 14.0))
 
     def test_a_retry_after_of_an_hour_is_limited_to_a_minute(self) -> None:
-        self.book.rests(self.one.start, 3600.0, 10.0)
-        self.assertFalse(self.book.may_use(self.one.start, 69.0))
-        self.assertTrue(self.book.may_use(self.one.start, 70.0))
+        self.tracker.pause_until_retry_after(self.one.start, 3600.0, 10.0)
+        self.assertFalse(self.tracker.may_use(self.one.start, 69.0))
+        self.assertTrue(self.tracker.may_use(self.one.start, 70.0))
 
     def test_callers_get_the_earliest_retry_after_of_all_servers(self) -> None:
-        self.book.rests(self.one.start, 3.0, 10.0)
+        self.tracker.pause_until_retry_after(self.one.start, 3.0, 10.0)
         both = [self.one, self.two]
-        self.assertIsNone(self.book.rest_left_s(both, 11.0))
-        self.book.rests(self.two.start, 5.0, 10.0)
-        self.assertEqual(self.book.rest_left_s(both, 11.0), 2.0)
-        self.assertIsNone(self.book.rest_left_s([], 11.0))
+        self.assertIsNone(self.tracker.retry_after_left_s(both, 11.0))
+        self.tracker.pause_until_retry_after(self.two.start, 5.0, 10.0)
+        self.assertEqual(self.tracker.retry_after_left_s(both, 11.0), 2.0)
+        self.assertIsNone(self.tracker.retry_after_left_s([], 11.0))
 
 
 class ServerBookTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = server_book.ServerBook("zone-a")
+        self.tracker = server_tracker.ServerTracker("zone-a")
 
     def test_others_count_is_the_reported_count_without_own_requests(
         self,
     ) -> None:
-        self.book.began(build.start("s"), 0.0)
-        self.book.reported(
+        self.tracker.began(build.start("s"), 0.0)
+        self.tracker.reported(
             build.start("s"), request.ReportedLoad(3, 1, 6), 10.0
         )
         self.assertAlmostEqual(
-            self.book.others_count(build.start("s"), 10.0), 3.0
+            self.tracker.others_in_flight_count(build.start("s"), 10.0), 3.0
+        )
+        self.assertLess(
+            self.tracker.others_in_flight_count(build.start("s"), 12.0), 0.5
         )
-        self.assertLess(self.book.others_count(build.start("s"), 12.0), 0.5)
 
     def test_a_lost_server_is_suspected_for_a_while(self) -> None:
-        self.book.lost(build.start("s"), 10.0)
-        self.assertTrue(self.book.is_suspected(build.start("s"), 10.1))
-        self.assertTrue(self.book.may_use(build.start("s"), 10.1))
+        self.tracker.connection_lost(build.start("s"), 10.0)
+        self.assertTrue(self.tracker.is_suspected(build.start("s"), 10.1))
+        self.assertTrue(self.tracker.may_use(build.start("s"), 10.1))
         self.assertFalse(
-            self.book.is_suspected(
-                build.start("s"), 10.1 + server_book.SUSPECT_S
+            self.tracker.is_suspected(
+                build.start("s"), 10.1 + server_tracker.SUSPECT_S
             )
         )
 
@@ -137,9 +145,11 @@
         after the other, 0.2 s each, because unreachable servers were still used
         as a last resort.
         """
-        self.book.unreachable(build.start("s"), 10.0)
+        self.tracker.unreachable(build.start("s"), 10.0)
         self.assertEqual(
-            self.book.reachable([build.server("s"), build.server("t")], 10.5),
+            self.tracker.reachable(
+                [build.server("s"), build.server("t")], 10.5
+            ),
             [build.server("t")],
         )
 
@@ -150,38 +160,40 @@
         All requests of that moment were sent to it, because none was held back
         while the first one was still waiting.
         """
-        self.book.unreachable(build.start("s"), 10.0)
-        after_s = 10.1 + server_book.AVOID_S
-        self.assertTrue(self.book.may_use(build.start("s"), after_s))
-        self.book.began(build.start("s"), after_s)
-        self.assertFalse(self.book.may_use(build.start("s"), after_s + 0.1))
-        self.book.unreachable(build.start("s"), after_s + 0.6)
-        longer_s = after_s + 0.6 + 1.9 * server_book.AVOID_S
-        self.assertFalse(self.book.may_use(build.start("s"), longer_s))
+        self.tracker.unreachable(build.start("s"), 10.0)
+        after_s = 10.1 + server_tracker.AVOID_S
+        self.assertTrue(self.tracker.may_use(build.start("s"), after_s))
+        self.tracker.began(build.start("s"), after_s)
+        self.assertFalse(self.tracker.may_use(build.start("s"), after_s + 0.1))
+        self.tracker.unreachable(build.start("s"), after_s + 0.6)
+        longer_s = after_s + 0.6 + 1.9 * server_tracker.AVOID_S
+        self.assertFalse(self.tracker.may_use(build.start("s"), longer_s))
 
     def test_an_answer_makes_a_server_usable_again(self) -> None:
-        self.book.lost(build.start("s"), 10.0)
-        self.book.unreachable(build.start("s"), 10.0)
-        self.book.succeeded(build.start("s"), 0.02)
-        self.assertFalse(self.book.is_suspected(build.start("s"), 10.1))
-        self.assertTrue(self.book.may_use(build.start("s"), 10.1))
+        self.tracker.connection_lost(build.start("s"), 10.0)
+        self.tracker.unreachable(build.start("s"), 10.0)
+        self.tracker.succeeded(build.start("s"), 0.02)
+        self.assertFalse(self.tracker.is_suspected(build.start("s"), 10.1))
+        self.assertTrue(self.tracker.may_use(build.start("s"), 10.1))
 
     def test_pace_is_relative_to_the_other_servers(self) -> None:
         servers = [build.server(name) for name in ("a", "b", "c")]
         for name, answer_s in (("a", 0.02), ("b", 0.02), ("c", 0.1)):
             for _ in range(30):
-                self.book.succeeded(build.start(name), answer_s)
-        candidates = self.book.candidates(servers, 0.0)
-        by_name = {one.server.server_id: one.pace for one in candidates}
+                self.tracker.succeeded(build.start(name), answer_s)
+        candidates = self.tracker.candidates(servers, 0.0)
+        by_name = {one.server.server_id: one.slowdown for one in candidates}
         self.assertAlmostEqual(by_name["a"], 1.0)
         self.assertAlmostEqual(by_name["c"], 5.0, delta=0.1)
 
     def test_servers_that_left_are_dropped_once_idle(self) -> None:
-        self.book.began(build.start("busy"), 0.0)
-        self.book.failed(build.start("idle"))
-        self.book.keep_only([])
-        self.assertEqual(self.book.own_count(build.start("busy")), 1)
-        (idle,) = self.book.candidates([build.server("idle")], 0.0)
+        self.tracker.began(build.start("busy"), 0.0)
+        self.tracker.failed(build.start("idle"))
+        self.tracker.keep_only([])
+        self.assertEqual(
+            self.tracker.own_in_flight_count(build.start("busy")), 1
+        )
+        (idle,) = self.tracker.candidates([build.server("idle")], 0.0)
         self.assertEqual(idle.failure_share, 0.0)
 
 
@@ -244,7 +256,7 @@
         return self.caches.cached_tokens(build.start("e"), self.chain)
 
     def note(self, *parts: part_caches.HeldPart) -> None:
-        self.caches.note_read(build.start("e"), parts, 1000)
+        self.caches.record_cached(build.start("e"), parts, 1000)
 
     def test_a_prefilled_part_is_cached(self) -> None:
         self.assertEqual(self.cached(), 0)
@@ -270,7 +282,7 @@
         """
         self.note(self.part)
         for _ in range(20):
-            self.caches.note_own(build.start("e"), 50, 1000)
+            self.caches.record_unshared(build.start("e"), 50, 1000)
         self.assertEqual(self.cached(), 0)
 
     def test_an_engine_that_left_has_nothing_cached(self) -> None:
@@ -292,7 +304,7 @@
 
     def read(self, *names: str) -> None:
         held = [part.held for part in self.chain(*names)]
-        self.caches.note_read(build.start("e"), held, self.MEMORY_TOKENS)
+        self.caches.record_cached(build.start("e"), held, self.MEMORY_TOKENS)
 
     def cached(self, *names: str) -> int:
         return self.caches.cached_tokens(build.start("e"), self.chain(*names))
@@ -329,7 +341,9 @@
 
     def test_a_reported_part_implies_all_parts_before_it(self) -> None:
         reported = self.chain("a", "b")[-1].held
-        self.caches.note_read(build.start("e"), (reported,), self.MEMORY_TOKENS)
+        self.caches.record_cached(
+            build.start("e"), (reported,), self.MEMORY_TOKENS
+        )
         self.assertEqual(self.cached("a", "b", "own"), 2_000)
 
 
@@ -371,8 +385,8 @@
     def setUp(self) -> None:
         self.waits = observed_waits.ObservedWaits()
 
-    def send(self, sent_s: float) -> observed_waits.Awaited:
-        awaited = observed_waits.Awaited("e", "read", sent_s, 0.1)
+    def send(self, sent_s: float) -> observed_waits.PendingPrompt:
+        awaited = observed_waits.PendingPrompt("e", "read", sent_s, 0.1)
         self.waits.sent(awaited)
         return awaited
 
@@ -458,16 +472,16 @@
     def test_the_share_is_limited(self) -> None:
         work = background_work.BackgroundWork()
         work.add(50.0, 0.0)
-        self.assertEqual(work.share(9, 3, 0.0), background_work.LARGEST_SHARE)
+        self.assertEqual(work.share(9, 3, 0.0), background_work.MAX_SHARE)
 
 
 class PromptAdmissionTest(unittest.TestCase):
     def decide(self, **changes: object) -> prompt_admission.Refusal | None:
-        prospect = prompt_admission.Prospect(
+        estimate = prompt_admission.AdmissionEstimate(
             first_token_s=0.2, queue_s=0.1, target_s=0.4, left_s=5.0
         )
         return prompt_admission.decide(
-            prospect._replace(**changes), random.Random(1)
+            estimate._replace(**changes), random.Random(1)
         )
 
     def test_a_request_in_time_is_admitted(self) -> None:
@@ -496,10 +510,10 @@
 
     def test_retry_after_has_jitter(self) -> None:
         rng = random.Random(1)
-        prospect = prompt_admission.Prospect(0.9, 0.7, 0.4, 5.0)
+        estimate = prompt_admission.AdmissionEstimate(0.9, 0.7, 0.4, 5.0)
         waits = set()
         for _ in range(20):
-            refusal = prompt_admission.decide(prospect, rng)
+            refusal = prompt_admission.decide(estimate, rng)
             assert refusal is not None
             waits.add(refusal.retry_after_s)
         self.assertGreater(max(waits) - min(waits), 0.3)
--- a/tests/test_key_value.py
+++ b/tests/test_key_value.py
@@ -146,7 +146,7 @@
         client = key_value.KeyValueClient(
             [builders.endpoint(self.service.port)],
             timeout_s=0.3,
-            purpose_budgets={"test": builders.GENEROUS},
+            purpose_budgets={"test": builders.LARGE_BUDGET},
             system_clock=mock_clock,
         )
         self.addCleanup(client.close)
@@ -318,7 +318,7 @@
             "/a",
             self.events.append,
             purpose="test",
-            patience=lambda: watch.Patience(0.5),
+            timeouts=lambda: watch.WatchTimeouts(0.5),
         )
         self.addCleanup(watched.close)
         watched.start()
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from mulberrywharf import clock, errors
-from mulberrywharf.forwarding import exchanges, plain_call, server_book
+from mulberrywharf.forwarding import plain_call, server_client, server_tracker
 from mulberrywharf.platform import requests
 from mulberrywharf.policy import repeat_budget
 from mulberrywharf.routes import kinds
@@ -21,13 +21,13 @@
 class StaticServers:
     """A server list whose servers a test sets."""
 
-    def __init__(self, *known: Any):
-        self.known = known
+    def __init__(self, *servers: Any):
+        self.servers = servers
 
     def usable(self, service: str) -> tuple[Any, ...]:
         return tuple(
             one
-            for one in self.known
+            for one in self.servers
             if one.service == service and not one.is_draining
         )
 
@@ -53,12 +53,12 @@
 
     def setUp(self) -> None:
         self.clock = clock.SystemClock()
-        self.book = server_book.ServerBook("zone-a")
-        self.client = exchanges.ServerClient(
-            requests.ServerDialect(), self.book, self.clock
+        self.tracker = server_tracker.ServerTracker("zone-a")
+        self.client = server_client.ServerClient(
+            requests.ServerDialect(), self.tracker, self.clock
         )
         self.addCleanup(self.client.close)
-        self.crashes = build.crashes_of(self.client)
+        self.crashes = build.crash_watch_for(self.client)
         self.budget = repeat_budget.RepeatBudget(
             repeat_budget.RepeatBudgetSettings(allowance_count=100.0),
             lambda: 1,
@@ -75,9 +75,9 @@
             for number, one in enumerate(scripted, self.first_server)
         ]
         calls = plain_call.PlainCalls(
-            plain_call.Parts(
+            plain_call.Dependencies(
                 StaticServers(*servers),
-                self.book,
+                self.tracker,
                 self.client,
                 self.budget,
                 self.crashes,
@@ -86,7 +86,9 @@
             )
         )
         route = build.route(kind=kind or kinds.Idempotent())
-        routed_request = build.routed(self.clock.monotonic_s(), **changes)
+        routed_request = build.routed_request(
+            self.clock.monotonic_s(), **changes
+        )
         return calls.call(
             routed_request, route._replace(timeout_s=1.0), "service"
         )
@@ -156,7 +158,7 @@
         broken = self.respond_with(answer(b"broken", b"500 Broken"))
         healthy = self.respond_with(answer())
         self.assertEqual(self.call(broken, healthy).body, b"fine")
-        self.book.succeeded("s0", 0.001)
+        self.tracker.succeeded("s0", 0.001)
         got = self.call(broken, kind=kinds.AtMostOnce())
         self.assertEqual(got.head.status, 500)
 
@@ -306,7 +308,7 @@
             except errors.BackEndLostError:
                 continue
             self.assertEqual(got.body, b"one")
-        self.assertEqual(server.carried_counts, [1, 1])
+        self.assertEqual(server.requests_per_connection, [1, 1])
 
     def test_refusal_before_the_body_was_read_is_passed_on(self) -> None:
         """A caller with a long body waited until its deadline.
