--- a/proofs/upgrade_gateways.py
+++ b/proofs/upgrade_gateways.py
@@ -98,7 +98,7 @@
 
     def _check_serving(self) -> None:
         self.assertEqual(self._ask_each("/safe/x", _KEY_FIELD), {(200, 0)})
-        stream = self._ask_each("/stream/x", gateway.TOKENS + _KEY_FIELD)
+        stream = self._ask_each("/stream/x", gateway.PROMPT_FIELDS + _KEY_FIELD)
         self.assertEqual(stream, {(200, 5)})
         self.counted_count += 2 * len(self.fleet)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -142,7 +142,7 @@
             self.assertEqual(answer.status, 200)
 
     def test_last_engine_survives(self) -> None:
-        self.check_last_server_survives("/stream/x", test_gateway.TOKENS)
+        self.check_last_server_survives("/stream/x", test_gateway.PROMPT_FIELDS)
 
     def test_last_plain_server_survives(self) -> None:
         self.check_last_server_survives("/safe/x", "")
@@ -154,7 +154,7 @@
     def test_crashes_of_engines_are_limited(self) -> None:
         self.start_two()
         until_s = time.monotonic() + TOLD_WITHIN_S + 5.0
-        self.send_repeatedly("/stream/x", test_gateway.TOKENS, until_s)
+        self.send_repeatedly("/stream/x", test_gateway.PROMPT_FIELDS, until_s)
         self.assert_bounded()
 
     def test_crashes_of_plain_servers_are_limited(self) -> None:
@@ -167,23 +167,23 @@
         self.start_two()
         first, second = self.gateways
         for _ in range(2):
-            self.send(first, "/stream/x", test_gateway.TOKENS)
+            self.send(first, "/stream/x", test_gateway.PROMPT_FIELDS)
         gevent.sleep(TOLD_WITHIN_S)
         crashes_count = len(self.crashes())
         self.assertGreater(crashes_count, 1)
         for _ in range(3):
-            self.send(second, "/stream/x", test_gateway.TOKENS)
+            self.send(second, "/stream/x", test_gateway.PROMPT_FIELDS)
         self.assertEqual(len(self.crashes()), crashes_count)
 
     def test_crashes_are_limited_across_a_restart_of_all_gateways(self) -> None:
         self.start_two()
         until_s = time.monotonic() + 4.0
-        self.send_repeatedly("/stream/x", test_gateway.TOKENS, until_s)
+        self.send_repeatedly("/stream/x", test_gateway.PROMPT_FIELDS, until_s)
         for gateway in self.gateways:
             gateway.close()
         self.gateways = [self.launch(index) for index in range(2)]
         until_s = time.monotonic() + TOLD_WITHIN_S + 5.0
-        self.send_repeatedly("/stream/x", test_gateway.TOKENS, until_s)
+        self.send_repeatedly("/stream/x", test_gateway.PROMPT_FIELDS, until_s)
         self.assert_bounded()
 
 
--- a/tests/test_customer_requests.py
+++ b/tests/test_customer_requests.py
@@ -10,7 +10,7 @@
 from mulberrywharf.platform import documents
 from tests import builders_customers, builders_platform
 from tests import builders_routes as build
-from tests.test_gateway import TOKENS, Answer, GatewayCase
+from tests.test_gateway import PROMPT_FIELDS, Answer, GatewayCase
 
 BOUND_S = 2.0
 KEY_FIELD = "x-mulberrywharf-credential: "
@@ -63,7 +63,9 @@
         """Guards against leaking keys or forged names to backend servers."""
         self.assertEqual(self.ask_with_keys(builders_customers.KEY).status, 200)
         answer = self.ask_with_keys(
-            builders_customers.SECOND_KEY, path="/stream/x", fields=TOKENS
+            builders_customers.SECOND_KEY,
+            path="/stream/x",
+            fields=PROMPT_FIELDS,
         )
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.customers_seen(), {"ann"})
@@ -75,7 +77,7 @@
         for engine in self.decodes:
             engine.faults = {"break_after": 2}
         self.ask_with_keys(
-            builders_customers.KEY, path="/stream/x", fields=TOKENS
+            builders_customers.KEY, path="/stream/x", fields=PROMPT_FIELDS
         )
         runs = self.decodes[0].runs + self.decodes[1].runs
         self.assertGreaterEqual(len(runs), 2)
@@ -101,12 +103,12 @@
 
     def test_customer_priority_overrides_route_priority(self) -> None:
         self.ask_with_keys(
-            builders_customers.KEY, path="/stream/x", fields=TOKENS
+            builders_customers.KEY, path="/stream/x", fields=PROMPT_FIELDS
         )
         self.put_routes([{**builders_customers.tenants()[0], "priority": 4}])
         gevent.sleep(1.0)
         self.ask_with_keys(
-            builders_customers.KEY, path="/stream/x", fields=TOKENS
+            builders_customers.KEY, path="/stream/x", fields=PROMPT_FIELDS
         )
         seen = [
             headers["HTTP_X_MULBERRYWHARF_REQUEST_PRIORITY"]
--- a/tests/test_leaving_and_rest.py
+++ b/tests/test_leaving_and_rest.py
@@ -32,7 +32,7 @@
         self.wait_ready()
         self.store.faults = {"silent": 60.0}
         server.faults = {"leaving": True}
-        fields = test_gateway.TOKENS if path == "/stream/x" else ""
+        fields = test_gateway.PROMPT_FIELDS if path == "/stream/x" else ""
         until_s = time.monotonic() + LEFT_WITHIN_S + 1.5
         while time.monotonic() < until_s:
             answer = self.ask(path, fields=fields)
@@ -82,7 +82,7 @@
         self.start()
         self.wait_ready()
         server.faults = {"rest": REST_S}
-        fields = test_gateway.TOKENS if path == "/stream/x" else ""
+        fields = test_gateway.PROMPT_FIELDS if path == "/stream/x" else ""
         until_s = time.monotonic() + REST_S + 1.0
         while time.monotonic() < until_s:
             self.ask(path, fields=fields)
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -57,7 +57,9 @@
         self.assertTrue(
             builders_platform.wait_until(
                 lambda: (
-                    self.ask("/stream/x", fields=test_gateway.TOKENS).status
+                    self.ask(
+                        "/stream/x", fields=test_gateway.PROMPT_FIELDS
+                    ).status
                     == 503
                 )
             )
@@ -96,7 +98,7 @@
         """
         for engine in self.decodes:
             engine.faults = {"delay_s": 0.5}
-        answer = self.ask("/stream/x", fields=test_gateway.TOKENS)
+        answer = self.ask("/stream/x", fields=test_gateway.PROMPT_FIELDS)
         self.assertEqual(answer.status, 200)
         lines = self.lines("id-1")
         (placed,) = [line for line in lines if line["message"] == "placed"]
