--- a/src/mulberrywharf/policy/admission.py
+++ b/src/mulberrywharf/policy/admission.py
@@ -1,4 +1,6 @@
-"""Admission control: admits, queues or refuses each request on arrival.
+"""Admission control of a router: admits, queues or refuses each request.
+
+The decision is made on arrival; ``prompt_admission`` decides at a gateway.
 
 A request that cannot meet its deadline or its first-token target would only
 delay requests that can. It is refused immediately, while its caller still has
@@ -19,7 +21,7 @@
     """Limits that admission applies.
 
     Attributes:
-        queue_limit_count: Maximum requests that wait at this node.
+        queue_limit_count: Maximum requests that wait at this router.
         low_priority_queue_share: Fraction of the queue that the lowest
             priority may use; interpolated linearly for the priorities above.
         first_token_tolerance: Estimated time to the first token that the
@@ -59,8 +61,8 @@
     Attributes:
         first_token_s: Estimated time from the start to the first token.
         total_s: Estimated time from the start to the complete answer.
-        queue_wait_s: Estimated wait in this node's queue.
-        queued_count: Requests that wait at this node.
+        queue_wait_s: Estimated wait in this router's queue.
+        queued_count: Requests that wait at this router.
         has_slot: Whether the request may be sent now, under the engine's
             concurrency limit.
     """
--- a/src/mulberrywharf/policy/background_work.py
+++ b/src/mulberrywharf/policy/background_work.py
@@ -19,7 +19,7 @@
 
 
 class BackgroundWork:
-    """Rate of a gateway's own work on short prompts."""
+    """Engine time per second that a gateway's own short prompts take."""
 
     def __init__(self) -> None:
         self._work_s = 0.0
--- a/src/mulberrywharf/policy/choice_scores.py
+++ b/src/mulberrywharf/policy/choice_scores.py
@@ -12,8 +12,9 @@
     """Weights and sample sizes of the choice of engine.
 
     Attributes:
-        report_decay_constant_s: Age at which the weight of a report has
-            fallen to 1/e.
+        report_decay_constant_s: Time constant: the age, in seconds, at which
+            the weight of a report has fallen to 1/e. Larger values decay more
+            slowly.
         stale_after_s: Engines with an older report are tried last.
         zone_cost_s: Cost of leaving the preferred availability zone.
         failure_cost_s: Cost of each recent failure of an engine.
@@ -24,9 +25,9 @@
         other_zones_sample_count: Random engines scored in other zones.
         cached_prefix_sample_count: Engines scored because they cache the
             longest prefix of the prompt.
-        handover_cost_s: Fixed cost of transferring a KV cache to another
+        kv_transfer_cost_s: Fixed cost of transferring a KV cache to another
             engine.
-        handover_s_per_token: Cost of that transfer for each prompt token.
+        kv_transfer_s_per_token: Cost of that transfer for each prompt token.
         decode_role_prefill_factor: Cost of one second of prefill on an engine
             in the decode role, as a multiple of its cost elsewhere. The
             prefill delays the other answers of that engine.
@@ -41,8 +42,8 @@
     preferred_zone_sample_count: int = 3
     other_zones_sample_count: int = 2
     cached_prefix_sample_count: int = 2
-    handover_cost_s: float = 0.02
-    handover_s_per_token: float = 0.000_01
+    kv_transfer_cost_s: float = 0.02
+    kv_transfer_s_per_token: float = 0.000_01
     decode_role_prefill_factor: float = 3.0
     decode_time_weight: float = 0.3
 
@@ -86,6 +87,7 @@
 
 
 def _cached_tokens(view: fleet.EngineView, context: ScoringContext) -> int:
+    # Blocks are measured in words; each word counts as one token.
     block_count = context.cached_block_counts.get(view.vm.vm_id, 0)
     cached_tokens = block_count * prefix_index.BLOCK_TOKENS
     return min(cached_tokens, context.request.prompt_tokens)
@@ -165,10 +167,10 @@
     request = context.request
     prefill_estimate = _estimate(prefill_view, context)
     decode_estimate = _estimate(decode_view, context)
-    handover_s = settings.handover_cost_s
-    handover_s += request.prompt_tokens * settings.handover_s_per_token
+    kv_transfer_s = settings.kv_transfer_cost_s
+    kv_transfer_s += request.prompt_tokens * settings.kv_transfer_s_per_token
     first_token_s = (
-        prefill_estimate.wait_s + prefill_estimate.prefill_s + handover_s
+        prefill_estimate.wait_s + prefill_estimate.prefill_s + kv_transfer_s
     )
     first_token_s += decode_estimate.wait_s
     cost_s = first_token_s
--- a/src/mulberrywharf/policy/concurrency.py
+++ b/src/mulberrywharf/policy/concurrency.py
@@ -1,10 +1,14 @@
-"""Adaptive limit on one node's concurrent requests at one engine.
+"""Adaptive limit on one router's concurrent requests at one engine.
 
-The limit follows the gradient of the measured delay. While first tokens arrive
-about as fast as on an idle engine, the limit grows by its square root; when
-they arrive later, it shrinks in proportion. A refusal by a full engine reduces
-it immediately. Nodes do not coordinate their limits: they all react to the
-same delay.
+The limit follows the gradient of the measured delay. Each first token proposes
+a new limit, and the limit moves a fraction (``ewma_weight``) of the way to it.
+If the token arrived within ``delay_tolerance`` times the delay of an idle
+engine, the present limit is kept in the proposal; if it arrived later, the
+limit is reduced in proportion. Its square root is then added, unless the engine
+generates tokens too slowly.
+
+A refusal by a full engine reduces the limit immediately. Routers do not
+coordinate their limits: they all react to the same delay.
 """
 
 import math
@@ -24,12 +28,13 @@
         pace_target_share: Fraction of the target time between tokens that the
             limit is controlled to. Below 1, because the target must be met by
             95% of the answers, while the control acts on their mean.
-        smoothing: Weight of one sample: the fraction of the distance to the
+        ewma_weight: Weight of one sample: the fraction of the distance to the
             proposed limit by which it moves the limit.
         cut_factor: Factor that a refusal multiplies the limit by.
         cut_interval_s: Time after a reduction in which further refusals are
             ignored, since they belong to the same event.
-        delay_floor_s: Added to both delays, so that the jitter of very short
+        delay_offset_s: Added to the allowed and to the measured delay before
+            the one is divided by the other, so that the jitter of very short
             prompts does not count as overload.
     """
 
@@ -38,10 +43,10 @@
     max_limit_count: float = 256.0
     delay_tolerance: float = 3.0
     pace_target_share: float = 0.85
-    smoothing: float = 0.2
+    ewma_weight: float = 0.2
     cut_factor: float = 0.7
     cut_interval_s: float = 1.0
-    delay_floor_s: float = 0.02
+    delay_offset_s: float = 0.02
 
 
 class ConcurrencyLimit:
@@ -85,8 +90,8 @@
         """
         settings = self._settings
         allowed_s = idle_delay_s * settings.delay_tolerance
-        gradient = (allowed_s + settings.delay_floor_s) / (
-            max(delay_s, 0.0) + settings.delay_floor_s
+        gradient = (allowed_s + settings.delay_offset_s) / (
+            max(delay_s, 0.0) + settings.delay_offset_s
         )
         gradient = min(1.0, max(0.5, gradient))
         proposed_limit = self._limit * gradient
@@ -100,7 +105,7 @@
         if proposed_limit > self._limit and in_flight_count < self._limit / 2:
             return
         self._set_limit(
-            self._limit + settings.smoothing * (proposed_limit - self._limit)
+            self._limit + settings.ewma_weight * (proposed_limit - self._limit)
         )
 
     def on_answer(
@@ -121,7 +126,7 @@
         settings = self._settings
         reduced_target_s = target_s * settings.pace_target_share
         gradient = min(2.0, reduced_target_s / max(between_tokens_s, 1e-6))
-        self._pace_gradient += settings.smoothing * (
+        self._pace_gradient += settings.ewma_weight * (
             gradient - self._pace_gradient
         )
         if gradient >= 1.0:
@@ -133,7 +138,7 @@
             proposed_limit, max(1.0, in_flight_count) * gradient + 1.0
         )
         self._set_limit(
-            self._limit + settings.smoothing * (proposed_limit - self._limit)
+            self._limit + settings.ewma_weight * (proposed_limit - self._limit)
         )
 
     def on_refused(self, now_s: float) -> None:
--- a/src/mulberrywharf/policy/crash_suspects.py
+++ b/src/mulberrywharf/policy/crash_suspects.py
@@ -4,6 +4,7 @@
 cannot process. If its caller repeats it, one server after another becomes
 unavailable to all other requests. A single crash does not show which request
 caused it, because all requests in progress on the server fail together.
+Gateways see a crash as the end of the server's process.
 
 The cause is identified by being in progress at every crash. A request that
 completed is not the cause. A request without any output is a more likely cause
@@ -15,16 +16,17 @@
 from typing import NamedTuple
 
 BLOCK_ENDS_COUNT = 3
-"""Number of servers ending while they run a request at which the request is
-blocked, regardless of the other requests that they were running."""
+"""A request is blocked once this many servers ended while they ran it, whatever
+else they were running."""
 
 BLOCK_ENDS_WITHOUT_OUTPUT_COUNT = 2
-"""The same number for a request that had produced no output on these servers,
-if it is the only such request that they have in common."""
+"""A request is also blocked once this many servers ended before it had produced
+any output on them, if they have no other such request in common."""
 
 SUSPECT_KEPT_S = 600.0
-"""Time after the last server end for which a request stays suspected. It
-expires because a new version of the service may be able to run the request."""
+"""A request stays suspected for this long after the last server ended that ran
+it. The suspicion expires because a new version of the service may be able to
+run the request."""
 
 COMPLETED_KEPT_S = 10.0
 """Time after its completion for which a request is not suspected. Without this,
@@ -32,9 +34,9 @@
 end together."""
 
 RECENT_END_S = 8.0
-"""Time after a server ended without output from a request in which the request
-is not sent to the last server of a kind. Servers usually restart within
-seconds."""
+"""For this long after a server ended before any output of a request, the
+request is not sent to the only server left that could run it. Servers usually
+restart within seconds."""
 
 SUSPECTS_LIMIT_COUNT = 1_024
 COMPLETED_LIMIT_COUNT = 2_048
@@ -45,7 +47,8 @@
     """The end of a server while it ran a request.
 
     Attributes:
-        server_key: Identifies the start of the server that ended.
+        server_key: Identifies the run of the server's process that ended (a
+            hash of its ``fleet.ServerStart``).
         made_output: Whether any part of the answer had arrived.
         at_s: Monotonic time of the end.
     """
--- a/src/mulberrywharf/policy/decaying_rate.py
+++ b/src/mulberrywharf/policy/decaying_rate.py
@@ -4,7 +4,7 @@
 
 
 class DecayingRate:
-    """An exponentially decaying rate.
+    """A rate per second, as an exponentially weighted moving average.
 
     It isn't biased towards zero at the start, since the amount is divided by
     the observed time, which decays in the same way.
--- a/src/mulberrywharf/policy/engine_choice.py
+++ b/src/mulberrywharf/policy/engine_choice.py
@@ -36,7 +36,7 @@
     """Chooses where a request runs.
 
     Args:
-        views: All engines that the node knows.
+        views: All engines that the router knows.
         request: The request to place.
         index: Estimated contents of the engines' prefix caches.
         rng: Source of the random samples.
--- a/src/mulberrywharf/policy/engine_speeds.py
+++ b/src/mulberrywharf/policy/engine_speeds.py
@@ -40,15 +40,15 @@
 states half the speed."""
 
 MIN_GAIN = 0.05
-"""Weight of one answer in the learned speeds, which mostly cover the last
-twenty. Earlier answers weigh more: the gain starts at one half and falls with
-their number."""
+"""Minimum weight of one answer in the learned speeds, so that these depend
+mostly on the last twenty answers. The first answers weigh more: the gain starts
+at one half and falls with the number of answers."""
 
-PACE_GAIN = 0.1
-"""Weight of one answer in the slowdown of its own engine, which mostly covers
-the last ten."""
+SLOWDOWN_GAIN = 0.1
+"""Weight of one answer in the slowdown of its own engine, so that the slowdown
+depends mostly on the last ten answers."""
 
-PACE_TIME_CONSTANT_S = 10.0
+SLOWDOWN_TIME_CONSTANT_S = 10.0
 """An engine's own slowdown decays by 1/e in this time, so that an engine that
 got no work because it was slow is tried again."""
 
@@ -64,11 +64,11 @@
 lasts."""
 
 WARMUP_ANSWERS_COUNT = 30
-"""Number of first answers that count in full even if they are late: initially
-the speed itself may be off by a factor of four, and this many answers come
-within some seconds."""
+"""Number of first answers that count in full even if they are late. At engines
+unlike those in use today, the initial speed itself may be off by a factor of
+four, and this many answers come within some seconds."""
 
-MAX_PACE = 8.0
+MAX_SLOWDOWN = 8.0
 _MIN_DURATION_S = 1e-4
 
 
@@ -95,10 +95,12 @@
         """The sum of all terms."""
         return self.overhead_s + self.work_s
 
-    def slowed(self, pace: float) -> Self:
-        """Returns the time at an engine that is ``pace`` times slower."""
+    def slowed(self, slowdown: float) -> Self:
+        """Returns the time at an engine that is slower by this factor."""
         return type(self)(
-            self.overhead_s * pace, self.tokens_s * pace, self.pairs_s * pace
+            self.overhead_s * slowdown,
+            self.tokens_s * slowdown,
+            self.pairs_s * slowdown,
         )
 
 
@@ -134,9 +136,9 @@
 
     Attributes:
         prefill: Prefill speed of its prefill engines.
-        decode: Prefill speed of its other engines.
+        decode: Prefill speed (not decode speed) of its other engines.
         takeover_s: Time that an engine takes to answer a prompt prefilled
-            elsewhere, besides the transfer of its KV cache.
+            elsewhere (a takeover), besides the transfer of its KV cache.
     """
 
     prefill: RoleSpeed = RoleSpeed()
@@ -148,8 +150,13 @@
     takeover_s: float = INITIAL_TAKEOVER_S
 
 
-class _Pace:
-    """Slowdown of an engine relative to its role, as a logarithm."""
+class _Slowdown:
+    """Slowdown of an engine relative to its role.
+
+    Attributes:
+        log_pace: Logarithm of the slowdown at the time ``at_s``.
+        at_s: Monotonic time of the last answer.
+    """
 
     __slots__ = ("at_s", "log_pace")
 
@@ -159,7 +166,7 @@
 
     def at(self, now_s: float) -> float:
         return self.log_pace * math.exp(
-            -(now_s - self.at_s) / PACE_TIME_CONSTANT_S
+            -(now_s - self.at_s) / SLOWDOWN_TIME_CONSTANT_S
         )
 
 
@@ -170,7 +177,7 @@
         self._speeds = Speeds()
         self._prefills_count: dict[bool, int] = {True: 0, False: 0}
         self._takeovers_count = 0
-        self._paces: dict[str, _Pace] = {}
+        self._slowdowns: dict[str, _Slowdown] = {}
 
     @property
     def speeds(self) -> Speeds:
@@ -179,15 +186,18 @@
 
     def keep_only(self, engine_ids: frozenset[str]) -> None:
         """Forgets the slowdown of engines not in ``engine_ids``."""
-        for engine_id in self._paces.keys() - engine_ids:
-            del self._paces[engine_id]
+        for engine_id in self._slowdowns.keys() - engine_ids:
+            del self._slowdowns[engine_id]
 
     def pace(self, engine_id: str, now_s: float) -> float:
-        """Returns an engine's slowdown relative to its role, 1 for equal."""
-        known = self._paces.get(engine_id)
+        """Returns an engine's slowdown relative to its role.
+
+        1 means equal speed, 2 means half the speed.
+        """
+        known = self._slowdowns.get(engine_id)
         if known is None:
             return 1.0
-        return min(MAX_PACE, math.exp(known.at(now_s)))
+        return min(MAX_SLOWDOWN, math.exp(known.at(now_s)))
 
     def learn_prefill(
         self,
@@ -229,7 +239,7 @@
             self._speeds = self._speeds._replace(prefill=learned)
         else:
             self._speeds = self._speeds._replace(decode=learned)
-        self._learn_pace(server.server_id, log_ratio, now_s)
+        self._learn_slowdown(server.server_id, log_ratio, now_s)
 
     def learn_takeover(
         self, transfer_s: float, wait_s: float, duration_s: float
@@ -253,11 +263,11 @@
             takeover_s=takeover_s * math.exp(step)
         )
 
-    def _learn_pace(
+    def _learn_slowdown(
         self, engine_id: str, log_ratio: float, now_s: float
     ) -> None:
-        known = self._paces.setdefault(engine_id, _Pace())
-        known.log_pace = known.at(now_s) + PACE_GAIN * log_ratio
+        known = self._slowdowns.setdefault(engine_id, _Slowdown())
+        known.log_pace = known.at(now_s) + SLOWDOWN_GAIN * log_ratio
         known.at_s = now_s
 
 
--- a/src/mulberrywharf/policy/estimates.py
+++ b/src/mulberrywharf/policy/estimates.py
@@ -2,7 +2,7 @@
 
 The weight of a load report decays with its age, and the mean of the fleet
 takes over: a queue that was unusually long or short some seconds ago has most
-likely moved toward the mean. The prompt tokens that this node has sent to the
+likely moved toward the mean. The prompt tokens that this router has sent to the
 engine since the report are known exactly and are added in full.
 """
 
@@ -69,11 +69,11 @@
     """Estimates how long the engine takes for a request.
 
     Args:
-        view: The engine as this node sees it.
+        view: The engine as this router sees it.
         uncached_tokens: Prompt tokens that the engine has to prefill.
         mean: Mean of the fleet, which replaces the report as it ages.
-        report_decay_constant_s: Age at which the weight of a report has
-            fallen to 1/e.
+        report_decay_constant_s: Time constant: the age, in seconds, at which
+            the weight of a report has fallen to 1/e.
     """
     report = view.report
     if report is None:
--- a/src/mulberrywharf/policy/limits.py
+++ b/src/mulberrywharf/policy/limits.py
@@ -17,7 +17,7 @@
 
 
 class CustomerLimit(NamedTuple):
-    """A customer's rate limit over the whole deployment.
+    """A customer's rate limit, of the whole deployment or of one node.
 
     Attributes:
         requests_per_s: Requests per second, or None for no limit.
@@ -51,22 +51,22 @@
     __slots__ = ("_requests", "_tokens", "demand")
 
     def __init__(
-        self, share: CustomerLimit, settings: LimitSettings, now_s: float
+        self, node_limit: CustomerLimit, settings: LimitSettings, now_s: float
     ):
         self.demand = shares.DemandMeter(now_s)
         self._requests: token_bucket.TokenBucket | None = None
         self._tokens: token_bucket.TokenBucket | None = None
-        self.set_share(share, settings, now_s)
+        self.set_node_limit(node_limit, settings, now_s)
 
-    def set_share(
-        self, share: CustomerLimit, settings: LimitSettings, now_s: float
+    def set_node_limit(
+        self, node_limit: CustomerLimit, settings: LimitSettings, now_s: float
     ) -> None:
-        """Applies a new share; the saved tokens or the debt stay."""
+        """Applies a new limit of this node; the buckets keep their levels."""
         self._requests = _updated_bucket(
-            self._requests, share.requests_per_s, settings, now_s
+            self._requests, node_limit.requests_per_s, settings, now_s
         )
         self._tokens = _updated_bucket(
-            self._tokens, share.tokens_per_s, settings, now_s
+            self._tokens, node_limit.tokens_per_s, settings, now_s
         )
 
     def wait_s(self, tokens: float, now_s: float) -> float:
@@ -158,19 +158,21 @@
         }
         self._customers = {}
         for customer in self._limits:
-            share = self.share_of(customer)
+            node_limit = self.node_limit_of(customer)
             state = previous_states.get(customer)
             if state is None:
-                state = _CustomerState(share, self._settings, now_s)
+                state = _CustomerState(node_limit, self._settings, now_s)
             else:
-                state.set_share(share, self._settings, now_s)
+                state.set_node_limit(node_limit, self._settings, now_s)
             self._customers[customer] = state
 
     def set_division(self, division: shares.Division, now_s: float) -> None:
         """Applies the shares of a new round."""
         self._division = division
         for customer, state in self._customers.items():
-            state.set_share(self.share_of(customer), self._settings, now_s)
+            state.set_node_limit(
+                self.node_limit_of(customer), self._settings, now_s
+            )
 
     def take(
         self, customer: str, tokens: float, now_s: float
@@ -218,8 +220,11 @@
         demands.sort(key=lambda d: (-d.tokens_per_s, d.customer))
         return tuple(demands[: self._settings.reported_customers_limit_count])
 
-    def share_of(self, customer: str) -> CustomerLimit:
-        """Returns this node's current share of the customer's limit."""
+    def node_limit_of(self, customer: str) -> CustomerLimit:
+        """Returns the rates that this node currently allows the customer.
+
+        They are this node's shares of the deployment's limit.
+        """
         limit = self._limits.get(customer, CustomerLimit())
         part = self._division.part_of(self._node_id, customer)
         return CustomerLimit(
--- a/src/mulberrywharf/policy/outcome.py
+++ b/src/mulberrywharf/policy/outcome.py
@@ -1,21 +1,21 @@
-"""Classifies failed exchanges: may they be retried, and did the request run?"""
+"""Classifies failed attempts: may they be retried, and did the request run?"""
 
 from typing import Literal, NamedTuple
 
 from mulberrywharf import errors
 
 Progress = Literal["nothing-sent", "refused", "sent", "answer-began"]
-"""How far an exchange got before it failed.
+"""How far an attempt got before it failed.
 
 ``nothing-sent``: No byte of the request left this process. ``refused``: The
-back end's complete answer says that it did not run the request. ``sent``: At
-least one byte left and no answer arrived. ``answer-began``: A part of the
-answer arrived.
+complete answer of the engine or server says that it did not run the request.
+``sent``: At least one byte left and no answer arrived. ``answer-began``: A part
+of the answer arrived.
 """
 
 
 class Verdict(NamedTuple):
-    """What may follow a failed exchange.
+    """What may follow a failed attempt.
 
     Attributes:
         may_retry: Whether another attempt is safe.
@@ -30,15 +30,15 @@
 
 
 def judge(progress: Progress, *, is_idempotent: bool) -> Verdict:
-    """Classifies one failed exchange.
+    """Classifies one failed attempt.
 
     Once a byte of a request that is not idempotent has left, it is sent again
-    only if the back end refused it. Otherwise the back end may have run it
+    only if the engine or server refused it. Otherwise it may have been run
     although no answer arrived, and a second run could, for example, make a
     payment twice.
 
     Args:
-        progress: How far the exchange got.
+        progress: How far the attempt got.
         is_idempotent: Whether the request may safely run twice.
     """
     did_not_run = progress in ("nothing-sent", "refused")
--- a/src/mulberrywharf/policy/pace.py
+++ b/src/mulberrywharf/policy/pace.py
@@ -17,7 +17,7 @@
     """Settings of the comparison.
 
     Attributes:
-        smoothing: Weight of one answer in an engine's moving average.
+        ewma_weight: Weight of one answer in an engine's moving average.
         decay_time_constant_s: A comparison decays by 1/e in this time.
         min_engines_count: Engines needed before any are compared.
         min_factor: Engines below this factor count as normal, since batches
@@ -25,7 +25,7 @@
         max_factor: Upper bound of the factor.
     """
 
-    smoothing: float = 0.3
+    ewma_weight: float = 0.3
     decay_time_constant_s: float = 10.0
     min_engines_count: int = 3
     min_factor: float = 1.6
@@ -56,7 +56,7 @@
         before = self._paces.get(engine_id)
         smoothed_s = between_tokens_s
         if before is not None:
-            weight = self._settings.smoothing
+            weight = self._settings.ewma_weight
             smoothed_s = before.between_tokens_s
             smoothed_s += weight * (between_tokens_s - smoothed_s)
         self._paces[engine_id] = _Pace(smoothed_s, now_s)
--- a/src/mulberrywharf/policy/part_caches.py
+++ b/src/mulberrywharf/policy/part_caches.py
@@ -1,4 +1,4 @@
-"""Tracks which parts of prompts each engine is believed to have cached.
+"""Estimates which parts of prompts each engine has cached.
 
 A prompt is a chain of parts. The KV cache of a part depends on all parts before
 it, so a part is identified by itself and its predecessors, and the parts that
@@ -6,10 +6,10 @@
 least recently used parts when its memory is full, those at the end of a chain
 first.
 
-A node applies the same eviction rule to the prompts that it sent and to those
-that other nodes reported. If a report is lost, the node misses a part, or still
-believes in parts that the engine evicted for it. Either costs time but never
-gives a wrong answer.
+A gateway applies the same eviction rule to the prompts that it sent and to
+those that other gateways reported. If a report is lost, the gateway misses a
+part, or still assumes parts that the engine evicted for it. Either costs time
+but never gives a wrong answer.
 """
 
 import collections
@@ -28,7 +28,9 @@
 
 
 class HeldPart(NamedTuple):
-    """A part, identified together with all parts before it.
+    """Identity and length of a part, whether or not any engine holds it.
+
+    A part is identified together with all parts before it.
 
     Attributes:
         key: 64-bit hash of the part and all parts before it.
@@ -43,7 +45,7 @@
     """A part of one prompt.
 
     Attributes:
-        held: The part as it is tracked in caches.
+        held: Identity and length of the part, as tracked in caches.
         end_tokens: Length of the prompt up to the end of the part.
     """
 
@@ -92,7 +94,7 @@
 
 
 class PartCaches:
-    """Believed cache contents of all engines."""
+    """Estimated cache contents of all engines."""
 
     def __init__(self) -> None:
         self._by_engine: dict[fleet.ServerStart, _LruCache] = {}
@@ -112,7 +114,7 @@
         parts: Sequence[HeldPart],
         memory_tokens: int,
     ) -> None:
-        """Records that an engine now holds the beginning of a prompt.
+        """Records that an engine now has the beginning of a prompt cached.
 
         Args:
             engine: The engine.
@@ -130,8 +132,9 @@
         """Records tokens that no other prompt will share.
 
         An engine caches them like any others, so they evict shared parts. If
-        they weren't counted, parts would be believed held that were evicted
-        seconds ago, and prompts sent to engines that must prefill them again.
+        they weren't counted, parts that were evicted seconds ago would be
+        assumed to be held, and prompts would be sent to engines that must
+        prefill them again.
 
         Args:
             engine: The engine.
@@ -143,7 +146,7 @@
         self.record_cached(engine, (HeldPart(key, tokens),), memory_tokens)
 
     def holds(self, engine: fleet.ServerStart, key: int) -> bool:
-        """Returns whether an engine is believed to hold a part."""
+        """Returns whether an engine is estimated to hold a part."""
         cache = self._by_engine.get(engine)
         return cache is not None and key in cache.parts
 
--- a/src/mulberrywharf/policy/part_homes.py
+++ b/src/mulberrywharf/policy/part_homes.py
@@ -1,4 +1,8 @@
-"""Chooses the home engines of shared parts, and the engines considered."""
+"""Chooses the home engines of shared parts, and the engines to compare.
+
+The home engines of a part are those that all gateways prefer for prompts with
+the part. Only a sample of all engines is compared for a prompt.
+"""
 
 import heapq
 import random
@@ -9,13 +13,13 @@
 from mulberrywharf import fleet
 
 HOMES_COUNT = 3
-"""Home engines of a part, per role, that are always considered."""
+"""Home engines of a part, per role; they are always compared."""
 
 SAMPLE_COUNT = 8
-"""Engines of each role that are considered for a prompt. All plans between them
-are compared, so the cost of a decision grows with the square of this. The best
-of eight is seldom much worse than the best of all, and gateways that consider
-all engines would all choose the same one."""
+"""Engines of each role that are compared for a prompt. All plans between them
+are scored, so the cost of a decision grows with the square of this. The best of
+eight is seldom much worse than the best of all, and gateways that compare all
+engines would all choose the same one."""
 
 
 def home_engines_of(
@@ -23,9 +27,9 @@
 ) -> list[fleet.Server]:
     """Returns the home engines of a part, the first home first.
 
-    Rendezvous hashing: every node gets the same result without communication,
-    and an engine that joins or leaves moves only the parts that it gains or
-    loses.
+    Rendezvous hashing: every gateway gets the same result without
+    communication, and an engine that joins or leaves moves only the parts that
+    it gains or loses.
 
     Args:
         part_key: Key of the part, see ``part_caches.HeldPart``.
@@ -48,7 +52,7 @@
     *,
     is_preferred: Callable[[fleet.Server], bool] = lambda _: False,
 ) -> list[fleet.Server]:
-    """Returns the engines of one role that are considered for a prompt.
+    """Returns the engines of one role that are compared for a prompt.
 
     Args:
         home_engines: Home engines of its shared part; always included.
--- a/src/mulberrywharf/policy/planner_baselines.py
+++ b/src/mulberrywharf/policy/planner_baselines.py
@@ -5,7 +5,7 @@
 
 def plan_static(
     view: role_planner.PlannerView,
-    options: role_planner.PlannerSettings,
+    settings: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> role_planner.Plan:
     """Keeps the role split that the fleet was started with."""
@@ -14,7 +14,7 @@
 
 def plan_eager(
     view: role_planner.PlannerView,
-    options: role_planner.PlannerSettings,
+    settings: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> role_planner.Plan:
     """Makes any change that the latest reports predict to be better.
@@ -22,7 +22,7 @@
     It uses the same prediction, but almost no hysteresis, no dwell time, no
     budget and no cost of changes, and it ignores the age of reports.
     """
-    eager = options._replace(
+    eager = settings._replace(
         role_change_weight=0.0,
         min_gain_s=0.0,
         hysteresis_share=0.001,
--- a/src/mulberrywharf/policy/prefill_queue.py
+++ b/src/mulberrywharf/policy/prefill_queue.py
@@ -1,16 +1,17 @@
-"""The prefill queue of one engine, kept by one gateway for all gateways.
+"""The prefill queue of one engine, counted by its owner for all gateways.
 
 In a large fleet many gateways each place a prompt or two a second. A queue of a
-few tenths of a second is gone before all of them have been told of each
-placement. So one gateway counts all placements at an engine, and the others ask
-it how long a prompt would wait before they place one.
+few tenths of a second is gone before all of them have received a notice of each
+placement. So one gateway, the queue owner, counts all placements at an engine.
+The others ask it how long a prompt would wait before they place one.
 
 An engine finishes the prefill of one prompt before it starts the next: the most
 urgent one that waits, in order of arrival among equals. So a prompt waits for
 the rest of the current prefill, and for all waiting prompts of the same or a
 more urgent priority. A prompt counts in full until its prefill is reported, and
-only the work of the current prefill decreases with time. So an estimate that is
-too short makes a queue look one prompt shorter, but never empty.
+only the work of the current prefill decreases with time. So if an estimate is
+too short, only the work of the current prompt is missing from the wait; all
+waiting prompts still count.
 """
 
 import collections
@@ -22,8 +23,8 @@
 first token that is so late is worth little anyway."""
 
 MAX_WORK_S = 10.0
-"""Maximum work counted for one prompt, so that a gateway with runaway estimates
-can't close an engine for all."""
+"""Maximum work counted for one prompt, so that a gateway whose estimates are
+far too high can't make an engine look full to all others."""
 
 MAX_PROMPTS_PER_PRIORITY = 2_000
 """Maximum number of prompts kept per priority; an engine takes minutes to
@@ -42,7 +43,7 @@
 
 
 class PrefillQueue:
-    """The prefill queue of one engine."""
+    """The prefill queue of one engine, from the placements of all gateways."""
 
     def __init__(self, now_s: float):
         """Makes an empty queue.
@@ -63,7 +64,7 @@
         return now_s - self._counted_since_s
 
     def idle_s(self, now_s: float) -> float:
-        """Returns the time since the last placement."""
+        """Returns the time since the last placement; the queue may be long."""
         return now_s - self._last_added_s
 
     def add(
--- a/src/mulberrywharf/policy/prefix_index.py
+++ b/src/mulberrywharf/policy/prefix_index.py
@@ -13,7 +13,8 @@
 import xxhash
 
 BLOCK_TOKENS = 64
-"""Prompt tokens (words separated by white space) in one block."""
+"""Words in one block, separated by white space. The router does not tokenize
+prompts, so it counts each word as one token."""
 
 
 class CacheEvent(NamedTuple):
@@ -150,7 +151,7 @@
     def record_prefill(
         self, engine_id: str, block_hashes: Sequence[str], now_s: float
     ) -> None:
-        """Records that this node sent a prompt to the engine for prefill.
+        """Records that this router sent a prompt to the engine for prefill.
 
         This makes the blocks known before the engine's events arrive.
         """
--- a/src/mulberrywharf/policy/prompt_admission.py
+++ b/src/mulberrywharf/policy/prompt_admission.py
@@ -1,9 +1,9 @@
-"""Rejects requests that the engines can't answer in time.
+"""Refuses requests that the engines can't answer in time, at a gateway.
 
 The workload has bursts of long prompts, each over within seconds, at several
 times the rate that the engines can prefill. A prompt that waits longer than its
 caller does is prefilled for nobody and delays all prompts behind it. If its
-caller is told to retry once the queue has drained, it is served then.
+caller is told to retry once the queue is empty, it is served then.
 """
 
 import random
@@ -12,7 +12,8 @@
 ADMIT_ALL_TARGET_SHARE = 0.6
 """Share of the first-token target up to which every request is admitted.
 Estimates are right on average and off by a third either way, so about one in
-four of the requests admitted at the end of the range comes late."""
+four of the requests admitted just below ``REFUSE_ALL_TARGET_SHARE`` comes
+late."""
 
 REFUSE_ALL_TARGET_SHARE = 0.8
 """Share of the first-token target from which every request is refused. Between
@@ -22,10 +23,12 @@
 
 Admitting requests with longer waits serves fewer callers: late requests delay
 all behind them, streams last longer, and the loss of an engine or a zone ends
-more of them. With bounds of 1.0 and 1.5, 0.72 of the total value of a day with
-failures was earned; with 0.6 and 0.8 it was 0.77: of 100 callers 0.9 more were
-refused for good, and 1.6 fewer failed. With a lower bound of 0.4, prompts that
-are large for their route are hardly ever served."""
+more of them. On a day with failures, bounds of 1.0 and 1.5 earn 0.72 of the
+value of all requests, and bounds of 0.6 and 0.8 earn 0.77. With the
+latter, 0.9 more of 100 callers end with a refusal, and 1.6 fewer with a
+failure. With ``ADMIT_ALL_TARGET_SHARE`` at 0.4, prompts whose own prefill takes
+a large part of the first-token target of their route are hardly ever
+served."""
 
 MAX_OWN_PREFILL_TARGET_SHARE = 0.5
 """A request's own prefill counts as at most this share of the first-token
@@ -77,7 +80,9 @@
     Returns:
         The refusal, or None if the request may be sent.
     """
-    if estimate.first_token_s < estimate.left_s and not _is_late(estimate, rng):
+    if estimate.first_token_s < estimate.left_s and not _draw_refusal(
+        estimate, rng
+    ):
         return None
     max_retry_after_s = max(
         MIN_RETRY_AFTER_S, estimate.left_s * MAX_RETRY_AFTER_LEFT_SHARE
@@ -88,7 +93,11 @@
     return Refusal(rng.uniform(min_retry_after_s, max_retry_after_s))
 
 
-def _is_late(estimate: AdmissionEstimate, rng: random.Random) -> bool:
+def _draw_refusal(estimate: AdmissionEstimate, rng: random.Random) -> bool:
+    """Returns whether a request is refused because its first token is late.
+
+    The bound is drawn at random, so two calls with equal estimates may differ.
+    """
     if estimate.target_s is None:
         return False
     own_prefill_s = estimate.first_token_s - estimate.queue_s
--- a/src/mulberrywharf/policy/prompt_placement.py
+++ b/src/mulberrywharf/policy/prompt_placement.py
@@ -3,8 +3,8 @@
 The workload mixes many short prompts with long ones that share most of their
 tokens. A long prompt takes five times as much engine time if its shared part
 isn't cached, and no engine can cache all shared parts. So where a part is
-cached matters most: each part has a home engine, the same on every node, and is
-prefilled elsewhere only if the home's queue is so long that this is faster.
+cached matters most: each part has a home engine, the same at every gateway, and
+is prefilled elsewhere only if the home's queue is so long that this is faster.
 
 Each plan is scored by its time to the first token and by the engine time that
 it takes from other requests.
@@ -34,10 +34,11 @@
 STREAM_WEIGHT = 0.25
 """Cost of prefilling at a decode engine for each stream that it runs, as a
 share of the prefill's duration. Chunks of the prompt are processed between the
-tokens of these streams: meanwhile an event of eleven tokens takes 0.26 s
-instead of 0.06 s, and a stream that pauses for so long misses its target. With
-a cost by the share of slots in use, an engine with many slots looked idle, and
-217 of 972 chat streams of a day paused for longer than their callers accept."""
+tokens of these streams: meanwhile a stream's next event, with eleven tokens,
+takes 0.26 s instead of 0.06 s, and a stream that pauses for so long misses its
+target. A cost by the share of slots in use would make an engine with many slots
+look idle: 217 of 972 chat streams of a day would pause for longer than their
+callers accept."""
 
 FULL_BATCH_COST_S = 0.2
 """Cost of an engine whose slots are all in use; with fewer in use the cost is
@@ -45,28 +46,29 @@
 the engine ends all its requests."""
 
 SUSPECT_COST_S = 5.0
-"""Exceeds any queueing delay, so that an engine that did not answer is used
-only if there is no other."""
+"""Cost of an engine that recently failed to answer. It exceeds any queueing
+delay, so that such an engine is used only if there is no other."""
 
 OTHER_ZONE_COST_S = 0.002
-"""Prefers the node's own zone among equal engines; a network hop between zones
-takes about 1 ms each way."""
+"""Prefers the gateway's own zone among equal engines; a network hop between
+zones takes about 1 ms each way."""
 
 OTHER_ZONE_STREAM_COST_S = 0.03
 """Cost of generating in another availability zone: a stream lasts for seconds,
-and a network cut between the zones ends it. It equals the cost of a sixth of an
-engine's slots, so that other zones still take over what the own zone can't
-serve. On a day with a zone cut it added 0.035 of the total value of the day's
-requests; with 0.1 s, engines stayed idle beside full ones."""
+and a network partition between the zones ends it. The cost equals that of a
+sixth of an engine's slots, so that other zones still serve what the own zone
+can't. On a day on which a zone is partitioned, this cost adds 0.035 of the
+value of all requests to the value that is earned. With a cost of 0.1 s, engines
+would stay idle beside full ones."""
 
 HOME_BONUS_S = 0.01
 """Bonus for the home engine of a part that no engine holds. It only breaks
-ties, so that parts spread evenly and nodes that decide at the same time choose
-the same engine."""
+ties, so that parts spread evenly and gateways that decide at the same time
+choose the same engine."""
 
 
 class EngineView(NamedTuple):
-    """An engine as this node sees it for one prompt.
+    """An engine as this gateway sees it for one prompt.
 
     Attributes:
         server: The engine.
@@ -77,11 +79,11 @@
         slowdown: Its slowdown relative to other engines of its role: 1 for
             equal speed, 2 for half the speed.
         is_suspected: Whether it recently failed to answer.
-        is_same_zone: Whether it is in the node's availability zone.
+        is_same_zone: Whether it is in the gateway's availability zone.
         is_home: Whether it is the first home engine of the prompt's shared
             part.
-        reported_wait_s: The part of ``wait_s`` reported by the node that counts
-            all of the engine's prompts, None if there was no report.
+        reported_wait_s: The part of ``wait_s`` reported by the owner of the
+            engine's queue, None if there was no report.
     """
 
     server: fleet.Server
@@ -121,8 +123,9 @@
         fetch_from: The engine that cached parts are copied from, if any.
         first_token_s: Estimated time to the first token.
         prefill_time: Prefill time of the prompt at the engine that prefills it.
-        copy_s: Time to copy cached parts before the prefill; for a prompt that
-            is already prefilled, time to transfer its KV cache.
+        copy_s: Time to copy the KV cache of cached parts to the engine that
+            prefills, before the prefill. For a prompt that is already
+            prefilled, time to transfer its KV cache to ``decode``.
         cached_tokens: Prompt tokens that need no prefill.
         cost: Score by which plans are compared, in seconds; lower is better.
     """
@@ -203,10 +206,10 @@
         prefills: Prefill engines that may prefill it.
         decodes: Decode engines that may prefill it or continue after a prefill.
     """
-    holders = [*prefills, *decodes]
+    engines = [*prefills, *decodes]
     estimates = {
-        engine.server: _prefill_estimate(shape, speeds, engine, holders)
-        for engine in holders
+        engine.server: _prefill_estimate(shape, speeds, engine, engines)
+        for engine in engines
     }
     found = [
         _direct_plan(shape, speeds, decode, estimates[decode.server])
@@ -228,6 +231,9 @@
 ) -> list[Plan]:
     """Returns all plans to continue a prefilled prompt, the best first.
 
+    In a takeover, an engine takes the KV cache of a prompt that another engine
+    prefilled, and generates the answer.
+
     Args:
         shape: The prompt.
         speeds: Speeds of the engines.
@@ -263,7 +269,7 @@
         shape.tokens,
         first_token_s
         + _stream_cost_s(decode)
-        + _copy_cost_s(shape, speeds, decode),
+        + _cache_cost_s(shape, speeds, decode),
     )
 
 
@@ -286,7 +292,7 @@
         + (WORK_WEIGHT + STREAM_WEIGHT * _streams_count(decode))
         * estimate.work_s
         + _stream_cost_s(decode)
-        + _copy_cost_s(shape, speeds, decode),
+        + _cache_cost_s(shape, speeds, decode),
     )
 
 
@@ -316,8 +322,8 @@
         + WORK_WEIGHT * estimate.work_s
         + _engine_cost_s(prefill)
         + _stream_cost_s(decode)
-        + _copy_cost_s(shape, speeds, prefill)
-        + _copy_cost_s(shape, speeds, decode)
+        + _cache_cost_s(shape, speeds, prefill)
+        + _cache_cost_s(shape, speeds, decode)
     )
     return Plan(
         decode,
@@ -335,14 +341,14 @@
     shape: PromptShape,
     speeds: engine_speeds.Speeds,
     engine: EngineView,
-    holders: Sequence[EngineView],
+    engines: Sequence[EngineView],
 ) -> _PrefillEstimate:
     """Returns the fastest way for an engine to prefill the prompt.
 
-    Another holder is named as the source even if the engine is believed to hold
-    as many tokens itself. The engine copies only what it lacks, so naming a
-    source costs nothing if the belief is right. If the engine has evicted the
-    part since, the copy takes a tenth of the time of another prefill, which
+    Another holder is named as the source even if the engine is estimated to
+    hold as many tokens itself. The engine copies only what it lacks, so naming
+    a source costs nothing if the estimate is right. If the engine has evicted
+    the part since, the copy takes a tenth of the time of another prefill, which
     would delay all later prompts.
     """
     speed = _speed(speeds, engine)
@@ -350,7 +356,7 @@
     without_copy = speed.prefill_time(shape.tokens, held_tokens).slowed(
         engine.slowdown
     )
-    holder = _other_holder(engine, holders)
+    holder = _other_holder(engine, engines)
     if holder is None:
         return _PrefillEstimate(without_copy, 0.0, None, held_tokens)
     gained_tokens = holder.cached_tokens - held_tokens
@@ -380,7 +386,7 @@
 
 
 def _other_holder(
-    engine: EngineView, holders: Sequence[EngineView]
+    engine: EngineView, engines: Sequence[EngineView]
 ) -> EngineView | None:
     """Returns the engine to copy cached parts from.
 
@@ -388,7 +394,7 @@
     """
     others = [
         one
-        for one in holders
+        for one in engines
         if one.server != engine.server
         and one.cached_tokens > 0
         and not one.is_suspected
@@ -416,12 +422,12 @@
     return transfer_s
 
 
-def _copy_cost_s(
+def _cache_cost_s(
     shape: PromptShape, speeds: engine_speeds.Speeds, engine: EngineView
 ) -> float:
     """Returns the cost of caching the prompt's shared part on an engine."""
-    copied_tokens = max(0, shape.shared_tokens - engine.cached_tokens)
-    return COPY_WEIGHT * copied_tokens * speeds.prefill.token_s
+    added_tokens = max(0, shape.shared_tokens - engine.cached_tokens)
+    return COPY_WEIGHT * added_tokens * speeds.prefill.token_s
 
 
 def _stream_cost_s(decode: EngineView) -> float:
--- a/src/mulberrywharf/policy/repeat_budget.py
+++ b/src/mulberrywharf/policy/repeat_budget.py
@@ -1,10 +1,10 @@
-"""Budget of the requests that a node may repeat at a second server.
+"""Budget of the requests that a gateway may retry at a second server.
 
-All nodes share one budget per service: in any window, repeats may be a fraction
-of the requests for the service, plus a fixed allowance. Nodes need no messages
-to keep within it. Each node spends only the fraction of the requests that it
-sees itself and its equal part of the allowance, so the sum is within the
-budget.
+All gateways share one budget per service: in any window, retries may be a
+fraction of the requests for the service, plus a fixed allowance. Gateways need
+no messages to keep within it. Each gateway spends only the fraction of the
+requests that it sees itself and its equal part of the allowance, so the sum is
+within the budget. ``retry_budget`` has the rules for routers.
 """
 
 import collections
@@ -18,16 +18,16 @@
 USABLE_SHARE = 0.8
 """Fraction of ``ratio`` that is spent. The operators count at the servers, in a
 sliding window, and requests arrive there slightly later than they are counted
-here. Without this margin, repeats could exceed the budget by a few."""
+here. Without this margin, retries could exceed the budget by a few."""
 
 
 class RepeatBudgetSettings(NamedTuple):
-    """Limits on repeats.
+    """Limits on retries.
 
     Attributes:
-        ratio: Maximum repeats per request, over all nodes.
+        ratio: Maximum retries per request, over all gateways.
         window_s: Length of the sliding window for both counts.
-        allowance_count: Additional repeats in each window, over all nodes.
+        allowance_count: Additional retries in each window, over all gateways.
     """
 
     ratio: float = 0.2
@@ -40,28 +40,28 @@
 
     def __init__(self) -> None:
         self.requests: collections.Counter[int] = collections.Counter()
-        self.repeats: collections.Counter[int] = collections.Counter()
+        self.retries: collections.Counter[int] = collections.Counter()
 
     def drop_before(self, bucket: int) -> None:
-        for counts in (self.requests, self.repeats):
+        for counts in (self.requests, self.retries):
             for old in [key for key in counts if key < bucket]:
                 del counts[old]
 
 
 class RepeatBudget:
-    """Budget of one node's repeats, by service."""
+    """Budget of one gateway's retries, by service."""
 
     def __init__(
-        self, settings: RepeatBudgetSettings, nodes_count: Callable[[], int]
+        self, settings: RepeatBudgetSettings, gateways_count: Callable[[], int]
     ):
         """Makes a budget of which nothing is spent.
 
         Args:
-            settings: Limits on repeats.
-            nodes_count: Returns how many nodes share the allowance.
+            settings: Limits on retries.
+            gateways_count: Returns how many gateways share the allowance.
         """
         self._settings = settings
-        self._nodes_count = nodes_count
+        self._gateways_count = gateways_count
         self._bucket_s = settings.window_s / WINDOW_BUCKETS_COUNT
         self._windows: dict[str, _Window] = {}
 
@@ -78,16 +78,16 @@
         window.requests[bucket] += 1
 
     def take(self, service: str, now_s: float) -> bool:
-        """Takes one repeat; returns False if the window's budget is spent."""
+        """Takes one retry; returns False if the window's budget is spent."""
         window, bucket = self._window(service, now_s)
         settings = self._settings
         allowed = (
             USABLE_SHARE * settings.ratio * window.requests.total()
-            + settings.allowance_count / max(1, self._nodes_count())
+            + settings.allowance_count / max(1, self._gateways_count())
         )
-        if window.repeats.total() + 1 > allowed:
+        if window.retries.total() + 1 > allowed:
             return False
-        window.repeats[bucket] += 1
+        window.retries[bucket] += 1
         return True
 
     def _window(self, service: str, now_s: float) -> tuple[_Window, int]:
--- a/src/mulberrywharf/policy/retry_budget.py
+++ b/src/mulberrywharf/policy/retry_budget.py
@@ -2,7 +2,7 @@
 
 When a part of the fleet fails, retries multiply the load on the rest. Each
 first attempt therefore adds a fraction of a retry to the budget of its customer
-and to the budget of the node, and a retry is taken from both. A small
+and to the budget of the router, and a retry is taken from both. A small
 additional rate allows retries at low load. Backoff delays are random between
 zero and an exponentially growing bound (full jitter), so that requests that
 failed together are not retried at the same time.
@@ -21,10 +21,10 @@
 
     Attributes:
         retry_share: Retries that each first attempt adds to the budgets.
-        min_retries_per_s: Retries per second that the node's budget gains in
-            any case.
+        min_retries_per_s: Retries per second that the router's budget gains
+            in any case.
         customer_min_retries_per_s: The same for the budget of each customer.
-        burst_count: Maximum retries in the node's budget.
+        burst_count: Maximum retries in the router's budget.
         customer_burst_count: Maximum retries in a customer's budget.
         attempts_limit_count: Maximum attempts of one request.
         initial_backoff_s: Upper bound of the first backoff delay.
@@ -55,7 +55,7 @@
         time_left_s: Time until the caller's deadline.
         expected_s: Minimum duration of another attempt.
         outcome: Combined outcome of all attempts before the last.
-        retry_after_s: Delay that the back end asked for, or 0.
+        retry_after_s: Delay that the engine or server asked for, or 0.
     """
 
     customer: str
@@ -91,7 +91,7 @@
 
 
 class RetryBudget:
-    """The retry budgets of one node and of its customers."""
+    """The retry budgets of one router and of its customers."""
 
     def __init__(self, settings: RetrySettings, now_s: float):
         self._settings = settings
--- a/src/mulberrywharf/policy/role_planner.py
+++ b/src/mulberrywharf/policy/role_planner.py
@@ -44,23 +44,23 @@
 
 
 def plan(
-    view: PlannerView, options: PlannerSettings, now_unix_s: float
+    view: PlannerView, settings: PlannerSettings, now_unix_s: float
 ) -> Plan:
     """Decides on the next role change.
 
     Args:
         view: State of the zone.
-        options: Weights and limits.
+        settings: Weights and limits.
         now_unix_s: Current wall clock time.
     """
     if view.changing_count > 0:
         return Stay("an engine in the zone is already being changed")
     if view.target is not None:
         return _plan_for_target(view.engines, view.target)
-    wait = _reason_to_wait(view, options, now_unix_s)
+    wait = _reason_to_wait(view, settings, now_unix_s)
     if wait is not None:
         return wait
-    return _plan_best_change(view, options, now_unix_s)
+    return _plan_best_change(view, settings, now_unix_s)
 
 
 def _plan_for_target(
@@ -75,7 +75,7 @@
     wanted_role = min(ROLES, key=lambda role: surplus[role])
     movable = [e for e in engines if e.usable and surplus[e.role] > 0]
     if surplus[wanted_role] >= 0 or not movable:
-        return Stay("the role split matches the rules")
+        return Stay("no usable engine can bring the roles closer to the rules")
     engine = min(movable, key=lambda e: (e.running_count, e.engine_id))
     return RoleChange(
         engine.engine_id,
@@ -106,19 +106,19 @@
 
 
 def _reason_to_wait(
-    view: PlannerView, options: PlannerSettings, now_unix_s: float
+    view: PlannerView, settings: PlannerSettings, now_unix_s: float
 ) -> Stay | None:
     """Returns why no change may be planned now, or None if one may."""
-    if view.demand is None or view.demand.age_s > options.stale_after_s:
+    if view.demand is None or view.demand.age_s > settings.stale_after_s:
         return Stay("the demand is unknown or too old")
-    window_start_s = now_unix_s - options.budget_window_s
+    window_start_s = now_unix_s - settings.budget_window_s
     recent = [t for t in view.change_ends_unix_s if t > window_start_s]
-    if len(recent) >= options.budget_count:
+    if len(recent) >= settings.budget_count:
         return Stay("the role change budget is spent")
     # Reports lag. A report from before the end of the last change still shows
     # the old split, so planning on it would order the same change again.
     last_end_s = max(view.change_ends_unix_s, default=0.0)
-    fresh_from_s = last_end_s + options.clock_margin_s
+    fresh_from_s = last_end_s + settings.clock_margin_s
     if any(
         e.usable and e.reported_unix_s <= fresh_from_s for e in view.engines
     ):
@@ -127,24 +127,24 @@
 
 
 def _plan_best_change(
-    view: PlannerView, options: PlannerSettings, now_unix_s: float
+    view: PlannerView, settings: PlannerSettings, now_unix_s: float
 ) -> Plan:
     assert view.demand is not None
     usable = [e for e in view.engines if e.usable]
-    before = served_share(usable, view.demand, options)
+    before = served_share(usable, view.demand, settings)
     best: RoleChange | None = None
-    for engine in _candidate_of_each_role(usable, options, now_unix_s):
+    for engine in _candidate_of_each_role(usable, settings, now_unix_s):
         others = [e for e in usable if e is not engine]
-        during = served_share(others, view.demand, options)
+        during = served_share(others, view.demand, settings)
         for role in ROLES:
             if role == engine.role:
                 continue
             after = served_share(
-                [*others, engine._replace(role=role)], view.demand, options
+                [*others, engine._replace(role=role)], view.demand, settings
             )
-            if after - before < options.hysteresis_share:
+            if after - before < settings.hysteresis_share:
                 continue
-            gain_s = _gain_s(before, during, after, view.demand, options)
+            gain_s = _gain_s(before, during, after, view.demand, settings)
             if best is None or gain_s > best.gain_s:
                 best = RoleChange(
                     engine.engine_id,
@@ -154,9 +154,9 @@
                 )
     if best is None:
         return Stay("no role change gains enough goodput")
-    cost = options.role_change_weight * options.change_cost_s
-    benefit = options.goodput_weight * best.gain_s
-    if benefit <= cost or best.gain_s <= options.min_gain_s:
+    cost = settings.role_change_weight * settings.change_cost_s
+    benefit = settings.goodput_weight * best.gain_s
+    if benefit <= cost or best.gain_s <= settings.min_gain_s:
         return Stay(
             f"a predicted gain of {best.gain_s:.1f} s is not worth a change"
         )
@@ -165,7 +165,7 @@
 
 def _candidate_of_each_role(
     engines: Sequence[PlannerEngine],
-    options: PlannerSettings,
+    settings: PlannerSettings,
     now_unix_s: float,
 ) -> list[PlannerEngine]:
     """Returns, for each role, the least busy engine that may leave it.
@@ -175,8 +175,8 @@
     candidates: dict[fleet.Role, PlannerEngine] = {}
     for engine in sorted(engines, key=lambda e: e.running_count):
         time_in_role_s = now_unix_s - engine.last_change_unix_s
-        fresh = engine.report_age_s <= options.stale_after_s
-        if fresh and time_in_role_s >= options.dwell_s:
+        fresh = engine.report_age_s <= settings.stale_after_s
+        if fresh and time_in_role_s >= settings.dwell_s:
             candidates.setdefault(engine.role, engine)
     return list(candidates.values())
 
@@ -186,7 +186,7 @@
     during: float,
     after: float,
     demand: Demand,
-    options: PlannerSettings,
+    settings: PlannerSettings,
 ) -> float:
     """Returns the predicted net gain, in seconds of the zone's full goodput.
 
@@ -194,11 +194,11 @@
     already lasted that long.
     """
     horizon_s = max(
-        0.0, options.horizon_s - demand.age_s - options.unavailable_s
+        0.0, settings.horizon_s - demand.age_s - settings.unavailable_s
     )
     return (after - before) * horizon_s - (
         before - during
-    ) * options.unavailable_s
+    ) * settings.unavailable_s
 
 
 @functools.singledispatch
--- a/src/mulberrywharf/policy/role_split.py
+++ b/src/mulberrywharf/policy/role_split.py
@@ -38,8 +38,8 @@
 RELEASE_DECODE_UP_TO_SHARE = 0.3
 """Share of the remaining decode engines' slots that may be in use after one has
 left them. Prompts can be prefilled anywhere, but streams need decode engines,
-and the mix swings: under one load the share rose from 0.28 to 1.0 within 20 s,
-and because engines had left at 0.28 every tenth caller got no timely answer."""
+and the mix swings: the share can rise from 0.28 to 1.0 within 20 s. If engines
+have left before such a swing, one caller in ten may get no answer in time."""
 
 ADD_DECODE_ABOVE_SHARE = 0.75
 """Share of the decode engines' slots in use above which one more is needed: a
@@ -81,7 +81,8 @@
     Attributes:
         wanted_prefill: Number of prefill engines that the prefill work would
             keep busy.
-        decode_share: Share of the decode engines' slots in use.
+        decode_share: Running and waiting requests per slot of the decode
+            engines; above 1 if more requests wait than slots are free.
     """
 
     wanted_prefill: float
@@ -215,11 +216,11 @@
     loads: Sequence[EngineLoad], pressure: Pressure
 ) -> Decision:
     decodes = _not_changing(loads, "decode")
-    left_count = len(decodes) - 1
+    remaining_count = len(decodes) - 1
     movable = _movable_decodes(loads)
-    if left_count < MIN_DECODE_COUNT or not movable:
+    if remaining_count < MIN_DECODE_COUNT or not movable:
         return Stay("no decode engine can be spared", pressure)
-    after_share = pressure.decode_share * len(decodes) / left_count
+    after_share = pressure.decode_share * len(decodes) / remaining_count
     if after_share > RELEASE_DECODE_UP_TO_SHARE:
         return Stay("both roles have much to do", pressure)
     return Change(movable[0].server, "prefill", pressure)
@@ -229,10 +230,10 @@
     loads: Sequence[EngineLoad], pressure: Pressure
 ) -> Decision:
     prefills = _not_changing(loads, "prefill")
-    left_count = len(prefills) - 1
-    if left_count < 1:
+    remaining_count = len(prefills) - 1
+    if remaining_count < 1:
         return Stay("no prefill engine can be spared", pressure)
-    if pressure.wanted_prefill > RELEASE_PREFILL_UP_TO_SHARE * left_count:
+    if pressure.wanted_prefill > RELEASE_PREFILL_UP_TO_SHARE * remaining_count:
         return Stay("both roles have much to do", pressure)
     least_loaded = min(prefills, key=lambda load: load.requests_count)
     return Change(least_loaded.server, "decode", pressure)
--- a/src/mulberrywharf/policy/served_share.py
+++ b/src/mulberrywharf/policy/served_share.py
@@ -15,19 +15,19 @@
 
 
 def served_share(
-    engines: Sequence[PlannerEngine], demand: Demand, options: PlannerSettings
+    engines: Sequence[PlannerEngine], demand: Demand, settings: PlannerSettings
 ) -> float:
     """Predicts the share of the demand that is served in time, 0 to 1.
 
     Args:
         engines: The serving engines, each in its intended role.
         demand: What callers ask of the zone.
-        options: Provides the headroom and the efficiency of mixed engines.
+        settings: Provides the headroom and the efficiency of mixed engines.
     """
     demand_factor = _max_demand_factor(
-        engines, demand, options.mixed_efficiency
+        engines, demand, settings.mixed_efficiency
     )
-    return min(1.0, demand_factor / options.headroom)
+    return min(1.0, demand_factor / settings.headroom)
 
 
 def _max_demand_factor(
--- a/src/mulberrywharf/policy/server_choice.py
+++ b/src/mulberrywharf/policy/server_choice.py
@@ -1,9 +1,10 @@
 """Chooses the server for a request to a plain service.
 
-Made for services with a few servers of a few slots each, whose callers expect
-an answer within about five times the processing time. Some of the servers
-become slow or fail a part of their requests while they report that they are
-healthy.
+The servers of a plain service are not language-model engines. The
+choice is made for services with a few servers of a few slots each, whose
+callers expect an answer within about five times the processing time. Some of
+the servers become slow or fail a part of their requests while they report that
+they are healthy.
 """
 
 import random
@@ -14,8 +15,8 @@
 
 OTHER_ZONE_COST = 0.15
 """Cost of a server in another zone; 1 is the cost of all slots in use. A server
-in this node's own zone is preferred until it is fuller by this fraction of its
-slots. A hop to another zone adds about 1 ms to about 20 ms of work, and its
+in this gateway's own zone is preferred until it is fuller by this fraction of
+its slots. A hop to another zone adds about 1 ms to about 20 ms of work, and its
 traffic is billed."""
 
 FAILURE_COST = 2.0
@@ -24,23 +25,23 @@
 in use, so that random failures of a healthy service shift little load."""
 
 SUSPECT_COST = 10.0
-"""Exceeds the cost of any load: a server that did not answer gets requests only
-if no other server answered either."""
+"""Cost of a server that recently did not answer. It exceeds the cost of any
+load, so such a server gets requests only if no other server answered either."""
 
 
 class Candidate(NamedTuple):
-    """A server as this node sees it.
+    """A server as this gateway sees it.
 
     Attributes:
         server: The server.
-        own_in_flight_count: This node's requests in flight at the server.
+        own_in_flight_count: This gateway's requests in flight at the server.
         others_in_flight_count: Estimated requests in flight there from other
-            nodes.
+            gateways.
         failure_share: Fraction of its recent answers that were failures.
         slowdown: Its recent answer time relative to its peers; 1 if equal, more
             if it is slower.
         is_suspected: Whether it recently did not answer.
-        is_same_zone: Whether it is in this node's availability zone.
+        is_same_zone: Whether it is in this gateway's availability zone.
     """
 
     server: fleet.Server
@@ -73,8 +74,8 @@
 
     Args:
         candidates: Servers that the request was not sent to yet.
-        rng: Breaks ties, so that nodes that choose at the same time do not all
-            choose the same server.
+        rng: Breaks ties, so that gateways that choose at the same time do not
+            all choose the same server.
     """
     if not candidates:
         return None
--- a/src/mulberrywharf/policy/shares.py
+++ b/src/mulberrywharf/policy/shares.py
@@ -5,7 +5,8 @@
 to be live. Nodes that reported the same digest and received each other's
 reports form a group. The group gets limit * (its nodes / all nodes in the VM
 list) and divides this by demand. A node takes only an equal part, limit / all
-nodes, if it lacks a report with its own digest from any node of its live set.
+nodes, unless it has a report with its own digest from every node of its live
+set.
 
 This bounds the sum of all parts. A node publishes one digest per round, so
 groups are disjoint, and their parts add up to at most the limit. Each of the m
--- a/src/mulberrywharf/policy/slot_waits.py
+++ b/src/mulberrywharf/policy/slot_waits.py
@@ -28,7 +28,12 @@
             del self._run_s[engine]
 
     def note_run(self, engine: fleet.ServerStart, run_s: float) -> None:
-        """Records the duration of a run, from its first event to its end."""
+        """Records the duration of a run.
+
+        Args:
+            engine: The engine.
+            run_s: Time from the response head to the end of the stream.
+        """
         mean_s = self._run_s.get(engine, INITIAL_RUN_S)
         self._run_s[engine] = mean_s + EWMA_WEIGHT * (run_s - mean_s)
 
