--- a/src/mulberrywharf/errors.py
+++ b/src/mulberrywharf/errors.py
@@ -1,9 +1,9 @@
-"""The failures of mulberrywharf, one small hierarchy.
+"""Exception hierarchy of mulberrywharf.
 
-Every failure has a type. A function that can fail for reasons its caller must
-handle returns a ``result.Result`` whose ``Err`` holds one of these; the same
-classes are raised only where no caller can go on. Each carries a message that
-says what went wrong and ``advice`` that says what to do next.
+A function that can fail for reasons its caller must handle returns a
+``result.Result`` whose ``Err`` holds one of these errors. They are raised only
+where no caller can continue. Each error has a message that says what went
+wrong and ``advice`` that says what to do next.
 """
 
 from collections.abc import Sequence
@@ -13,15 +13,15 @@
     from mulberrywharf.rules.audit_trail import AuditEntry, DiffLine
 
 Outcome = Literal["not-run", "unknown"]
-"""What a refused caller may assume: nothing ran, or nobody knows."""
+"""Whether a failed request ran: it did not, or it is unknown."""
 
 
 class Fault(NamedTuple):
     """One fault in a document that an operator wrote.
 
     Attributes:
-        path: Where the fault is, such as ``callers.port``.
-        message: What is wrong there.
+        path: Path of the faulty field, such as ``callers.port``.
+        message: What is wrong with it.
         advice: What the operator should write instead.
     """
 
@@ -31,15 +31,15 @@
 
 
 class MulberryError(Exception):
-    """Base of all failures.
+    """Base class of all errors.
 
     Attributes:
-        code: Stable short name, used in metrics, logs and problem details.
+        code: Stable identifier, used in metrics, logs and problem details.
         advice: What the reader should do next.
     """
 
     code: ClassVar[str] = "internal"
-    advice: str = "Keep the log line and report it."
+    advice: str = "Report this error with its log line."
 
     def __init__(self, message: str, *, advice: str | None = None):
         super().__init__(message)
@@ -52,7 +52,7 @@
 
 
 class DocumentError(MulberryError):
-    """A settings or rules document has faults; all are listed at once."""
+    """A settings or rules document has faults; every fault is listed."""
 
     code = "bad-document"
 
@@ -73,12 +73,13 @@
 
 
 class ListenError(MulberryError):
-    """A port that the settings name cannot be listened on."""
+    """The process cannot listen on an address in its settings."""
 
     code = "cannot-listen"
     advice = (
-        "Correct the `listen` field in the settings, or end what holds the "
-        "port; a router and a controller on one VM need different ports."
+        "Correct the `listen` field in the settings, or stop the process that "
+        "uses the port; a router and a controller on one VM need different "
+        "ports."
     )
 
 
@@ -89,41 +90,46 @@
 
 
 class StoredConfigurationError(DocumentError):
-    """The stored configuration is not in the form that we write."""
+    """The stored configuration is not in the expected format."""
 
     code = "bad-stored-configuration"
 
     def __init__(self, source: str, faults: list[Fault]):
         super().__init__(source, faults)
         self.advice = (
-            "Nodes keep theirs. Unless a newer release wrote the key, delete "
-            "it; docs/operators/platform_outage.md says how."
+            "Nodes keep the configuration that they run. Unless a newer "
+            "release wrote the key, delete it as described in "
+            "docs/operators/platform_outage.md."
         )
 
 
 class StoredRecordError(MulberryError):
-    """A record in the key-value service is not in the form that it has."""
+    """A record in the key-value service is not in the expected format."""
 
     code = "bad-stored-record"
-    advice = "Look who else writes under its prefix; what it names is unused."
+    advice = (
+        "Find out what else writes keys with this prefix; the server that the "
+        "record describes is not used."
+    )
 
 
 # --- requests of callers ----------------------------------------------------
 
 
 class RequestError(MulberryError):
-    """A caller's request ends without its answer.
+    """A caller's request failed.
 
     Attributes:
         status: HTTP status towards the caller.
-        outcome: ``not-run`` only when no byte reached a back end.
-        retry_after_s: When to come back, or None when a retry cannot help.
+        outcome: ``not-run`` only if no back end ran the request.
+        retry_after_s: Seconds until a retry, or None if a retry cannot help.
     """
 
     code = "request-failed"
     status: ClassVar[int] = 500
     advice = (
-        "Send the request id to the operators; see outcome before repeating."
+        "Send the request id to the operators; check the outcome before "
+        "repeating the request."
     )
 
     def __init__(
@@ -140,23 +146,23 @@
 
 
 class BadRequestError(RequestError):
-    """The request is malformed; a retry of the same bytes cannot succeed."""
+    """The request is malformed; the same request will be rejected again."""
 
     code = "bad-request"
     status = 400
-    advice = "Correct the request; the same bytes are refused again."
+    advice = "Correct the request; the same request will be rejected again."
 
 
 class RequestTooLargeError(BadRequestError):
-    """A body or header exceeds the bound in the settings."""
+    """The request head or body exceeds the limit in the settings."""
 
     code = "request-too-large"
     status = 413
-    advice = "Send less; the operators' settings bound head and body."
+    advice = "Send a smaller request; the settings limit head and body."
 
 
 class UnknownTargetError(RequestError):
-    """No such model, service or path."""
+    """The requested model, service or path does not exist."""
 
     code = "unknown-target"
     status = 404
@@ -172,7 +178,7 @@
 
 
 class UnconfirmedKeyError(RequestError):
-    """The key may have been revoked since the last confirmation."""
+    """The customer key may have been revoked since it was last confirmed."""
 
     code = "unconfirmed-key"
     status = 503
@@ -188,23 +194,23 @@
 
 
 class CallerGoneError(RequestError):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     code = "caller-gone"
     status = 400
-    advice = "Keep the connection open until the deadline that was sent."
+    advice = "Keep the connection open until the deadline of the request."
 
 
 class KeyReuseError(RequestError):
-    """An idempotency key came back with another body."""
+    """An idempotency key was reused with a different body."""
 
     code = "idempotency-key-reused"
     status = 422
-    advice = "Use a new key for a new request, the old key for the old body."
+    advice = "Use a new key for a new request; reuse a key only with its body."
 
 
 class OverLimitError(RequestError):
-    """The customer's own limit is spent."""
+    """The customer has used up its own limit."""
 
     code = "over-limit"
     status = 429
@@ -220,23 +226,23 @@
 
 
 class NoEngineError(RequestError):
-    """No engine that is ready has the model and adapter loaded."""
+    """No ready engine has the model and adapter loaded."""
 
     code = "no-engine"
     status = 503
-    advice = "GET /v1/models lists the models; retry if it names this one."
+    advice = "Retry if GET /v1/models lists this model."
 
 
 class RetryBudgetSpentError(RequestError):
-    """The request failed and another attempt is not allowed now."""
+    """The request failed and the retry budget allows no further attempt."""
 
     code = "retry-budget-spent"
     status = 503
-    advice = "Retry later if the outcome is not-run, else check what ran first."
+    advice = "Retry later if the outcome is not-run; otherwise check what ran."
 
 
 class ClaimUnavailableError(RequestError):
-    """At-most-once could not be secured, so the request was not run."""
+    """The request was not run: at-most-once execution was not guaranteed."""
 
     code = "claim-unavailable"
     status = 503
@@ -244,11 +250,11 @@
 
 
 class CrashingRequestError(RequestError):
-    """Servers ended under the request before, so it isn't sent to another."""
+    """The request is not sent: servers exited while they ran it before."""
 
     code = "crashing-request"
     status = 503
-    advice = "Change the request; servers end each time that they run it."
+    advice = "Change the request; servers exited each time they ran it."
 
 
 class BackEndLostError(RequestError):
@@ -260,11 +266,11 @@
 
 
 class DeadlineExceededError(RequestError):
-    """The caller's deadline passed."""
+    """The request's deadline passed."""
 
     code = "deadline-exceeded"
     status = 504
-    advice = "Check the outcome before repeating; allow more time."
+    advice = "Check the outcome before repeating; use a later deadline."
 
 
 # --- engines and backend servers ---------------------------------------------
@@ -274,19 +280,20 @@
     """An exchange with an engine or a backend server failed.
 
     Attributes:
-        outcome: ``not-run`` only when the request certainly did not run.
+        outcome: ``not-run`` only if the request certainly did not run.
     """
 
     code = "engine-failed"
     outcome: Outcome = "unknown"
-    advice = "Look at the back end's own log."
+    advice = "Check the back end's log."
 
 
 class EngineUnreachableError(EngineError):
-    """No connection was made, so no byte of the request left.
+    """The connection could not be opened, so nothing was sent.
 
     Attributes:
-        was_refused: Whether the VM answered that nobody listens there.
+        was_refused: Whether the VM refused the connection because nothing
+            listens on the port.
     """
 
     code = "engine-unreachable"
@@ -299,18 +306,18 @@
 
 
 class EngineRefusedError(EngineError):
-    """The back end answered that it will not run the request.
+    """The back end refused to run the request.
 
     Attributes:
-        status: Its HTTP status.
-        reason: Its short word for why, such as ``queue-full``.
-        retry_after_s: When it wants to be asked again, or None.
-        body: Its answer's body, bounded.
+        status: HTTP status of its answer.
+        reason: Machine-readable reason, such as ``queue-full``.
+        retry_after_s: Seconds until it may be tried again, or None.
+        body: Body of its answer, limited in size.
     """
 
     code = "engine-refused"
     outcome: Outcome = "not-run"
-    advice = "Retry at another back end."
+    advice = "Retry with another back end."
 
     def __init__(
         self,
@@ -329,77 +336,80 @@
 
 
 class AnswerLostError(EngineError):
-    """The request may have left, and its whole answer did not come."""
+    """The request may have been sent, but no complete answer was received."""
 
     code = "answer-lost"
     advice = (
-        "Repeat only an idempotent request; drain a VM that often fails so."
+        "Repeat the request only if it is idempotent; drain a VM on which "
+        "this happens often."
     )
 
 
 class PeerSilentError(AnswerLostError):
-    """Nothing that was sent was acknowledged: the peer or the way is gone."""
+    """The peer acknowledged no data: the peer or the network path is down."""
 
     code = "peer-silent"
-    advice = "Check the back end's VM and the way to its availability zone."
+    advice = "Check the back end's VM and the network to its availability zone."
 
 
 class AnswerTooLargeError(EngineError):
-    """An answer exceeds the bound on what is kept in memory."""
+    """An answer exceeds the limit on what is kept in memory."""
 
     code = "answer-too-large"
-    advice = "Ask for fewer tokens, or a smaller answer."
+    advice = "Request fewer tokens or a smaller answer."
 
 
 class StreamBrokenError(EngineError):
-    """An answer ended before its checked end, or is not the caller's own."""
+    """An answer ended early or belongs to another request."""
 
     code = "stream-broken"
-    advice = "Drain the engine if it often breaks answers."
+    advice = "Drain the engine if this happens often."
 
 
 class ForeignAnswerError(StreamBrokenError):
-    """An answer carries another request's id; none of it is passed on."""
+    """An answer has another request's id; none of it is forwarded."""
 
     code = "foreign-answer"
-    advice = "Drain the back end and report it to who runs it."
+    advice = "Drain the back end and report the error to its operators."
 
 
 class OrderRefusedError(EngineError):
     """An engine refused an order, such as one with an old fencing number."""
 
     code = "order-refused"
-    advice = "Run mulberryctl handover to see the order."
+    advice = "Run `mulberryctl handover` to see the order."
 
 
 class EngineBusyError(OrderRefusedError):
-    """The engine is in mid-change; the order can be repeated later."""
+    """The engine is applying a change; the order can be repeated later."""
 
     code = "engine-busy"
-    advice = "Nothing; the order is repeated."
+    advice = "None needed; the order is repeated."
 
 
 class StaleFencingNumberError(OrderRefusedError):
-    """The engine has seen a newer fencing number: the authority has passed."""
+    """The engine has seen a higher fencing number, from a later holder."""
 
     code = "stale-fencing-number"
-    advice = "Nothing; the controller steps down and a newer one acts."
+    advice = (
+        "None needed; this controller steps down and a newer one takes over."
+    )
 
 
 class OrderOutcomeUnknownError(EngineError):
-    """An order was sent and no answer came; read the engine's state back."""
+    """An order was sent but not answered; the engine's state must be read."""
 
     code = "order-outcome-unknown"
-    advice = "Nothing; the engine's state is read back."
+    advice = "None needed; the engine's state is read again."
 
 
 class OrderRecordsError(MulberryError):
-    """The zone's order records cannot be read; nothing is ordered."""
+    """The zone's order records cannot be read, so no order is sent."""
 
     code = "bad-order-records"
     advice = (
-        "Find who wrote the key; docs/operators/platform_outage.md says when "
-        "and how to delete it."
+        "Find out what wrote the key; docs/operators/platform_outage.md says "
+        "when and how to delete it."
     )
 
 
@@ -410,32 +420,32 @@
     """An exchange with the platform's services failed."""
 
     code = "platform-failed"
-    advice = "Look at the service and its log."
+    advice = "Check the service and its log."
 
 
 class PlatformUnavailableError(PlatformError):
     """The service did not answer; nothing was written."""
 
     code = "platform-unavailable"
-    advice = "The fleet keeps its last accepted state; try again later."
+    advice = "The fleet keeps its last accepted state; retry later."
 
 
 class WriteOutcomeUnknownError(PlatformError):
-    """A write was sent and its answer was lost; read back before deciding."""
+    """A write was sent but its answer was lost; it may have been applied."""
 
     code = "write-outcome-unknown"
-    advice = "Read back, or repeat with the same change id."
+    advice = "Read the data again, or repeat with the same change id."
 
 
 class RevisionConflictError(PlatformError):
     """Another writer changed the key first.
 
     Attributes:
-        key: The key that was to be written.
+        key: The key that was not written.
     """
 
     code = "revision-conflict"
-    advice = "Read the key again and decide anew."
+    advice = "Read the key again before repeating the change."
 
     def __init__(self, key: str):
         super().__init__(f"{key} was changed by another writer")
@@ -443,59 +453,59 @@
 
 
 class PlatformRefusedError(PlatformError):
-    """The service refused the call as it is; nothing was written."""
+    """The service rejected the call; nothing was written."""
 
     code = "platform-refused"
-    advice = "The same call will be refused again; see the message."
+    advice = "Read the message; the same call will be rejected again."
 
 
 class ConditionFailedError(PlatformRefusedError):
-    """A write was not done, because what it was to depend on has changed."""
+    """A conditional write was not done: its condition no longer holds."""
 
     code = "condition-failed"
-    advice = "Read the keys again before deciding anew."
+    advice = "Read the keys again before repeating the write."
 
 
 class HistoryGoneError(PlatformRefusedError):
-    """The changes behind a revision are no longer kept."""
+    """The service no longer keeps the changes since a revision."""
 
     code = "history-gone"
-    advice = "Nothing to do: the keys are read again."
+    advice = "None needed; the keys are read again."
 
 
 class BudgetExceededError(PlatformError):
-    """This process has spent its share of calls for the purpose."""
+    """The process has used up its share of calls for a purpose."""
 
     code = "call-budget-exceeded"
-    advice = "Try again later; the metrics name the purpose that spends."
+    advice = "Retry later; the metrics show which purpose uses up the calls."
 
 
 class AuthorityLostError(PlatformError):
-    """The lease that entitled this process to act has lapsed."""
+    """The process no longer holds the lease that it needs to act."""
 
     code = "authority-lost"
-    advice = "Nothing; the next lease holder goes on."
+    advice = "None needed; the next lease holder continues."
 
 
 # --- changes of the configuration ---------------------------------------------
 
 
 class ConfigChangeError(PlatformError):
-    """A change of the configuration was refused; nothing of it applies."""
+    """A change of the configuration was refused; no part of it applies."""
 
     code = "config-change-refused"
     advice = "Read the message; the configuration in force stays."
 
 
 class ConfigConflictError(ConfigChangeError):
-    """Another operator's change came first.
+    """Another operator changed the configuration first.
 
     Attributes:
-        expected_version: The version that the author started from.
+        expected_version: The version that the refused change is based on.
         held_version: The version that the service holds.
         others: Audit entries of the changes in between, oldest first, each
-            with its own diff; the service keeps only the latest.
-        diff: From the held document to the refused one.
+            with its own diff; the service keeps only the latest ones.
+        diff: Differences from the stored document to the refused one.
     """
 
     code = "config-conflict"
@@ -512,7 +522,7 @@
         authors = ", ".join(sorted({other["author"] for other in others}))
         super().__init__(
             f"the configuration is at version {held_version}, not "
-            f"{expected_version}; changed by {authors or 'nobody known'}"
+            f"{expected_version}; changed by {authors or 'an unknown author'}"
         )
         self.expected_version = expected_version
         self.held_version = held_version
@@ -521,7 +531,7 @@
 
 
 class ConfigStoreBehindError(ConfigChangeError):
-    """The service holds an older version than nodes run.
+    """The service holds an older configuration than the nodes run.
 
     Attributes:
         held_version: The version that the service holds.
@@ -530,8 +540,8 @@
 
     code = "config-store-behind"
     advice = (
-        "The service came back with older data; nodes put the newer version "
-        "back within seconds. Apply again then."
+        "The service was restored from older data; nodes put back the newer "
+        "version within seconds. Apply the change again after that."
     )
 
     def __init__(self, *, held_version: int, seen_version: int):
@@ -544,25 +554,26 @@
 
 
 class ChangeReplacedError(ConfigChangeError):
-    """An accepted change stood on data that the service had lost.
+    """An accepted change was replaced after the service lost newer data.
 
     Attributes:
-        change_id: Of the change.
-        version: The version that it had.
-        held_version: The version that nodes have put back.
+        change_id: Id of the replaced change.
+        version: Version of the replaced change.
+        held_version: Version that nodes restored.
     """
 
     code = "change-replaced"
     advice = (
-        "Nothing of the change is in force. Take the rules with show, make "
-        "the change again and apply it with a new change id."
+        "No part of the change is in force. Get the rules with "
+        "`mulberryctl show`, make the change again and apply it with a new "
+        "change id."
     )
 
     def __init__(self, *, change_id: str, version: int, held_version: int):
         super().__init__(
             f"change {change_id}, accepted as version {version}, was replaced "
-            f"by version {held_version}, which nodes put back into a service "
-            "that had lost it"
+            f"by version {held_version}, which nodes restored because the "
+            "service had lost it"
         )
         self.change_id = change_id
         self.version = version
@@ -570,7 +581,7 @@
 
 
 class ChangeIdReusedError(ConfigChangeError):
-    """A change id came back with another document."""
+    """A change id was reused with a different document."""
 
     code = "change-id-reused"
     advice = "Use a new change id for a new change."
@@ -579,47 +590,48 @@
         super().__init__(f"change id {change_id} belongs to another document")
 
 
-# --- between our own processes ---------------------------------------------
+# --- traffic between entry VMs ---------------------------------------------
 
 
 class NodeError(MulberryError):
     """An exchange with another entry VM failed."""
 
     code = "node-failed"
-    advice = "Look at the other entry VM and its log."
+    advice = "Check the other entry VM and its log."
 
 
 class BadFrameError(NodeError):
     """A frame is malformed, too large or not authenticated."""
 
     code = "bad-frame"
-    advice = "Compare nodes.key_hex of both nodes."
+    advice = "Check that nodes.key_hex is the same on both nodes."
 
 
 class NodeUnreachableError(NodeError):
     """The other entry VM does not answer."""
 
     code = "node-unreachable"
-    advice = "Check that the other entry VM is up and its zone reachable."
+    advice = "Check that the other entry VM is up and its zone is reachable."
 
 
 # --- operators and their tools -----------------------------------------------
 
 
 class OperatorError(MulberryError):
-    """Something that an operator asked for could not be done."""
+    """An operator's request could not be carried out."""
 
     code = "operator-failed"
-    advice = "Read the message and correct what it names."
+    advice = "Read the message and correct what it reports."
 
 
 class NotAuthorisedError(OperatorError):
-    """The request carries no token of an operator."""
+    """The request has no valid operator token."""
 
     code = "not-authorised"
     advice = (
-        "Put the token into the variable that --operator-token-env names; its "
-        "SHA-256 must be in operators.tokens of the node's settings."
+        "Put the token into the environment variable that "
+        "--operator-token-env names; its SHA-256 must be in operators.tokens "
+        "of the node's settings."
     )
 
 
@@ -627,21 +639,21 @@
     """The admin listener has no such path or method."""
 
     code = "unknown-operator-request"
-    advice = "docs/operators/settings.md lists what the admin listener answers."
+    advice = "docs/operators/settings.md lists the paths of the admin listener."
 
 
 class AdminListenerError(OperatorError):
-    """A node's admin listener did not answer, or not in the known form."""
+    """A node's admin listener did not answer, or its answer is invalid."""
 
     code = "admin-listener-failed"
     advice = (
-        "Check that the node runs and that this machine reaches its "
-        "operators' address; the VM list may lag behind."
+        "Check that the node is running and that this machine can reach its "
+        "admin listener; the VM list may be out of date."
     )
 
 
 class UsageError(OperatorError):
-    """mulberryctl was called with arguments that cannot be used."""
+    """mulberryctl was called with invalid arguments."""
 
     code = "bad-usage"
-    advice = "Run the command with --help."
+    advice = "Run the command with --help to see its arguments."
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The hierarchy of failures: a code and an advice for each."""
+"""Each error class has its own code and advice, and is used."""
 
 import inspect
 import pathlib
@@ -7,10 +7,10 @@
 
 from mulberrywharf import errors
 
-_SOURCES = pathlib.Path(errors.__file__).parent
+_PACKAGE_DIRECTORY = pathlib.Path(errors.__file__).parent
 
 
-def _classes() -> list[type[errors.MulberryError]]:
+def _error_classes() -> list[type[errors.MulberryError]]:
     return [
         found
         for _, found in inspect.getmembers(errors, inspect.isclass)
@@ -18,31 +18,31 @@
     ]
 
 
-def _own_advice(failure: type[errors.MulberryError]) -> bool:
-    # A document's advice is given when it is made, from its faults.
-    return "advice" in vars(failure) or issubclass(
-        failure, errors.DocumentError
+def _defines_advice(error_class: type[errors.MulberryError]) -> bool:
+    # Errors of documents get their advice in the constructor.
+    return "advice" in vars(error_class) or issubclass(
+        error_class, errors.DocumentError
     )
 
 
 class HierarchyTest(unittest.TestCase):
-    def test_each_code_is_of_one_class(self) -> None:
-        codes = [failure.code for failure in _classes()]
+    def test_codes_are_unique(self) -> None:
+        codes = [error_class.code for error_class in _error_classes()]
         self.assertEqual(len(codes), len(set(codes)))
 
-    def test_each_class_says_what_to_do_next(self) -> None:
-        for failure in _classes():
-            with self.subTest(failure=failure.__name__):
-                self.assertTrue(_own_advice(failure))
+    def test_each_class_has_advice(self) -> None:
+        for error_class in _error_classes():
+            with self.subTest(error_class=error_class.__name__):
+                self.assertTrue(_defines_advice(error_class))
 
     def test_each_class_is_used(self) -> None:
         sources = "\n".join(
             path.read_text(encoding="utf-8")
-            for path in _SOURCES.rglob("*.py")
+            for path in _PACKAGE_DIRECTORY.rglob("*.py")
             if path.name != "errors.py"
         )
-        for failure in _classes():
-            with self.subTest(failure=failure.__name__):
-                used = re.search(rf"\b{failure.__name__}\b", sources)
-                is_base = bool(failure.__subclasses__())
+        for error_class in _error_classes():
+            with self.subTest(error_class=error_class.__name__):
+                used = re.search(rf"\b{error_class.__name__}\b", sources)
+                is_base = bool(error_class.__subclasses__())
                 self.assertTrue(used or is_base)
