--- a/src/mulberrywharf/gateway_settings.py
+++ b/src/mulberrywharf/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Checked settings of a gateway, read from JSON with comments."""
+"""Settings of a gateway, read from JSON with comments and checked."""
 
 import ipaddress
 from typing import Annotated, Any, Literal, NotRequired
@@ -16,12 +16,12 @@
     ip, _, port = text.rpartition(":")
     ipaddress.ip_address(ip)
     if not 0 <= int(port) <= 65_535:
-        raise ValueError(f"{port} is no TCP port")
+        raise ValueError(f"{port} is not a TCP port; allowed are 0 to 65535")
     return text
 
 
 HostPort = Annotated[str, pydantic.AfterValidator(_check_host_port)]
-"""An IP number and a TCP port, as ``10.0.0.1:8080``."""
+"""An IP address and a TCP port, such as ``10.0.0.1:8080``."""
 
 NodeName = Annotated[str, pydantic.Field(min_length=1, max_length=128)]
 Ratio = Annotated[float, pydantic.Field(ge=0, le=10, strict=False)]
@@ -32,12 +32,12 @@
 
 @pydantic.with_config(_STRICT)
 class RepeatSettings(TypedDict):
-    """Bounds that all nodes together keep on repeats.
+    """Limits on repeated requests, for all gateways together.
 
     Attributes:
-        ratio: Repeats for each request.
+        ratio: Allowed repeats per request in a window.
         window_s: Length of the window.
-        allowance_count: Repeats in a window beyond the ratio.
+        allowance_count: Allowed repeats per window on top of the ratio.
     """
 
     ratio: Ratio
@@ -47,10 +47,10 @@
 
 @pydantic.with_config(_STRICT)
 class RoleSettings(TypedDict):
-    """How roles of engines may be ordered.
+    """Settings for changing the roles of engines.
 
     Attributes:
-        turn_ms: Least time between orders of two VMs to the same engine.
+        turn_ms: Minimum time between orders from two VMs to the same engine.
     """
 
     turn_ms: Milliseconds
@@ -101,21 +101,21 @@
 
 @pydantic.with_config(_STRICT)
 class GatewaySettings(TypedDict):
-    """The whole settings file of a gateway.
+    """The complete settings file of a gateway.
 
     Attributes:
         vm_id: Name of the VM.
-        availability_zone: Where it stands.
-        callers_listen: Where callers connect.
-        operators_listen: Readiness, health and metrics.
-        nodes_listen: Where other gateways send notices, by UDP.
-        store: The key-value service.
-        repeats: Bounds on repeats.
+        availability_zone: Availability zone of the VM.
+        callers_listen: Address that callers connect to.
+        operators_listen: Address for readiness, health and metrics.
+        nodes_listen: UDP address that other gateways send notices to.
+        store: Address of the key-value service.
+        repeats: Limits on repeated requests.
         grace_s: Time between a request to stop and the forced end.
         roles: Set if gateways may change the roles of engines.
         revocation: Set to limit how long a revoked key stays usable.
         duties: Set to call the operators' platform from one gateway.
-        log_level: Lowest level that is logged.
+        log_level: Lowest log level that is written.
     """
 
     vm_id: NodeName
@@ -144,6 +144,6 @@
 
 
 def endpoint(text: str) -> settings.Endpoint:
-    """Splits a checked address."""
+    """Splits a valid ``ip:port`` into its two parts."""
     ip, _, port = text.rpartition(":")
     return settings.Endpoint(ip=ip, port=int(port))
--- a/src/mulberrywharf/settings.py
+++ b/src/mulberrywharf/settings.py
@@ -1,8 +1,8 @@
-"""Checked settings of one process, read from JSON with comments.
+"""Settings of a router or controller, read from JSON with comments.
 
-Every field is checked: unknown keys, wrong types, values out of range,
-addresses that are not IP numbers. All faults are listed at once, each with
-its path and what to write instead.
+Unknown keys, wrong types, values out of range and addresses that are not IP
+addresses are faults. All faults are reported at once, each with its path and
+what to write instead.
 """
 
 import ipaddress
@@ -37,14 +37,14 @@
 DEFAULT_ORDER_USER_TIMEOUT_S = 2.0
 
 _RENEWALS_IN_LEASE_COUNT = 3
-"""A holder renews after a third of its lease at the latest."""
+"""A holder renews its lease at least once per third of its length."""
 
 _STRICT = pydantic.ConfigDict(extra="forbid", strict=True)
 
 
 @pydantic.with_config(_STRICT)
 class Endpoint(TypedDict):
-    """An IP number and a TCP port; port 0 lets the kernel choose."""
+    """An IP address and a TCP port; with port 0, the kernel chooses one."""
 
     ip: Ip
     port: Port
@@ -55,12 +55,12 @@
     """The listener for callers.
 
     Attributes:
-        listen: Where it listens.
-        body_limit_bytes: Larger request bodies are refused.
-        header_limit_bytes: Larger request heads are refused.
-        default_deadline_s: For requests that name none.
-        drain_notice_s: How long readiness is off before a planned stop
-            closes the listener, so that the balancer has noticed.
+        listen: Address to listen on.
+        body_limit_bytes: Largest accepted request body.
+        header_limit_bytes: Largest accepted request head.
+        default_deadline_s: Deadline of requests that do not set one.
+        drain_notice_s: Time between turning readiness off and closing the
+            listener in a planned stop, so that the load balancer notices.
     """
 
     listen: Endpoint
@@ -88,13 +88,14 @@
 
 @pydantic.with_config(_STRICT)
 class NodesSettings(TypedDict):
-    """Traffic between our own processes.
+    """Traffic between entry VMs.
 
     Attributes:
-        listen: Where other entry VMs connect.
+        listen: Address that other entry VMs connect to.
         key_hex: Shared key that authenticates every frame, 32 bytes.
-        heartbeat_interval_s: Between heartbeats to a neighbour.
-        suspect_after_s: Silence after which a neighbour is suspected.
+        heartbeat_interval_s: Time between heartbeats to another entry VM.
+        suspect_after_s: Time without a heartbeat after which another entry VM
+            is suspected to have failed.
     """
 
     listen: Endpoint
@@ -105,13 +106,13 @@
 
 @pydantic.with_config(_STRICT)
 class PlatformSettings(TypedDict):
-    """Where the platform's services answer.
+    """Addresses of the platform's services.
 
     Attributes:
         key_value: Endpoints of the key-value service, tried in order.
-        vm_list: The VM list.
-        weight_store: The weight store.
-        call_timeout_s: For one call.
+        vm_list: Endpoint of the VM list.
+        weight_store: Endpoint of the weight store.
+        call_timeout_s: Timeout of one call.
     """
 
     key_value: Annotated[list[Endpoint], pydantic.Field(min_length=1)]
@@ -122,13 +123,14 @@
 
 @pydantic.with_config(_STRICT)
 class EnginesSettings(TypedDict):
-    """What is known of the engines.
+    """How routers and controllers communicate with engines.
 
     Attributes:
-        fencing_checking_kinds: Kinds that refuse an old fencing number.
-        load_interval_s: Between reads of an engine's load.
-        connect_timeout_s: For a new connection.
-        idle_timeout_s: Silence on a stream after which it counts as broken.
+        fencing_checking_kinds: Engine kinds that refuse an old fencing number.
+        load_interval_s: Time between reads of an engine's load.
+        connect_timeout_s: Timeout of opening a connection.
+        idle_timeout_s: Time without data after which a stream counts as
+            broken.
     """
 
     fencing_checking_kinds: NotRequired[list[Name]]
@@ -139,16 +141,18 @@
 
 @pydantic.with_config(_STRICT)
 class ControllerSettings(TypedDict):
-    """Authority and planning.
+    """The controller's lease and its planning.
 
     Attributes:
         lease_ttl_s: Length of the controller's lease.
         clock_margin_s: Allowed error between clocks.
-        order_user_timeout_s: How long unacknowledged order bytes may live.
-        evaluate_interval_s: Between evaluations of the rules.
-        role_change_away_s: How long a role change takes an engine away.
+        order_user_timeout_s: Time after which the kernel drops order bytes
+            that were not acknowledged.
+        evaluate_interval_s: Time between evaluations of the rules.
+        role_change_away_s: Time for which an engine is unavailable during a
+            role change.
         goodput_weight: Weight of goodput in the planner's gain.
-        role_change_weight: Weight of one role change against it.
+        role_change_weight: Weight of one role change in the planner's cost.
     """
 
     lease_ttl_s: NotRequired[PositiveSeconds]
@@ -162,7 +166,7 @@
 
 @pydantic.with_config(_STRICT)
 class Settings(TypedDict):
-    """The whole settings file of a router or a controller."""
+    """The complete settings file of a router or a controller."""
 
     deployment: Name
     vm_id: Name
@@ -179,17 +183,21 @@
 
 _SETTINGS_ADAPTER = pydantic.TypeAdapter(Settings)
 
-_ADVICE_BY_KIND = {
+_ADVICE_BY_ERROR_TYPE = {
     "missing": "add this field",
-    "extra_forbidden": "remove it or correct its name; units are suffixes",
-    "string_pattern_mismatch": "write it in the documented form",
+    "extra_forbidden": (
+        "remove this field or correct its name, including the unit suffix"
+    ),
+    "string_pattern_mismatch": (
+        "see docs/operators/settings.md for the allowed format"
+    ),
 }
 
 
 def check_document(
     adapter: "pydantic.TypeAdapter[Any]", document: object
 ) -> list[errors.Fault]:
-    """Lists every fault that the adapter finds in a parsed document."""
+    """Returns every fault that the adapter finds in a parsed document."""
     try:
         adapter.validate_python(document)
     except pydantic.ValidationError as error:
@@ -199,18 +207,18 @@
 
 def _fault(detail: Any) -> errors.Fault:
     path = ".".join(str(part) for part in detail["loc"]) or "document"
-    advice = _ADVICE_BY_KIND.get(
-        detail["type"], "see docs/operators/settings.md for this field"
+    advice = _ADVICE_BY_ERROR_TYPE.get(
+        detail["type"], "see docs/operators/settings.md for the allowed values"
     )
     return errors.Fault(path, detail["msg"], advice)
 
 
 def parse(text: str, source: str) -> Result[Settings, errors.SettingsError]:
-    """Reads settings from JSON with comments.
+    """Parses and checks settings written as JSON with comments.
 
     Args:
-        text: The whole file.
-        source: Its name, for messages.
+        text: Content of the file.
+        source: Name of the file, for messages.
 
     Returns:
         The checked settings, or every fault found.
@@ -227,12 +235,12 @@
 def parse_with(
     adapter: "pydantic.TypeAdapter[Any]", text: str, source: str
 ) -> Result[Any, errors.SettingsError]:
-    """Reads a document of any form from JSON with comments.
+    """Parses JSON with comments and checks it with an adapter.
 
     Args:
         adapter: Checks the document.
-        text: The whole file.
-        source: Its name, for messages.
+        text: Content of the file.
+        source: Name of the file, for messages.
 
     Returns:
         The checked document, or every fault found.
@@ -241,7 +249,7 @@
         document = json5.loads(text)
     except (ValueError, RecursionError) as error:
         fault = errors.Fault(
-            "document", str(error), "write JSON; comments are allowed"
+            "document", str(error), "write valid JSON; comments are allowed"
         )
         return Err(errors.SettingsError(source, [fault]))
     faults = check_document(adapter, document)
@@ -251,19 +259,20 @@
 
 
 def _lease_faults(config: Settings) -> list[errors.Fault]:
-    """Finds a lease that is spent before its first renewal.
+    """Rejects a lease that leaves no time for orders between renewals.
 
-    Orders stop ``order_user_timeout_s`` and ``clock_margin_s`` before the
-    lease ends. Where less than a renewal's time is left, the controller takes
-    the lease and steps down again and again, and no engine is ever ordered.
+    The controller sends no orders during the last ``order_user_timeout_s``
+    plus ``clock_margin_s`` of its lease. If the time before that is shorter
+    than the renewal interval, it takes the lease and steps down repeatedly
+    and never sends an order.
     """
     controller = config.get("controller", {})
     ttl_s = controller.get("lease_ttl_s", DEFAULT_LEASE_TTL_S)
-    kept_back_s = controller.get(
+    reserved_s = controller.get(
         "clock_margin_s", DEFAULT_CLOCK_MARGIN_S
     ) + controller.get("order_user_timeout_s", DEFAULT_ORDER_USER_TIMEOUT_S)
     shortest_s = (
-        kept_back_s * _RENEWALS_IN_LEASE_COUNT / (_RENEWALS_IN_LEASE_COUNT - 1)
+        reserved_s * _RENEWALS_IN_LEASE_COUNT / (_RENEWALS_IN_LEASE_COUNT - 1)
     )
     if ttl_s > shortest_s:
         return []
@@ -271,7 +280,7 @@
         errors.Fault(
             "controller.lease_ttl_s",
             f"a lease of {ttl_s} s leaves no time for orders between renewals",
-            f"write more than {shortest_s} s, or lower clock_margin_s and "
+            f"write more than {shortest_s} s, or lower clock_margin_s or "
             "order_user_timeout_s",
         )
     ]
@@ -286,9 +295,11 @@
 
 
 def read_text(path: str) -> Result[str, errors.SettingsError]:
-    """Reads the settings file at ``path`` unchecked."""
+    """Returns the content of the settings file at ``path``, unchecked."""
     try:
         return Ok(pathlib.Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        fault = errors.Fault("file", str(error), "name a readable UTF-8 file")
+        fault = errors.Fault(
+            "file", str(error), "give the path of a readable UTF-8 file"
+        )
         return Err(errors.SettingsError(path, [fault]))
--- a/tests/builders_settings.py
+++ b/tests/builders_settings.py
@@ -9,7 +9,7 @@
 
 
 def node_settings(**changes: Any) -> dict[str, Any]:
-    """Returns valid settings of one entry VM, with changes laid over."""
+    """Returns valid settings of an entry VM; ``changes`` replace sections."""
     loopback = {"ip": "127.0.0.1", "port": 0}
     settings: dict[str, Any] = {
         "deployment": "prairie",
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: every fault, and the template of the platform."""
+"""Gateway settings: reported faults, and the platform's template."""
 
 import json
 import pathlib
@@ -26,7 +26,7 @@
     "bounds.grace-s": 8,
     "bounds.lease-ms": 3000,
 }
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "vm_id": "entry-1",
     "availability_zone": "zone-a",
     "callers_listen": "127.0.0.1:1",
@@ -45,7 +45,7 @@
 
 
 def render(text: str, fields: dict[str, Any] | None = None) -> str:
-    """Fills a template in, as the platform does with values and sections."""
+    """Renders the values and sections of a template as the platform does."""
     fields = FIELDS if fields is None else fields
 
     def section(match: re.Match[str]) -> str:
@@ -72,27 +72,27 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_good_settings(self) -> None:
-        self.assertFalse(isinstance(parse(GOOD), Err))
+    def test_valid_settings_are_accepted(self) -> None:
+        self.assertFalse(isinstance(parse(VALID), Err))
 
     def test_every_fault_is_listed(self) -> None:
-        faulty = {**GOOD, "store": "nowhere", "grace_s": -1, "extra": 1}
+        faulty = {**VALID, "store": "nowhere", "grace_s": -1, "extra": 1}
         error = parse(faulty).err()
         paths = {fault.path for fault in error.faults}
         self.assertEqual(paths, {"store", "grace_s", "extra"})
 
-    def test_missing_fields(self) -> None:
-        for name in GOOD:
-            rest = {key: value for key, value in GOOD.items() if key != name}
+    def test_each_missing_field_is_reported(self) -> None:
+        for name in VALID:
+            rest = {key: value for key, value in VALID.items() if key != name}
             with self.subTest(name=name):
                 (fault,) = parse(rest).err().faults
                 self.assertEqual(fault.path, name)
 
-    def test_the_template_renders_to_good_settings(self) -> None:
-        """No process starts after a change of the template.
+    def test_template_renders_to_valid_settings(self) -> None:
+        """A template that does not match the settings stops every start.
 
-        Sequence: a field is renamed in the settings but not in the template.
-        Cause: the two were never held together.
+        A field was renamed in the settings but not in the template, and
+        nothing compared the two.
         """
         text = render(TEMPLATE.read_text(encoding="utf-8"))
         read = settings.parse_with(
@@ -102,7 +102,7 @@
         self.assertEqual(read.unwrap()["nodes_listen"], "10.1.0.35:7660")
         self.assertEqual(read.unwrap()["roles"], {"turn_ms": 3000})
 
-    def test_a_platform_that_bounds_no_orders_gets_none(self) -> None:
+    def test_platform_without_lease_bound_gets_no_role_settings(self) -> None:
         fields = {k: v for k, v in FIELDS.items() if k != "bounds.lease-ms"}
         text = render(TEMPLATE.read_text(encoding="utf-8"), fields)
         read = settings.parse_with(
@@ -110,7 +110,9 @@
         )
         self.assertNotIn("roles", read.unwrap())
 
-    def test_platform_with_revocation_and_duties(self) -> None:
+    def test_platform_with_revocation_and_duties_gets_both_settings(
+        self,
+    ) -> None:
         fields = {
             **FIELDS,
             "bounds.strict-revocation": True,
@@ -135,7 +137,7 @@
             },
         )
 
-    def test_platform_without_revocation_or_duties(self) -> None:
+    def test_platform_without_revocation_or_duties_gets_neither(self) -> None:
         fields = {**FIELDS, "bounds.strict-revocation": False}
         text = render(TEMPLATE.read_text(encoding="utf-8"), fields)
         read = settings.parse_with(
@@ -144,7 +146,7 @@
         self.assertNotIn("revocation", read.unwrap())
         self.assertNotIn("duties", read.unwrap())
 
-    def test_endpoint(self) -> None:
+    def test_endpoint_splits_ip_and_port(self) -> None:
         self.assertEqual(
             gateway_settings.endpoint("10.0.0.1:80"),
             {"ip": "10.0.0.1", "port": 80},
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: what is refused, and that the examples pass."""
+"""Faulty settings are refused, and every example file is accepted."""
 
 import copy
 import json
@@ -18,32 +18,32 @@
 
 
 def _faults(document: Any) -> dict[str, str]:
-    """Returns message and advice by path."""
+    """Returns the message and advice of each fault by its path."""
     found = settings.parse(json.dumps(document), "node.json")
     if isinstance(found, Ok):
         return {}
     return {f.path: f"{f.message}; {f.advice}" for f in found.err_value.faults}
 
 
-def _changed(path: str, value: Any) -> dict[str, Any]:
-    """Returns valid settings with one place set, or removed by None."""
+def _settings_with(path: str, value: Any) -> dict[str, Any]:
+    """Returns valid settings with one field set, or removed if None."""
     document = copy.deepcopy(node_settings())
     *parents, last = path.split(".")
-    place = document
+    section = document
     for parent in parents:
-        place = place.setdefault(parent, {})
+        section = section.setdefault(parent, {})
     if value is None:
-        del place[last]
+        del section[last]
     else:
-        place[last] = value
+        section[last] = value
     return document
 
 
 class SettingsTest(unittest.TestCase):
-    def test_valid_settings(self):
+    def test_valid_settings_have_no_fault(self):
         self.assertEqual(_faults(node_settings()), {})
 
-    def test_one_fault(self):
+    def test_each_faulty_field_is_reported(self):
         cases = [
             ("platform.call_timeout", 2, "Extra inputs"),
             ("callers.default_deadline", 2, "Extra inputs"),
@@ -70,11 +70,11 @@
         ]
         for path, value, text in cases:
             with self.subTest(path=path, value=value):
-                faults = _faults(_changed(path, value))
+                faults = _faults(_settings_with(path, value))
                 self.assertEqual(list(faults), [path])
                 self.assertIn(text, faults[path])
 
-    def test_all_faults_at_once(self):
+    def test_all_faults_are_reported_at_once(self):
         document = node_settings(log_level="LOUD", extra=1)
         del document["vm_id"]
         document["platform"]["key_value"][0]["ip"] = "etcd.local"
@@ -83,7 +83,7 @@
             {"log_level", "extra", "vm_id", "platform.key_value.0.ip"},
         )
 
-    def test_unreadable_text_and_files(self):
+    def test_unreadable_text_and_files_are_refused(self):
         for text in ("", "{", "[]", "[" * 100_000, "7"):
             with self.subTest(text=text[:10]):
                 found = settings.parse(text, "node.json")
@@ -92,14 +92,14 @@
             found = settings.load(path)
             self.assertIsInstance(found.err(), SettingsError)
 
-    def test_ipv6_and_comments(self):
-        text = json.dumps(_changed("operators.listen.ip", "::1"))
+    def test_ipv6_and_comments_are_accepted(self):
+        text = json.dumps(_settings_with("operators.listen.ip", "::1"))
         found = settings.parse("// node\n" + text, "node.json")
         self.assertEqual(found.unwrap()["operators"]["listen"]["ip"], "::1")
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_every_example_passes_its_check(self):
+    def test_every_example_is_valid(self):
         files = sorted(EXAMPLES.rglob("*.json"))
         self.assertEqual(len(files), 19)
         for path in files:
