--- a/src/mulberrywharf/__init__.py
+++ b/src/mulberrywharf/__init__.py
@@ -1,11 +1,11 @@
 """Mulberrywharf serves language-model requests on a fixed fleet.
 
-What other code may rely upon are the names in ``__all__``: the base of all
-failures and those of documents, the settings, the operators' rules, and the
-two decisions that can be used on their own. They keep their names and meaning
-within a minor version, and are typed. All other modules, and whatever begins
-with an underscore, may change at any time; the wire formats are described in
-``docs/design/interfaces.md``.
+The public API is the names in ``__all__``: the base class of all errors and
+the errors of documents, the settings, the operators' rules, and the choice of
+an engine and the planning of roles, which can be used on their own. These
+names are typed and keep their meaning within a minor version. All other
+modules and names that begin with an underscore may change at any time. The
+wire formats are described in ``docs/design/interfaces.md``.
 
 Functions that can fail return a ``result.Result``:
 
@@ -13,10 +13,10 @@
     >>> document = parse_rules(text, "rules.json").unwrap()
     >>> faults = check_rules(document, None)
 
-The names are loaded when they are first asked for. The programs replace
-Python's sockets and locks by gevent's as their first step, and this module is
-imported even before that. Whatever it imported would keep the locks of
-threads: one greenlet that waits for such a lock stops the whole process.
+Public names are imported on first access. The programs replace Python's
+sockets and locks with gevent's as their first step, but this package is
+imported before that. Modules that it imported would keep thread locks, and a
+greenlet that waits for a thread lock blocks the whole process.
 """
 
 import importlib
@@ -67,11 +67,11 @@
     "parse_rules": ("mulberrywharf.rules.parse", "parse"),
     "plan_roles": ("mulberrywharf.policy.role_planner", "plan"),
 }
-"""Where each public name is defined: module and name there."""
+"""Module and attribute that define each public name."""
 
 
 def __getattr__(name: str) -> Any:
-    """Loads a public name when it is first asked for."""
+    """Imports a public name on first access."""
     if name not in _SOURCES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module_name, attribute = _SOURCES[name]
--- a/src/mulberrywharf/_connections.py
+++ b/src/mulberrywharf/_connections.py
@@ -1,4 +1,4 @@
-"""TCP connections to back ends, and those that wait for their next request."""
+"""TCP connections to back ends, and a pool of idle ones."""
 
 import socket
 import time
@@ -11,8 +11,10 @@
 from mulberrywharf import errors, fleet
 
 DEFAULT_IDLE_LIMIT_S = 4.0
-"""For an idle connection whose back end states no limit; servers commonly
-close after five seconds."""
+"""How long a connection may stay idle if the back end states no limit.
+
+Servers commonly close idle connections after five seconds.
+"""
 
 _IDLE_LIMIT_COUNT = 16
 _LOOP_READ = 1
@@ -28,12 +30,15 @@
         _UNACKNOWLEDGED_LIMIT_MS,
     ),
 )
-"""A peer that lost its power or its path answers nothing, and neither does a
-connection that went silent for good: its request would wait until the caller's
-deadline. With these the kernel ends it after 1.5 s without acknowledgement,
-and after 3 s in which only an answer is awaited, which no slow but living
-server can cause, since its kernel acknowledges. Two retransmissions of a
-packet that was lost fit into that time."""
+"""Options with which the kernel detects a peer that no longer responds.
+
+If the peer loses power or the network path fails, nothing is received, and a
+request would wait until the caller's deadline. With these options, the kernel
+closes the connection if sent data is not acknowledged for 1.5 s, or if the
+peer does not respond for 3 s while only an answer is awaited. A slow server is
+not affected, because its kernel still acknowledges. The limits leave time for
+two retransmissions of a lost packet.
+"""
 
 
 class Connection:
@@ -44,14 +49,14 @@
         self.sock = sock
         loop = gevent.get_hub().loop
         self._readable = loop.io(sock.fileno(), _LOOP_READ)
-        self._silence = loop.timer(0.0)
-        self._silence_limit_s = 0.0
+        self._read_timer = loop.timer(0.0)
+        self._read_timeout_s = 0.0
 
     @classmethod
     def open(
         cls, address: fleet.Address, connect_timeout_s: float
     ) -> Result["Connection", errors.EngineUnreachableError]:
-        """Connects; small writes leave at once (TCP_NODELAY)."""
+        """Connects with TCP_NODELAY set, so small writes are sent at once."""
         family = socket.AF_INET6 if ":" in address.ip else socket.AF_INET
         sock = gevent_socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -72,10 +77,11 @@
             raise
         return Ok(cls(address, sock))
 
-    def is_quiet(self) -> bool:
-        """Tells whether the idle connection is open and holds no bytes.
+    def is_reusable(self) -> bool:
+        """Returns whether the connection is open and has no unread bytes.
 
-        A peek works for any descriptor; select() fails above 1023.
+        It peeks instead of using ``select()``, which fails for descriptors
+        above 1023.
         """
         self.sock.settimeout(0.0)
         try:
@@ -87,62 +93,61 @@
         return False
 
     def wait_readable(self, timeout_s: float) -> None:
-        """Waits for bytes or the end, at least one turn of the event loop.
+        """Waits until bytes or the end of the stream can be read.
 
-        A greenlet whose socket always has bytes never waits in ``recv``, and
-        ``sleep(0)`` lets others run but does not poll their sockets for up
-        to gevent's switch interval: beside one busy stream the others' first
-        tokens came 90 ms late. A turn of the loop polls every socket.
+        Runs the event loop at least once, which polls every socket. Without
+        this, a greenlet whose socket always has bytes never waits in ``recv``,
+        and ``sleep(0)`` may not poll sockets for up to gevent's switch
+        interval: one busy stream delayed the first tokens of others by 90 ms.
 
         Raises:
-            OSError: Nothing came in time, or the connection was closed.
+            OSError: The wait timed out, or the connection was closed.
         """
-        if timeout_s != self._silence_limit_s:
-            self._silence.close()
-            self._silence = gevent.get_hub().loop.timer(timeout_s, timeout_s)
-            self._silence_limit_s = timeout_s
-        # One timer that is set again costs less than a Timeout object for
-        # each token.
-        self._silence.again(self._end_silence)
+        if timeout_s != self._read_timeout_s:
+            self._read_timer.close()
+            self._read_timer = gevent.get_hub().loop.timer(timeout_s, timeout_s)
+            self._read_timeout_s = timeout_s
+        # Restarting one timer costs less than a Timeout object per token.
+        self._read_timer.again(self._on_read_timeout)
         try:
             gevent_socket.wait(self._readable)
         finally:
-            self._silence.stop()
+            self._read_timer.stop()
 
-    def _end_silence(self) -> None:
-        limit_s = self._silence_limit_s
-        error = TimeoutError(f"nothing came for {limit_s} s")
+    def _on_read_timeout(self) -> None:
+        timeout_s = self._read_timeout_s
+        error = TimeoutError(f"no data received for {timeout_s} s")
         gevent.get_hub().cancel_wait(self._readable, error)
 
     def close(self) -> None:
-        """Closes the connection; whoever waits for it gets an OSError."""
+        """Closes the connection; a greenlet waiting on it gets an OSError."""
         gevent.get_hub().cancel_wait(
             self._readable, gevent_socket.cancel_wait_ex, close_watcher=True
         )
-        self._silence.close()
+        self._read_timer.close()
         self.sock.close()
 
 
-class _Idle(NamedTuple):
-    """A connection that waits, and until when it may be used again."""
+class _IdleConnection(NamedTuple):
+    """An idle connection and the monotonic time until which it is usable."""
 
     connection: Connection
-    until_s: float
+    reusable_until_s: float
 
 
 class ConnectionPool:
-    """Idle connections whose last answer was read to its checked end."""
+    """Idle connections whose last answer was read to its verified end."""
 
     def __init__(self, idle_limit_count: int = _IDLE_LIMIT_COUNT):
         self._idle_limit_count = idle_limit_count
-        self._idle: dict[fleet.Address, list[_Idle]] = {}
+        self._idle: dict[fleet.Address, list[_IdleConnection]] = {}
 
     def take(self, address: fleet.Address) -> Connection | None:
-        """Returns an idle connection that still looks open, or None."""
+        """Removes and returns an idle connection that looks open, or None."""
         idle = self._idle.get(address, [])
         while idle:
-            connection, until_s = idle.pop()
-            if time.monotonic() < until_s and connection.is_quiet():
+            connection, reusable_until_s = idle.pop()
+            if time.monotonic() < reusable_until_s and connection.is_reusable():
                 return connection
             connection.close()
         return None
@@ -152,20 +157,22 @@
         connection: Connection,
         idle_limit_s: float = DEFAULT_IDLE_LIMIT_S,
     ) -> None:
-        """Keeps a connection, or closes it when there are enough.
+        """Adds a connection, or closes it if the pool for its address is full.
 
         Args:
-            connection: One whose last answer was read to its end.
-            idle_limit_s: How long it may be used again.
+            connection: Connection whose last answer was read to its end.
+            idle_limit_s: How long it may be idle; it is closed if 0 or less.
         """
         idle = self._idle.setdefault(connection.address, [])
         if len(idle) < self._idle_limit_count and idle_limit_s > 0:
-            idle.append(_Idle(connection, time.monotonic() + idle_limit_s))
+            idle.append(
+                _IdleConnection(connection, time.monotonic() + idle_limit_s)
+            )
         else:
             connection.close()
 
     def forget(self, address: fleet.Address) -> None:
-        """Closes the idle connections to an address that left."""
+        """Closes the idle connections to an address that is no longer used."""
         for connection, _ in self._idle.pop(address, []):
             connection.close()
 
--- a/src/mulberrywharf/_headers.py
+++ b/src/mulberrywharf/_headers.py
@@ -1,4 +1,4 @@
-"""Header fields that are read or left out wherever they come."""
+"""Handling of HTTP header fields that several modules share."""
 
 import math
 from collections.abc import Iterable
@@ -17,15 +17,15 @@
         "upgrade",
     }
 )
-"""RFC 9110 section 7.6.1, with the fields that older senders add."""
+"""Fields of RFC 9110 section 7.6.1, and those that older senders add."""
 
 
 def retry_after_s(value: str | None) -> float | None:
-    """Returns the seconds that a ``Retry-After`` field names.
+    """Returns the delay in seconds that a ``Retry-After`` field states.
 
     Returns:
-        None where there is no field, or it names no time from now: it is
-        negative, zero, a date, or no number at all.
+        None if there is no field or its value is not a positive, finite
+        number; a date also gives None.
     """
     try:
         seconds = float(value or "")
@@ -35,24 +35,24 @@
 
 
 def end_to_end(fields: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Leaves out what concerns only one connection.
+    """Removes the hop-by-hop header fields.
 
     Args:
         fields: Header fields as they were received.
 
     Returns:
-        The others, names in lower case. A name with an underscore is left
-        out: some servers read it as the name with a hyphen, so it could
-        stand in for a field that was dropped.
+        The remaining fields, with names in lower case. Names with an
+        underscore are removed too: some servers treat them like the name with
+        a hyphen, so such a field could replace one that was removed.
     """
     lowered = [(name.lower(), value) for name, value in fields]
-    named = {
+    connection_options = {
         option.strip().lower()
         for name, value in lowered
         if name == "connection"
         for option in value.split(",")
     }
-    dropped = _HOP_BY_HOP | named
+    dropped = _HOP_BY_HOP | connection_options
     return [
         (name, value)
         for name, value in lowered
--- a/src/mulberrywharf/_listening.py
+++ b/src/mulberrywharf/_listening.py
@@ -1,4 +1,4 @@
-"""Sockets that this process listens on."""
+"""Creation of the listening sockets of this process."""
 
 import socket
 from typing import Any
@@ -9,19 +9,19 @@
 
 
 def listening_socket(ip: str, port: int, *, backlog_count: int) -> Any:
-    """Binds a TCP socket and listens on it.
+    """Creates a TCP socket that listens on an address.
 
     Args:
-        ip: IP number of this machine, or one that stands for all of them.
-        port: 0 lets the kernel choose.
-        backlog_count: Connections that may wait to be accepted.
+        ip: IP address of this machine, or the wildcard address.
+        port: TCP port; with 0, the kernel chooses one.
+        backlog_count: Maximum number of connections not yet accepted.
 
     Returns:
         A gevent socket.
 
     Raises:
-        ListenError: The address is not of this machine, the port is taken,
-            or this user may not use it.
+        ListenError: The address does not belong to this machine, the port is
+            in use, or the user may not use it.
     """
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     listener = gevent_socket.socket(family)
--- a/src/mulberrywharf/_wsgi.py
+++ b/src/mulberrywharf/_wsgi.py
@@ -1,4 +1,4 @@
-"""gevent's WSGI server as every listener of the project uses it."""
+"""gevent's WSGI server, adapted for the listeners of this project."""
 
 import json
 import socket
@@ -20,7 +20,7 @@
 
 
 class _ErrorLog:
-    """Hands gevent's error lines to the structured log."""
+    """Writes gevent's error lines to the structured log."""
 
     def write(self, text: str) -> None:
         if text.strip():
@@ -30,11 +30,11 @@
         self.write("".join(lines))
 
     def flush(self) -> None:
-        """Does nothing; the log flushes itself."""
+        """Does nothing; the logger flushes its output."""
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Serves one connection and tells the server while a request runs."""
+    """Serves one connection and counts its requests in flight."""
 
     def handle_one_response(self) -> None:
         self.server.request_began()
@@ -44,23 +44,26 @@
             self.server.request_ended()
 
     def _handle_client_error(self, ex: Exception) -> Any:
-        """Answers a head that can't be read; nothing to one that broke off.
+        """Answers a malformed request head, unless the connection failed.
 
-        gevent takes a reset in the middle of a head for a malformed one, logs
-        a trace of it, and another one when its answer can't be sent.
+        gevent treats a connection reset in the middle of a head as a malformed
+        head. It logs a traceback for it, and a second one when its answer
+        can't be sent.
         """
         if isinstance(ex, OSError):
-            logger.debug("a connection broke in the middle of a head: {}", ex)
+            logger.debug(
+                "connection failed in the middle of a request head: {}", ex
+            )
             return None
         return super()._handle_client_error(ex)
 
     def _sendall(self, data: bytes | bytearray) -> None:
-        """Writes it all, a small write by one call of the kernel.
+        """Sends all data; a small write takes one system call.
 
-        gevent's ``sendall`` asks for the size of the send buffer and the time
-        first, which adds up when each token of a stream is a write. What the
-        kernel does not take at once goes that way, and so does an error:
-        bounds and failures stay gevent's.
+        gevent's ``sendall`` first reads the size of the send buffer and the
+        time, which is costly when each token of a stream is a write. It is
+        used only for data that the kernel does not accept at once, and after
+        an error, so that gevent's limits and error handling apply.
         """
         try:
             sent_bytes = self.socket._sock.send(data)
@@ -72,10 +75,10 @@
 
 
 class WsgiServer(pywsgi.WSGIServer):
-    """A listener that sends small writes at once and can finish its work.
+    """A WSGI server that sets TCP_NODELAY and can wait for its requests.
 
-    Without TCP_NODELAY the second small write of a connection waits for the
-    reader's delayed ACK: a streamed token arrives some 40 ms late.
+    Without TCP_NODELAY, the second small write on a connection waits for the
+    delayed ACK of the client, so a streamed token arrives some 40 ms late.
     """
 
     def __init__(self, ip: str, port: int, application: Application):
@@ -95,7 +98,7 @@
 
     @property
     def port(self) -> int:
-        """The TCP port that it listens on."""
+        """The TCP port that the server listens on."""
         return int(self.socket.getsockname()[1])
 
     def handle(self, sock: Any, address: Any) -> None:
@@ -104,21 +107,25 @@
         super().handle(sock, address)
 
     def request_began(self) -> None:
-        """Counts a request in."""
+        """Increments the number of in-flight requests."""
         self.in_flight_count += 1
         self._idle.clear()
 
     def request_ended(self) -> None:
-        """Counts a request out."""
+        """Decrements the number of in-flight requests."""
         self.in_flight_count -= 1
         if self.in_flight_count == 0:
             self._idle.set()
 
     def wait_idle(self) -> None:
-        """Waits until no request is in flight, however long that takes."""
+        """Waits without a time limit until no request is in flight."""
         self._idle.wait()
 
 
 def announce_ready(**fields: object) -> None:
-    """Prints the line that tells a supervisor which ports are open."""
+    """Prints the line that tells a supervisor that the process is ready.
+
+    Args:
+        **fields: Fields of the line, such as the ports that are open.
+    """
     print("READY " + json.dumps(fields), flush=True)
--- a/src/mulberrywharf/clock.py
+++ b/src/mulberrywharf/clock.py
@@ -1,7 +1,7 @@
-"""The clocks that a process reads, passed in so that decisions never do.
+"""Clocks that can be replaced in tests and benchmarks.
 
-Decisions in ``policy`` and ``rules`` take ``now_s`` as an argument. Whoever
-calls them reads it from a ``Clock``; a test or bench passes one of its own.
+Functions in ``policy`` and ``rules`` read no clock: they take ``now_s`` as an
+argument, which their caller reads from a ``Clock``.
 """
 
 import time
@@ -12,33 +12,33 @@
     """Reads time in seconds."""
 
     def monotonic_s(self) -> float:
-        """Returns seconds that never go back, for ages and deadlines."""
+        """Returns seconds that never decrease, for ages and deadlines."""
         ...
 
     def unix_s(self) -> float:
-        """Returns wall-clock seconds since 1970, for records and logs."""
+        """Returns Unix time in seconds, for records and logs."""
         ...
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The system's monotonic clock and wall clock."""
 
     def monotonic_s(self) -> float:
         """Returns the monotonic clock in seconds."""
         return time.monotonic()
 
     def unix_s(self) -> float:
-        """Returns the wall clock in seconds since 1970."""
+        """Returns Unix time in seconds."""
         return time.time()
 
 
 class BootClock(SystemClock):
-    """Counts also the time for which the whole machine was frozen.
+    """A clock that keeps counting while the machine is suspended.
 
-    The monotonic clock stands still meanwhile: a lease measured by it would
-    look valid on waking although another process has it by then.
+    The monotonic clock stops during suspension. After the machine resumes, a
+    lease timed by it would look valid although another process may hold it.
     """
 
     def monotonic_s(self) -> float:
-        """Returns the seconds since the machine's start."""
+        """Returns the seconds since boot, including suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/mulberrywharf/fleet.py
+++ b/src/mulberrywharf/fleet.py
@@ -1,24 +1,24 @@
-"""What a node believes about the fleet: VMs, engines and their loads.
+"""Types that describe VMs, servers, engines and their loads.
 
-These are the typed views that ``policy`` and ``rules`` decide on. Every
-figure that came from afar carries its age, because the view is always
-somewhat old.
+``policy`` and ``rules`` base their decisions on these. A load report carries
+its time or age, because what a node knows about other VMs is always somewhat
+out of date.
 """
 
 from typing import Literal, NamedTuple
 
 Role = Literal["prefill", "decode", "mixed"]
-"""What an engine spends its steps on; ``mixed`` does both."""
+"""Work that an engine does; ``mixed`` is both prefill and decode."""
 
 EngineState = Literal["ready", "draining", "changing", "failed", "unknown"]
-"""``changing`` serves nothing; ``failed`` needs an order to recover."""
+"""A ``changing`` engine serves nothing; a ``failed`` one needs an order."""
 
 VmKind = Literal["entry", "engine", "backend"]
 VmState = Literal["live", "leaving"]
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     ip: str
     port: int
@@ -29,18 +29,19 @@
 
 
 class VmRecord(NamedTuple):
-    """One line of the platform's VM list, which lags.
+    """One entry of the platform's VM list, which may be out of date.
 
     Attributes:
-        vm_id: Stable name of the VM; also the engine id for engines.
-        kind: Entry VM of ours, model engine, or plain backend server.
-        availability_zone: Where it stands.
-        address: Where callers' work is sent; for entry VMs the node port.
-        state: ``leaving`` VMs get no new work.
-        service: Service name of a backend server, else empty.
-        engine_kind: Make of an engine; settings say which kinds check
-            fencing numbers. Empty for others.
-        operators_address: Admin listener of an entry VM, else None.
+        vm_id: Stable name of the VM; also the engine id of an engine.
+        kind: Entry VM, language-model engine, or other backend server.
+        availability_zone: Availability zone of the VM.
+        address: Address that requests are sent to; for an entry VM, that of
+            its listener for other entry VMs.
+        state: A ``leaving`` VM gets no new requests.
+        service: Service name of a backend server, otherwise empty.
+        engine_kind: Product of an engine, otherwise empty. The settings list
+            the kinds that check fencing numbers.
+        operators_address: Admin listener of an entry VM, otherwise None.
     """
 
     vm_id: str
@@ -54,42 +55,41 @@
 
 
 class ServerStart(NamedTuple):
-    """One start of one server.
+    """Identifies one start of a server.
 
-    A server may start again under its id. What it held and counted before is
-    gone then, so whatever is believed of it belongs to one start.
+    A server keeps its id when it restarts but loses its state and counters, so
+    what is known about it is valid for one start only.
 
     Attributes:
-        server_id: Names the server.
-        started_unix_ms: Tells its starts apart, by its own clock. It says
-            nothing of their order, as that clock may be stepped back. None
-            where servers don't tell it.
+        server_id: Id of the server.
+        started_unix_ms: Start time by the server's clock; differs between its
+            starts. It does not order them, because the clock may be stepped
+            back. None if the server does not report it.
     """
 
     server_id: str
     started_unix_ms: int | None = None
 
     def __str__(self) -> str:
-        """Returns the id, with the start behind it if that is told."""
+        """Returns the id, followed by the start time if it is known."""
         if self.started_unix_ms is None:
             return self.server_id
         return f"{self.server_id}@{self.started_unix_ms}"
 
 
 class Server(NamedTuple):
-    """One start of one server, as it registered itself.
+    """A server as it registered itself at one start.
 
     Attributes:
-        start: What everything is kept by that is believed of it. A field, as
-            it is asked for several times for each engine that a prompt may go
-            to: made anew each time, placing among 850 engines took 4.5 ms
-            instead of 3.2.
-        service: The service that it belongs to.
-        address: Where it takes requests.
-        availability_zone: Where it stands.
-        slots_count: Requests that it works on at once.
-        is_draining: Whether it is about to leave.
-        role: What an engine spends its steps on, None for plain servers.
+        start: Key for what is known about the server. It is a field because it
+            is read several times per candidate engine: created on each read,
+            it makes placement among 850 engines take 4.5 ms instead of 3.2.
+        service: Service that the server belongs to.
+        address: Address that requests are sent to.
+        availability_zone: Availability zone of the server.
+        slots_count: Requests that the server processes at the same time.
+        is_draining: Whether the server is about to leave the fleet.
+        role: Role of an engine; None for other servers.
     """
 
     start: ServerStart
@@ -102,37 +102,37 @@
 
     @property
     def server_id(self) -> str:
-        """Names it; it keeps the id when it starts again."""
+        """Id of the server; a restart does not change it."""
         return self.start.server_id
 
     @property
     def started_unix_ms(self) -> int | None:
-        """Tells its starts apart, see ``ServerStart``."""
+        """Start time of the server, see ``ServerStart``."""
         return self.start.started_unix_ms
 
 
 class LoadReport(NamedTuple):
-    """What an engine said about itself, some time ago.
+    """Load and state that an engine last reported.
 
     Attributes:
-        engine_id: The engine.
-        role: Its role.
-        state: Whether it serves.
-        models: Models it has loaded.
-        adapters: Adapters it has loaded.
+        engine_id: Id of the engine.
+        role: Its current role.
+        state: Its state; see ``EngineState``.
+        models: Models that it has loaded.
+        adapters: Adapters that it has loaded.
         version: Version label of its weights.
-        waiting_count: Requests that wait for a place in the batch.
+        waiting_count: Requests that wait to join the batch.
         running_count: Requests in the batch.
         waiting_prompt_tokens: Prompt tokens not yet prefilled.
         running_output_tokens: Output tokens generated for running requests.
-        kv_used_share: Share of KV memory in use, 0 to 1.
-        prefill_tokens_per_s: Its prefill speed.
-        decode_tokens_per_s: Its decode speed over the whole batch.
+        kv_used_share: Fraction of the KV cache in use, 0 to 1.
+        prefill_tokens_per_s: Prefill speed.
+        decode_tokens_per_s: Decode speed of the whole batch.
         prompt_tokens_total: Prompt tokens prefilled since it started.
         output_tokens_total: Output tokens generated since it started.
-        order_id: Last order it applied, or empty.
-        fencing_number: Highest fencing number it has seen, or 0.
-        reported_unix_s: When the engine took the figures.
+        order_id: Id of the last order that it applied, or empty.
+        fencing_number: Highest fencing number that it has seen, or 0.
+        reported_unix_s: When the engine measured these values.
     """
 
     engine_id: str
@@ -156,16 +156,18 @@
 
 
 class EngineView(NamedTuple):
-    """One engine as a router or planner sees it at one instant.
+    """What a router or planner knows about one engine at one time.
 
     Attributes:
-        vm: Its line in the VM list.
-        report: Its last load report, or None if none came yet.
+        vm: Its entry in the VM list.
+        report: Its last load report, or None if none was received yet.
         report_age_s: Age of the report.
-        own_in_flight_count: Requests this node has at it now.
-        own_prompt_tokens_since: Prompt tokens this node sent since the report.
+        own_in_flight_count: In-flight requests from this node to the engine.
+        own_prompt_tokens_since: Prompt tokens that this node sent to the
+            engine since the report.
         failures_recent_count: Failed exchanges in the last seconds.
-        drained: True when an order record or drain notice says no new work.
+        drained: Whether an order record or drain notice excludes the engine
+            from new requests.
     """
 
     vm: VmRecord
--- a/src/mulberrywharf/logs.py
+++ b/src/mulberrywharf/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line.
+"""Structured logs: one JSON object per line.
 
-Each line carries the node, the availability zone and whatever the caller
-bound, such as ``request_id``.
+Each line contains the VM id, the availability zone and the fields that were
+bound with ``logger.bind``, such as ``request_id``.
 """
 
 import collections
@@ -18,7 +18,7 @@
 from mulberrywharf import metrics
 
 LINES_LIMIT_COUNT = 4_000
-"""Lines that wait for a reader of standard output, some 2 MB."""
+"""Limit on lines that wait to be written to the output, some 2 MB."""
 
 _FLUSH_INTERVAL_S = 0.05
 _FLUSH_LINES_COUNT = 200
@@ -36,8 +36,8 @@
 
     Args:
         vm_id: Name of this entry VM.
-        availability_zone: Where it stands.
-        program: Name of the running binary.
+        availability_zone: Availability zone of this entry VM.
+        program: Name of the running program.
         level: Lowest level that is written.
     """
     logger.remove()
@@ -48,19 +48,19 @@
             "program": program,
         }
     )
-    # With diagnose on, a traceback prints the values of local variables, and
-    # those of a listener hold callers' and operators' bearer tokens.
+    # With diagnose=True, tracebacks print local variables; those of a
+    # listener contain the bearer tokens of callers and operators.
     logger.add(
         sys.stderr, level=level, serialize=True, backtrace=False, diagnose=False
     )
 
 
 class LineWriter:
-    """Writes log lines to a descriptor, bounded and in background.
+    """Writes log lines to a file descriptor in the background.
 
-    A reader that stops reading fills the pipe, and a write then blocks the
-    whole process: requests would stand still for a log. Lines wait here
-    instead, and the oldest are dropped and counted when there are too many.
+    If the reader of a pipe stops reading, the pipe fills up and a write to it
+    blocks the whole process, including its requests. Lines are therefore kept
+    in a bounded queue; when it is full, the oldest is dropped and counted.
     """
 
     def __init__(self, descriptor: int):
@@ -70,12 +70,12 @@
         self._writer: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begins to write."""
+        """Starts the greenlet that writes the lines."""
         gevent_os.make_nonblocking(self._descriptor)
         self._writer = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Writes what the reader takes at once, and stops."""
+        """Stops, after one attempt to write the remaining lines."""
         if self._writer is not None:
             self._writer.kill()
         try:
@@ -85,7 +85,7 @@
         self._lines.clear()
 
     def add(self, line: bytes) -> None:
-        """Takes a line in, with its line feed."""
+        """Queues a line, which must end with a line feed."""
         if len(self._lines) >= LINES_LIMIT_COUNT:
             self._lines.popleft()
             _dropped.inc({})
@@ -95,13 +95,13 @@
     def _run(self) -> None:
         while True:
             self._has_lines.wait()
-            # Lines of the same moment go out in one write.
+            # Lines that are added during the interval share one write.
             gevent.sleep(_FLUSH_INTERVAL_S)
-            self._write_some()
+            self._write_batch()
             if not self._lines:
                 self._has_lines.clear()
 
-    def _write_some(self) -> None:
+    def _write_batch(self) -> None:
         count = min(len(self._lines), _FLUSH_LINES_COUNT)
         rest = b"".join(self._lines.popleft() for _ in range(count))
         while rest:
@@ -118,9 +118,9 @@
     """Sends compact log lines of this process through a writer.
 
     Args:
-        writer: Takes the lines.
+        writer: Writes the lines.
         vm_id: Name of this entry VM.
-        availability_zone: Where it stands.
+        availability_zone: Availability zone of this entry VM.
         level: Lowest level that is written.
     """
 
--- a/src/mulberrywharf/metrics.py
+++ b/src/mulberrywharf/metrics.py
@@ -1,7 +1,7 @@
-"""The process's metrics, in the Prometheus text format.
+"""Metrics of the process in the Prometheus text format.
 
-aioprometheus's collectors and renderer need no event loop, so gevent's WSGI
-server serves them directly.
+The collectors and the renderer of aioprometheus need no asyncio event loop,
+so gevent's WSGI server can use them directly.
 """
 
 from collections.abc import Mapping
@@ -26,11 +26,11 @@
 
 
 def counter(name: str, doc: str) -> Counter:
-    """Returns the counter of that name, made on first use.
+    """Returns the counter with this name, created on first use.
 
     Args:
         name: Metric name; ends in ``_total``.
-        doc: One line for whoever reads the metrics page.
+        doc: Help text of the metric, one line.
     """
     if name not in _counters:
         _counters[name] = Counter(name, doc)
@@ -38,18 +38,18 @@
 
 
 def gauge(name: str, doc: str) -> Gauge:
-    """Returns the gauge of that name, made on first use."""
+    """Returns the gauge with this name, created on first use."""
     if name not in _gauges:
         _gauges[name] = Gauge(name, doc)
     return _gauges[name]
 
 
 def histogram(name: str, doc: str) -> Histogram:
-    """Returns the histogram of that name, made on first use.
+    """Returns the histogram with this name, created on first use.
 
     Args:
         name: Metric name; ends in ``_seconds``.
-        doc: One line for whoever reads the metrics page.
+        doc: Help text of the metric, one line.
     """
     if name not in _histograms:
         _histograms[name] = Histogram(name, doc)
@@ -60,6 +60,6 @@
     """Renders all metrics.
 
     Returns:
-        The body and its HTTP headers.
+        The body and the HTTP headers of the response.
     """
     return render(REGISTRY, _ACCEPT_TEXT)
--- a/tests/builders_fleet.py
+++ b/tests/builders_fleet.py
@@ -1,4 +1,4 @@
-"""Builders of what a node believes about the fleet."""
+"""Builders of fleet types for tests."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def vm(vm_id: str = "engine-1", **fields: Any) -> fleet.VmRecord:
-    """Builds a live engine's line of the VM list."""
+    """Builds the VM list entry of a live engine."""
     values: dict[str, Any] = {
         "vm_id": vm_id,
         "kind": "engine",
@@ -21,12 +21,12 @@
 
 
 def entry_vm(vm_id: str = "entry-1", **fields: Any) -> fleet.VmRecord:
-    """Builds a live entry VM's line of the VM list."""
+    """Builds the VM list entry of a live entry VM."""
     return vm(vm_id, **({"kind": "entry"} | fields))
 
 
 def report(engine_id: str = "engine-1", **fields: Any) -> fleet.LoadReport:
-    """Builds the report of an idle, ready, mixed engine."""
+    """Builds the load report of an idle, ready engine with role ``mixed``."""
     values: dict[str, Any] = {
         "engine_id": engine_id,
         "role": "mixed",
@@ -51,7 +51,7 @@
     has_report: bool = True,
     **report_fields: Any,
 ) -> fleet.EngineView:
-    """Builds the view of an engine; other fields go into its report."""
+    """Builds the view of an engine; ``report_fields`` go into its report."""
     return fleet.EngineView(
         vm=vm(vm_id, availability_zone=zone, state=vm_state),
         report=report(vm_id, **report_fields) if has_report else None,
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs of a process."""
+"""Structured log lines and the writer that never blocks the process."""
 
 import contextlib
 import io
@@ -38,12 +38,12 @@
         self.assertEqual(record["extra"]["vm_id"], "entry-1")
         self.assertEqual(record["extra"]["availability_zone"], "zone-1")
 
-    def test_a_traceback_tells_no_token(self) -> None:
-        """Symptom: bearer tokens stand in the log.
+    def test_traceback_contains_no_token(self) -> None:
+        """Bearer tokens must not appear in the log.
 
-        Sequence: a request fails with an exception that is logged. Cause:
-        with loguru's diagnose on, tracebacks print local variables, and the
-        listener's hold the request's header fields.
+        With loguru's ``diagnose=True``, the logged traceback of a failed
+        request prints local variables; those of the listener contain the
+        request's header fields.
         """
         self.assertNotIn(_TOKEN, self.log_failure())
 
@@ -57,23 +57,23 @@
         self.writer = logs.LineWriter(writer)
         self.writer.start()
 
-    def test_lines_come_in_order(self) -> None:
+    def test_lines_are_written_in_order(self) -> None:
         for number in range(3):
             self.writer.add(b"%d\n" % number)
         gevent.sleep(0.2)
         self.writer.close()
         self.assertEqual(os.read(self.reader, 100), b"0\n1\n2\n")
 
-    def test_what_is_left_is_written_at_the_end(self) -> None:
+    def test_close_writes_remaining_lines(self) -> None:
         self.writer.add(b"last\n")
         self.writer.close()
         self.assertEqual(os.read(self.reader, 100), b"last\n")
 
-    def test_a_reader_that_stops_blocks_nobody(self) -> None:
-        """A node stands still because nobody reads its log.
+    def test_stopped_reader_does_not_block_the_process(self) -> None:
+        """A full output pipe must not block the process.
 
-        Sequence: the reader of standard output stops, the pipe fills up.
-        Cause: a line was written by whoever logged it.
+        The reader of standard output stops and the pipe fills up. If each
+        greenlet wrote its own log lines, its write would block the process.
         """
         before_s = time.monotonic()
         for _ in range(4 * logs.LINES_LIMIT_COUNT):
@@ -83,7 +83,7 @@
         self.writer.close()
         self.assertLess(time.monotonic() - before_s, 3.0)
 
-    def test_each_line_is_an_object_with_what_was_bound(self) -> None:
+    def test_each_line_is_an_object_with_bound_fields(self) -> None:
         logs.configure_output(
             self.writer, vm_id="entry-1", availability_zone="zone-1"
         )
--- a/tests/test_public_api.py
+++ b/tests/test_public_api.py
@@ -1,4 +1,4 @@
-"""The names that other code may rely upon."""
+"""The names of the public API."""
 
 import ast
 import pathlib
@@ -8,7 +8,7 @@
 
 import mulberrywharf
 
-_LOADED = (
+_PRINT_IMPORTED_MODULES = (
     "import sys, mulberrywharf;"
     "print([n for n in sys.modules if n.startswith(('mulberrywharf.', 'gevent',"
     " 'loguru', 'pydantic'))])"
@@ -27,7 +27,7 @@
 
 
 class PublicNamesTest(unittest.TestCase):
-    def test_each_name_is_there_and_typed(self) -> None:
+    def test_each_public_name_exists_and_is_typed(self) -> None:
         typed = _names_for_type_checkers()
         self.assertEqual(sorted(typed), sorted(mulberrywharf.__all__))
         for name, source in typed.items():
@@ -35,7 +35,7 @@
                 self.assertEqual(mulberrywharf._SOURCES[name], source)
                 self.assertIsNotNone(getattr(mulberrywharf, name))
 
-    def test_unknown_names_are_refused(self) -> None:
+    def test_unknown_name_raises_attribute_error(self) -> None:
         with self.assertRaises(AttributeError):
             _ = mulberrywharf.no_such_name  # type: ignore[attr-defined]
 
@@ -44,15 +44,15 @@
         self.assertIsInstance(faulty, mulberrywharf.RulesError)
         self.assertTrue(faulty.faults)
 
-    def test_the_package_loads_nothing_by_itself(self) -> None:
-        """Locks are made before gevent has replaced them.
+    def test_package_imports_no_other_module(self) -> None:
+        """Locks must not be created before gevent has patched them.
 
-        Symptom: a router stops answering for as long as one greenlet holds a
-        lock. Sequence: the package is imported, then the program patches.
-        Cause: modules that the package imported kept the locks of threads.
+        The package is imported before the program patches. Modules that it
+        imported would keep thread locks, and a router would stop answering
+        while one greenlet holds such a lock.
         """
         ran = subprocess.run(
-            [sys.executable, "-c", _LOADED],
+            [sys.executable, "-c", _PRINT_IMPORTED_MODULES],
             capture_output=True,
             check=True,
             text=True,
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -1,4 +1,4 @@
-"""The WSGI server that every listener of the project uses."""
+"""The WSGI server shared by the listeners of the project."""
 
 import socket
 import struct
@@ -14,14 +14,14 @@
 _LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
-class BrokenHeadTest(unittest.TestCase):
-    def test_a_reset_in_the_middle_of_a_head_is_no_error(self) -> None:
-        """Two traces in the log for each caller that leaves early.
+class IncompleteHeadTest(unittest.TestCase):
+    def test_reset_in_the_middle_of_a_head_logs_no_error(self) -> None:
+        """A caller that disconnects early must not cause log entries.
 
-        Symptom: "Invalid request" and "BrokenPipeError" with traces of 20
-        lines, many a second where callers are cut off.
-        Sequence: a connection is reset after half a head.
-        Cause: the reset was taken for a malformed head and answered.
+        A connection was reset after half a request head. The server treated
+        this as a malformed head and answered it, which logged two tracebacks
+        of 20 lines, "Invalid request" and "BrokenPipeError". Network failures
+        to callers caused many of them per second.
         """
         lines: list[str] = []
         sink = logger.add(lines.append, level="INFO", format="{message}")
