--- a/src/mulberrywharf/errors.py
+++ b/src/mulberrywharf/errors.py
@@ -242,7 +242,7 @@
 
 
 class ClaimUnavailableError(RequestError):
-    """The request was not run: at-most-once execution was not guaranteed."""
+    """Not run, because at-most-once execution could not be guaranteed."""
 
     code = "claim-unavailable"
     status = 503
@@ -250,7 +250,7 @@
 
 
 class CrashingRequestError(RequestError):
-    """The request is not sent: servers exited while they ran it before."""
+    """Not sent, because servers exited while they ran the request."""
 
     code = "crashing-request"
     status = 503
--- a/src/mulberrywharf/fleet.py
+++ b/src/mulberrywharf/fleet.py
@@ -11,7 +11,11 @@
 """Work that an engine does; ``mixed`` is both prefill and decode."""
 
 EngineState = Literal["ready", "draining", "changing", "failed", "unknown"]
-"""A ``changing`` engine serves nothing; a ``failed`` one needs an order."""
+"""State of an engine.
+
+A ``changing`` engine serves nothing; a ``failed`` one needs an order to
+recover.
+"""
 
 VmKind = Literal["entry", "engine", "backend"]
 VmState = Literal["live", "leaving"]
--- a/src/mulberrywharf/gateway_settings.py
+++ b/src/mulberrywharf/gateway_settings.py
@@ -32,7 +32,7 @@
 
 @pydantic.with_config(_STRICT)
 class RepeatSettings(TypedDict):
-    """Limits on repeated requests, for all gateways together.
+    """Limits on repeats at a second server, for all gateways together.
 
     Attributes:
         ratio: Allowed repeats per request in a window.
--- a/src/mulberrywharf/logs.py
+++ b/src/mulberrywharf/logs.py
@@ -23,7 +23,7 @@
 _FLUSH_INTERVAL_S = 0.05
 _FLUSH_LINES_COUNT = 200
 
-_dropped = metrics.counter(
+_dropped_lines_total = metrics.counter(
     "mulberry_log_lines_dropped_total",
     "Log lines dropped because nobody read them fast enough.",
 )
@@ -67,28 +67,28 @@
         self._descriptor = descriptor
         self._lines: collections.deque[bytes] = collections.deque()
         self._has_lines = gevent.event.Event()
-        self._writer: gevent.Greenlet | None = None
+        self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
         """Starts the greenlet that writes the lines."""
         gevent_os.make_nonblocking(self._descriptor)
-        self._writer = gevent.spawn(self._run)
+        self._greenlet = gevent.spawn(self._run)
 
     def close(self) -> None:
         """Stops, after one attempt to write the remaining lines."""
-        if self._writer is not None:
-            self._writer.kill()
+        if self._greenlet is not None:
+            self._greenlet.kill()
         try:
             os.write(self._descriptor, b"".join(self._lines))
         except OSError:
-            _dropped.add({}, len(self._lines))
+            _dropped_lines_total.add({}, len(self._lines))
         self._lines.clear()
 
     def add(self, line: bytes) -> None:
         """Queues a line, which must end with a line feed."""
         if len(self._lines) >= LINES_LIMIT_COUNT:
             self._lines.popleft()
-            _dropped.inc({})
+            _dropped_lines_total.inc({})
         self._lines.append(line)
         self._has_lines.set()
 
--- a/src/mulberrywharf/settings.py
+++ b/src/mulberrywharf/settings.py
@@ -146,13 +146,13 @@
     Attributes:
         lease_ttl_s: Length of the controller's lease.
         clock_margin_s: Allowed error between clocks.
-        order_user_timeout_s: Time after which the kernel drops order bytes
-            that were not acknowledged.
+        order_user_timeout_s: Time after which the kernel drops unacknowledged
+            bytes of an order.
         evaluate_interval_s: Time between evaluations of the rules.
         role_change_away_s: Time for which an engine is unavailable during a
             role change.
-        goodput_weight: Weight of goodput in the planner's gain.
-        role_change_weight: Weight of one role change in the planner's cost.
+        goodput_weight: Weight of the goodput that a role change gains.
+        role_change_weight: Weight of the cost of a role change.
     """
 
     lease_ttl_s: NotRequired[PositiveSeconds]
