--- a/src/mulberrywharf/_answers.py
+++ b/src/mulberrywharf/_answers.py
@@ -1,4 +1,4 @@
-"""Reads the answer to an HTTP request from a connection of the caller."""
+"""Reads the answer to an HTTP request from the connection of an exchange."""
 
 from typing import Any
 
--- a/src/mulberrywharf/_exchange.py
+++ b/src/mulberrywharf/_exchange.py
@@ -1,10 +1,10 @@
-"""One HTTP exchange on a connection that the caller of this module owns.
+"""Performs one HTTP exchange, then closes or reuses its connection.
 
 The client of geventhttpclient silently resends GET, HEAD, PUT, DELETE and
 OPTIONS requests when the connection closes before the answer. If a request
 with such a method is not idempotent, it could take effect twice, and only the
 log of its service would show it. This module writes a request at most once;
-callers retry explicitly.
+the code that uses it retries explicitly.
 """
 
 import errno
@@ -33,9 +33,9 @@
 _FRAMING_FIELDS = frozenset(("content-length", "host", "transfer-encoding"))
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=([0-9]{1,6})")
 _KEEP_ALIVE_SHARE = 0.8
-"""Fraction of the back end's keep-alive timeout after which an idle connection
-is not reused. If the back end closes the connection while a request is sent, it
-is unknown whether the request was processed."""
+"""Fraction of the server's keep-alive timeout after which an idle connection is
+not reused. If the server closes the connection while a request is sent, it is
+unknown whether the request was processed."""
 
 _CONNECTION_ERRORS = (OSError, http_response.HTTPParseError)
 
@@ -59,7 +59,11 @@
 
 
 Stage = NotSent | MaybeSent | AnswerBegan
-"""Progress of an exchange; it never goes back to an earlier stage."""
+"""How far an exchange got; it never goes back to an earlier stage.
+
+``policy.outcome.Progress`` describes a failed attempt for the retry decision;
+unlike a stage, it tells a refusal apart from other answers.
+"""
 
 
 @singledispatch
@@ -130,7 +134,7 @@
     """An exchange on one connection; its request is written at most once.
 
     Attributes:
-        stage: Progress of the exchange.
+        stage: How far the exchange got.
     """
 
     def __init__(
@@ -156,10 +160,10 @@
         """Reuses an idle connection or opens a new one.
 
         Args:
-            address: Address of the back end.
+            address: Address of the server.
             connect_timeout_s: Timeout for opening a new connection.
             pool: Pool of idle connections. None for a request that must not
-                run twice: the back end may close an idle connection while the
+                run twice: the server may close an idle connection while the
                 request is sent, and then it is unknown whether the request
                 ran. A new connection does not have this race.
         """
@@ -170,7 +174,11 @@
         return opened.map(lambda connection: cls(connection, pool))
 
     def keep_in(self, pool: _connections.ConnectionPool) -> "Exchange":
-        """Returns the connection to a pool after a complete answer."""
+        """Sets the pool that gets the connection after a complete answer.
+
+        Returns:
+            This exchange.
+        """
         self._pool = pool
         return self
 
@@ -181,7 +189,7 @@
 
         Args:
             request: The request.
-            answer_timeout_s: Timeout of each wait for the back end.
+            answer_timeout_s: Timeout of each wait for the server.
 
         Raises:
             BadRequestError: The request is malformed; nothing was sent.
@@ -210,7 +218,7 @@
     def read_some(
         self, idle_timeout_s: float
     ) -> Result[bytes, errors.AnswerLostError]:
-        """Waits for the next bytes of the body; returns none at its end."""
+        """Waits for the next bytes of the body; returns b"" at its end."""
         connection, answer = self._connection, self._answer
         if connection is None or answer is None:
             return Err(errors.AnswerLostError("the exchange is closed"))
@@ -287,7 +295,7 @@
         """Reads the small remainder of an answer, then ends the exchange.
 
         Bytes that arrive after the connection was closed cause a reset. The
-        back end would log it as a client that disconnected during the answer.
+        server would log it as a client that disconnected during the answer.
 
         Args:
             limit_s: Maximum time for reading the remainder.
@@ -318,9 +326,9 @@
 def _send_all(sock: Any, data: bytes, timeout_s: float) -> bool:
     """Writes a request; stops if the answer arrives before it is all written.
 
-    A back end may reject a long body before it has read all of it. If the
-    request were still written to the end, nobody would read it, and the caller
-    would get the rejection only after its deadline.
+    A server may refuse a request with a long body before it has read all of it.
+    If the request were still written to the end, nobody would read it, and the
+    caller would get the refusal only after its deadline.
 
     Returns:
         Whether the whole request was written.
@@ -364,7 +372,7 @@
     """Sends a request and reads the whole answer into memory.
 
     Args:
-        address: Address of the back end.
+        address: Address of the server.
         request: The request.
         timeout_s: Timeout for connecting, and again for the rest of the
             exchange.
@@ -378,7 +386,7 @@
     if isinstance(opened, Err):
         return opened
     exchange = opened.ok_value
-    # A back end that sends single bytes at long intervals never exceeds the
+    # A server that sends single bytes at long intervals never exceeds the
     # timeout of a single wait. Without a timeout for the whole exchange, the
     # reader could hang for hours.
     total_timeout = gevent.Timeout(timeout_s)
--- a/src/mulberrywharf/crash_watch.py
+++ b/src/mulberrywharf/crash_watch.py
@@ -1,7 +1,8 @@
 """Blocks requests that crash the servers that process them.
 
-When several servers exit while processing the same request, the request is
-blocked: it is rejected immediately and sent to no server.
+When several servers end while processing the same request, the request is
+blocked: it is refused immediately and sent to no server. Gateways and routers,
+both called nodes here, use this module.
 """
 
 from collections.abc import Callable, Sequence
@@ -25,21 +26,21 @@
 
 _ends_total = metrics.counter(
     "mulberry_server_ends_total",
-    "Requests whose server ended while it worked on them, by whether it had"
+    "Requests whose server ended while processing them, by whether it had"
     " made any of the answer.",
 )
 _blocked_gauge = metrics.gauge(
     "mulberry_requests_blocked_count",
-    "Requests that are sent to no server, as servers ended under them.",
+    "Requests that are blocked because servers ended while processing them.",
 )
 
 
-class Request(Protocol):
+class CallerRequest(Protocol):
     """A caller's request."""
 
     @property
     def request_id(self) -> str:
-        """Identifies this attempt of the caller."""
+        """Id of the request; a repeat by the caller may have another id."""
         ...
 
     def fingerprint(self) -> int:
@@ -57,17 +58,17 @@
         began_s: Monotonic time at which it was sent, None if unknown.
     """
 
-    request: Request
+    request: CallerRequest
     start: fleet.ServerStart
     address: fleet.Address
     began_s: float | None = None
 
 
 def may_be_crash(error: errors.EngineError) -> bool:
-    """Returns whether an exchange may have failed by the exit of its server.
+    """Returns whether an exchange may have failed because its server ended.
 
-    The connections of a server close when it exits. A peer that stops
-    responding or sends another request's answer has not exited.
+    The connections of a server close when it ends. A server that stops
+    responding or sends another request's answer has not ended.
     """
     return isinstance(
         error, errors.AnswerLostError | errors.StreamBrokenError
@@ -77,14 +78,14 @@
 
 
 class Reports(Protocol):
-    """Exchanges reports on server exits with the other gateways."""
+    """Exchanges reports on ended servers with the other gateways."""
 
     def on_report(self, callback: Callable[[int], None]) -> None:
-        """Sets the callback for new server exits from other gateways."""
+        """Sets the callback for ends of servers that other gateways report."""
         ...
 
     def tell(self, fingerprint: int) -> None:
-        """Sends the known server exits during a request to all gateways."""
+        """Sends all gateways the known ends of servers during a request."""
         ...
 
     def broadcast_cleared(self, fingerprint: int) -> None:
@@ -131,7 +132,7 @@
 
 
 class CrashWatch:
-    """Detects server exits during requests and blocks suspected requests."""
+    """Detects ends of servers during requests; blocks suspected requests."""
 
     def __init__(
         self,
@@ -146,14 +147,14 @@
         """Creates it and registers it with the reports and the records.
 
         Args:
-            ends: Distinguishes server exits from lost connections.
-            suspects: Remembers the server exits during each request.
-            reports: Exchanges server exits with the other gateways.
+            ends: Distinguishes ends of servers from lost connections.
+            suspects: Remembers the ends of servers during each request.
+            reports: Exchanges ends of servers with the other gateways.
             records: Stores the blocked requests.
             system_clock: Measures ages.
             restarts_are_visible: Whether the ``ServerStart`` of a server
-                changes when it restarts. If not, each exit counts as that of
-                a different server.
+                changes when it restarts. If not, each end counts as that of a
+                different server.
         """
         self._ends = ends
         self._suspects = suspects
@@ -185,8 +186,8 @@
             restarts_are_visible=False,
         )
 
-    def check(self, request: Request) -> None:
-        """Rejects a blocked request.
+    def check(self, request: CallerRequest) -> None:
+        """Refuses a blocked request.
 
         Raises:
             CrashingRequestError: The request is blocked.
@@ -198,11 +199,11 @@
         if not self._suspects.is_blocked(fingerprint, now_s):
             return
         raise errors.CrashingRequestError(
-            "servers ended while they worked on this request",
+            "servers ended while processing this request",
             retry_after_s=self._suspects.blocked_for_s(fingerprint, now_s),
         )
 
-    def is_blocked(self, request: Request) -> bool:
+    def is_blocked(self, request: CallerRequest) -> bool:
         """Returns whether a request must not be sent to another server."""
         now_s = self._clock.monotonic_s()
         return not self._suspects.is_empty and self._suspects.is_blocked(
@@ -210,13 +211,14 @@
         )
 
     def allowed_servers(
-        self, request: Request, servers: Sequence[fleet.Server]
+        self, request: CallerRequest, servers: Sequence[fleet.Server]
     ) -> list[fleet.Server]:
         """Returns the servers of one kind that a request may be sent to.
 
-        A request under which a server recently ended may crash another before
-        the other gateways learn of the first. It is not sent to the last
-        remaining server, so that other requests can still be served.
+        If a server recently ended while processing a request, the request may
+        crash another server before the other gateways learn of the first end.
+        It is not sent to the last remaining server, so that other requests can
+        still be served.
 
         Args:
             request: The request.
@@ -235,7 +237,7 @@
         ]
         return alive if len(alive) > 1 else []
 
-    def note_completed(self, request: Request) -> None:
+    def note_completed(self, request: CallerRequest) -> None:
         """Records that a server answered a request completely."""
         fingerprint = request.fingerprint()
         now_s = self._clock.monotonic_s()
@@ -246,7 +248,7 @@
     def note_connection_lost(
         self, run: RequestRun, *, made_output: bool
     ) -> None:
-        """Checks whether a server exited after its exchange was interrupted.
+        """Checks whether a server has ended after an exchange was interrupted.
 
         Waits only briefly for the probe of the server; a later result is
         still recorded. During a network partition, a connection attempt takes
@@ -309,8 +311,6 @@
             logger.bind(
                 fingerprint=f"{fingerprint:016x}",
                 ends_count=len(self._suspects.ends(fingerprint, now_s)),
-            ).warning(
-                "a request is blocked: servers exited while processing it"
-            )
+            ).warning("a request is blocked: servers ended while processing it")
         self._blocked = blocked
         _blocked_gauge.set({}, len(blocked))
--- a/src/mulberrywharf/forwarding/__init__.py
+++ b/src/mulberrywharf/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards requests to the servers that their route selects."""
+"""Forwards a gateway's requests to the servers that their route selects."""
--- a/src/mulberrywharf/forwarding/engine_estimates.py
+++ b/src/mulberrywharf/forwarding/engine_estimates.py
@@ -1,4 +1,8 @@
-"""Estimates the load, queues and caches of engines, from own and peer data."""
+"""Estimates the load, queues and caches of engines.
+
+The data are this gateway's own and those that the other gateways, its peers,
+report.
+"""
 
 import collections
 import random
@@ -30,7 +34,8 @@
 
 _estimate_ratio = metrics.histogram(
     "mulberry_estimate_ratio",
-    "What an engine took to answer over what was estimated, by matter.",
+    "Actual time to an engine's answer divided by the estimated time, by"
+    " matter: read (prefill) or start (decode of a prefilled prompt).",
 )
 
 
@@ -39,7 +44,7 @@
 answer still updates the prefill speed."""
 
 LEAST_PRIORITY = 9
-"""Lowest priority of engines; 0 is served first."""
+"""Lowest priority that engines accept for a request; 0 is served first."""
 
 
 class Notices(Protocol):
@@ -79,16 +84,17 @@
         plan: The plan.
         ticket: The prompt's position in this gateway's estimate of the prefill
             queue.
-        is_in_order: Whether the engine prefills the prompt after everything
-            that was queued before it, so that its answer may correct the
-            estimate.
+        may_correct_queue: Whether the prompt's answer may correct that
+            estimate, because the engine prefills the prompt after everything
+            that was queued before it. True only if the peers get a notice of
+            the prompt's work.
         owner_placement_id: The prompt's entry at the owner of the prefill
             queue, None where queues have no owners.
     """
 
     plan: prompt_placement.Plan
     ticket: engine_queues.Ticket
-    is_in_order: bool
+    may_correct_queue: bool
     owner_placement_id: queue_owners.PlacementId | None = None
 
 
@@ -145,7 +151,7 @@
         self._notices = notices
         self._memory_tokens = memory_tokens
         self._server_by_key: dict[int, fleet.Server] = {}
-        self._decodes_by_service: dict[str, list[fleet.Server]] = {}
+        self._decode_engines_by_service: dict[str, list[fleet.Server]] = {}
 
     def set_engines(self, known: tuple[fleet.Server, ...]) -> None:
         """Updates the engines; drops the state of those that ended.
@@ -171,10 +177,10 @@
             for server in known
         }
         self.loads.set_engines(self._server_by_key)
-        self._decodes_by_service = {}
+        self._decode_engines_by_service = {}
         for server in known:
             if server.role == "decode" and not server.is_draining:
-                of_service = self._decodes_by_service.setdefault(
+                of_service = self._decode_engines_by_service.setdefault(
                     server.service, []
                 )
                 of_service.append(server)
@@ -188,7 +194,7 @@
     ) -> float:
         """Returns the factor by which short prompts slow down prefill.
 
-        Gateways don't announce short prompts, so this one extrapolates from
+        Gateways don't report short prompts, so this one extrapolates from
         its own. Queue owners count them, and the factor is 1 then.
         """
         if self._queue_owners.is_used:
@@ -250,11 +256,11 @@
         """Returns the leading prompt tokens an engine probably has cached.
 
         All gateways send prompts with a shared part to the part's home engine.
-        So for a home without notices of all placements, the hit rate of
-        homes with such notices is assumed. Without this assumption each zone
-        prefilled each part at an engine of its own choice: of 22.4 million
-        prompt tokens prefilled in 34 s on 28 engines, 7.9 million were of parts
-        that another engine held. With it, 1.2 of 14.5 million were.
+        So for a home without notices of all placements, the hit rate of homes
+        with such notices is assumed. Without this assumption, each zone would
+        prefill each part at an engine of its own choice: of 22.4 million prompt
+        tokens prefilled in 34 s on 28 engines, 7.9 million were of parts that
+        another engine held. With it, 1.2 of 14.5 million were.
         """
         held_tokens = self._caches.cached_tokens(server.start, parts)
         if not is_home or self._notices.receives_notices_for(server):
@@ -279,12 +285,16 @@
         )
 
     def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Returns the owner of an engine's queue, None for this gateway."""
+        """Returns the other gateway that owns an engine's queue.
+
+        Returns:
+            None if this gateway owns it, or if queues have no owners.
+        """
         return self._queue_owners.queue_owner(server)
 
     def sample(
         self,
-        homes_first: list[fleet.Server],
+        home_engines: list[fleet.Server],
         candidates: list[fleet.Server],
         rng: random.Random,
     ) -> list[fleet.Server]:
@@ -294,16 +304,16 @@
         because one query to the owner covers all of them.
 
         Args:
-            homes_first: Home engines of the shared part, in order; always
-                included.
+            home_engines: Home engines of the shared part, the first home first;
+                always included.
             candidates: All engines of the role.
             rng: Samples the other engines.
         """
         if not self._queue_owners.is_used:
-            return part_homes.sample(homes_first, candidates, rng)
-        owners = {self.queue_owner(home) for home in homes_first}
+            return part_homes.sample(home_engines, candidates, rng)
+        owners = {self.queue_owner(home) for home in home_engines}
         return part_homes.sample(
-            homes_first,
+            home_engines,
             candidates,
             rng,
             is_preferred=lambda one: self.queue_owner(one) in owners,
@@ -315,7 +325,7 @@
         priority: int,
         part_keys: tuple[int, ...],
     ) -> Mapping[fleet.ServerStart, queue_owners.ReportedWait]:
-        """Asks queue owners for waits, and updates the own queue estimates.
+        """Asks queue owners for waits, and updates this gateway's estimates.
 
         Args:
             engines: The engines.
@@ -325,12 +335,12 @@
         Returns:
             The answers that came in time, by engine.
         """
-        reported = self._queue_owners.waits(engines, priority, part_keys)
+        reported_waits = self._queue_owners.waits(engines, priority, part_keys)
         now_s = self._clock.monotonic_s()
-        for start, wait in reported.items():
+        for start, wait in reported_waits.items():
             if wait.is_complete:
                 self._queues.set_wait(start, wait.wait_s, now_s)
-        return reported
+        return reported_waits
 
     def record_placement(
         self,
@@ -339,7 +349,7 @@
         plan: prompt_placement.Plan,
         priority: int = LEAST_PRIORITY,
     ) -> Placed:
-        """Records a plan and announces it to peers or to the queue's owner.
+        """Records a plan and reports it to the peers or to the queue's owner.
 
         Args:
             routed_request: The request.
@@ -352,18 +362,18 @@
         now_s = self._clock.monotonic_s()
         ticket = self._queues.add(prefill_start, work_s, now_s)
         if service.engine is None or routed_request.prompt is None:
-            return Placed(plan, ticket, is_in_order=False)
+            return Placed(plan, ticket, may_correct_queue=False)
         if self._queue_owners.is_used:
-            reported = prompt_parts.reported_parts(
+            reported_parts = prompt_parts.reported_parts(
                 prompt_parts.chain_of(routed_request.prompt)
             )
             owner_placement_id = self._queue_owners.report_placed(
                 plan.prefill_engine.server,
                 work_s,
                 min(priority, LEAST_PRIORITY),
-                reported,
+                reported_parts,
                 routed_request.prompt.tokens
-                - sum(part.tokens for part in reported),
+                - sum(part.tokens for part in reported_parts),
             )
             # Peers only need the cached parts. The work is reported as 0: in a
             # large fleet notices arrive seconds late, when it is done.
@@ -376,22 +386,22 @@
             return Placed(
                 plan,
                 ticket,
-                is_in_order=False,
+                may_correct_queue=False,
                 owner_placement_id=owner_placement_id,
             )
-        is_announced = self._note_prompt(
+        is_reported = self._note_prompt(
             routed_request.prompt,
             plan.prefill_engine.server,
             work_s,
             service.engine.kv_tokens,
         )
-        if is_announced:
-            return Placed(plan, ticket, is_in_order=True)
+        if is_reported:
+            return Placed(plan, ticket, may_correct_queue=True)
         role: fleet.Role = "prefill" if plan.prefill else "decode"
         self._background_work[role].add(
             work_s / plan.prefill_engine.slowdown, now_s
         )
-        return Placed(plan, ticket, is_in_order=False)
+        return Placed(plan, ticket, may_correct_queue=False)
 
     def record_takeover(
         self,
@@ -407,7 +417,7 @@
             )
         now_s = self._clock.monotonic_s()
         ticket = self._queues.add(engine.start, 0.0, now_s)
-        return Placed(plan, ticket, is_in_order=False)
+        return Placed(plan, ticket, may_correct_queue=False)
 
     def prefill_sent(self, placed: Placed) -> observed_waits.PendingPrompt:
         """Records that the prompt was sent to the engine that prefills it."""
@@ -447,7 +457,7 @@
         """
         now_s = self._clock.monotonic_s()
         self._observed_waits.answered(awaited, now_s)
-        if awaited.kind == "read" and placed.is_in_order:
+        if awaited.kind == "read" and placed.may_correct_queue:
             self._queues.finished(placed.ticket, now_s)
         if awaited.kind == "read" and placed.owner_placement_id is not None:
             self._queue_owners.report_prefilled(placed.owner_placement_id)
@@ -560,7 +570,7 @@
         self._caches.record_cached(server.start, parts, memory_tokens)
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
-        """Returns how many leading parts of a prompt an engine has cached.
+        """Returns how many leading parts of a prompt an engine probably holds.
 
         Args:
             engine_key: The engine, see ``notice_codec.hash_server_start``.
@@ -606,21 +616,21 @@
         Args:
             prompt: The prompt.
             engine: The engine that receives it.
-            work_s: Engine time of the prefill that is announced to peers.
+            work_s: Engine time of the prefill that is reported to the peers.
             memory_tokens: KV cache capacity of the engine.
 
         Returns:
-            Whether a notice of the prompt goes to the peers.
+            Whether the prompt was reported to the peers.
         """
         parts = prompt_parts.chain_of(prompt)
         held = tuple(part.held for part in parts)
-        reported = prompt_parts.reported_parts(parts)
-        if not reported:
+        reported_parts = prompt_parts.reported_parts(parts)
+        if not reported_parts:
             self._caches.record_cached(engine.start, held, memory_tokens)
             if self._queue_owners.is_used:
                 return False
             # Short prompts are numerous and spread evenly over the gateways.
-            # Instead of announcing them, each gateway extrapolates the others'
+            # Instead of reporting them, each gateway extrapolates the others'
             # from its own.
             others_in_flight_count = self._notices.gateways_count - 1
             self._caches.record_unshared(
@@ -629,35 +639,42 @@
                 memory_tokens,
             )
             return False
-        self._record_home_hit(engine, reported)
+        self._record_home_hit(engine, reported_parts)
         self._caches.record_cached(engine.start, held, memory_tokens)
-        own_tokens = prompt.tokens - sum(part.tokens for part in reported)
-        self._notices.add_placement(engine, work_s, reported, own_tokens)
+        own_tokens = prompt.tokens - sum(part.tokens for part in reported_parts)
+        self._notices.add_placement(engine, work_s, reported_parts, own_tokens)
         return True
 
     def _record_home_hit(
-        self, server: fleet.Server, reported: tuple[part_caches.HeldPart, ...]
+        self,
+        server: fleet.Server,
+        reported_parts: tuple[part_caches.HeldPart, ...],
     ) -> None:
         """Records a cache hit or miss if the engine is the prompt's home.
 
         Only shared parts count. The unshared rest of a prompt is always a miss:
-        counted too, it made every home look empty, and parts that homes in
-        other zones held were prefilled again.
+        if it counted, every home would look empty, and parts that homes in
+        other zones hold would be prefilled again.
         """
-        home_part = max(reported, key=lambda part: part.tokens)
-        if self._is_observable_home(server, home_part.key):
+        home_part = max(reported_parts, key=lambda part: part.tokens)
+        if self._is_home_with_full_notices(server, home_part.key):
             is_held = self._caches.holds(server.start, home_part.key)
             self._home_hit_rate.note(is_held=is_held)
 
-    def _is_observable_home(self, server: fleet.Server, part_key: int) -> bool:
-        """Tells whether an engine is a home whose work is all known here."""
+    def _is_home_with_full_notices(
+        self, server: fleet.Server, part_key: int
+    ) -> bool:
+        """Tells whether an engine is the first home, and has full notices.
+
+        See ``EngineLoads`` for full notices.
+        """
         # Prefill engines are left out: they copy missing parts from other
         # engines, so their hits say nothing about homes.
         if server.role == "prefill" or not self._notices.receives_notices_for(
             server
         ):
             return False
-        decodes = self._decodes_by_service.get(server.service, ())
+        decodes = self._decode_engines_by_service.get(server.service, ())
         return server in part_homes.home_engines_of(part_key, decodes, count=1)
 
 
@@ -665,8 +682,8 @@
     """Tells whether the queue owner reported next to no wait for a prompt.
 
     Where queues have owners, only such answers update the prefill speed. Errors
-    in an owner's count only ever lengthen the wait. Attributed to slow prefill,
-    they made engines look half as fast as they are.
+    in an owner's count only ever lengthen the wait. If they were attributed to
+    slow prefill, engines would look half as fast as they are.
     """
     reported_wait_s = plan.prefill_engine.reported_wait_s
     if reported_wait_s is None:
--- a/src/mulberrywharf/forwarding/engine_loads.py
+++ b/src/mulberrywharf/forwarding/engine_loads.py
@@ -42,9 +42,9 @@
     engines with full notices.
 
     An engine's own report decays toward the mean of the reports of its role.
-    When it decayed to zero, an engine without a report for two seconds looked
-    idle and got prompts that stalled the streams it ran. With 61 gateways, the
-    share of streams that paused too long in 12 s fell from 0.17 to 0.12.
+    If it decayed to zero, an engine without a report for two seconds would look
+    idle and get prompts that stall its streams: with 61 gateways, 0.17 of the
+    streams in 12 s paused too long, instead of 0.12.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         Args:
             tracker: Own and reported requests per engine.
             queues: Estimated prefill queues of the engines.
-            notices: Tells which engines' placements are announced here.
+            notices: Tells which engines have full notices.
             system_clock: Source of monotonic time.
         """
         self._tracker = tracker
@@ -146,7 +146,7 @@
     def _known_load(
         self, candidate: server_choice.Candidate, now_s: float
     ) -> load_estimates.Load:
-        """Returns the load of the work at an engine that this gateway knows."""
+        """Returns an engine's load by the work that this gateway knows of."""
         server = candidate.server
         running_count = (
             candidate.own_in_flight_count + candidate.others_in_flight_count
@@ -191,7 +191,7 @@
             return found
         reports = [
             (self._tracker.others_load(one.start, now_s), one.slots_count)
-            for one in self._observed_engines(kind)
+            for one in self._engines_with_full_notices(kind)
         ]
         weight = sum(load.weight for load, _ in reports)
         found = 0.0
@@ -204,7 +204,9 @@
         self._reported_shares[kind] = found, now_s
         return found
 
-    def _observed_engines(self, kind: _ServiceRole) -> list[fleet.Server]:
+    def _engines_with_full_notices(
+        self, kind: _ServiceRole
+    ) -> list[fleet.Server]:
         """Returns the engines of a kind with full notices."""
         return [
             one
@@ -221,7 +223,9 @@
         found, found_s = self._mean_loads.get(kind, _NO_LOAD)
         if now_s - found_s < load_estimates.MEAN_CACHE_S:
             return found
-        observed = self._tracker.candidates(self._observed_engines(kind), now_s)
+        observed = self._tracker.candidates(
+            self._engines_with_full_notices(kind), now_s
+        )
         found = load_estimates.mean(
             [self._observed_load(candidate, now_s) for candidate in observed]
         )
--- a/src/mulberrywharf/forwarding/engine_pool.py
+++ b/src/mulberrywharf/forwarding/engine_pool.py
@@ -80,7 +80,10 @@
 
 
 class EnginePool:
-    """Selects engines for prompts and applies admission control."""
+    """Selects engines for prompts and applies admission control.
+
+    It selects among the engines of the server list and keeps no connections.
+    """
 
     def __init__(
         self,
@@ -195,7 +198,7 @@
         )
         if not plans:
             raise errors.NoEngineError(
-                f"no engine of {service.name} is left to go on",
+                f"no engine of {service.name} is left to continue the request",
                 retry_after_s=self._retry_after_s(service),
             )
         placed = self._estimates.record_takeover(
--- a/src/mulberrywharf/forwarding/generation.py
+++ b/src/mulberrywharf/forwarding/generation.py
@@ -1,8 +1,8 @@
 """Forwards requests that engines answer with a stream of events.
 
-A long prompt may be prefilled by one engine and decoded by another. Only
-complete events are passed on, so a broken stream can resume at another engine
-after the last event that the caller has received.
+A long prompt may be prefilled by one engine and decoded by another. Until an
+answer ends, only its complete events are passed on. So a broken stream can
+resume at another engine after the last event that the caller has received.
 """
 
 from collections.abc import Generator, Iterator, Sequence
@@ -27,12 +27,13 @@
 
 RETRY_AFTER_REFUSED_S = 0.3
 """Retry delay for a caller whose request the engines refused. An engine's batch
-drains within about 300 ms."""
+ends within about 300 ms."""
 
 _SENDS_LIMIT_COUNT = 4
-"""Maximum sends of one request, prefills included. When several engines crash
-together, many of them refuse or can't be reached at the same time, and a fourth
-send rarely finds a working engine before the caller times out."""
+"""After a request was sent this often, prefills included, no attempt follows.
+When several engines crash together, many of them refuse or can't be reached at
+the same time, and already the fourth sending rarely finds a working engine
+before the caller times out."""
 
 _HANDLE_LIMIT_BYTES = 64 * 1024
 _FAILURE_STATUS = 500
@@ -43,7 +44,9 @@
 
     Attributes:
         head: The head sent by the first engine that answered.
-        blocks: Complete events as they arrive; closing it cancels the request.
+        blocks: Complete events as they arrive, one or more in each item, and at
+            the end any bytes after the last one; closing it cancels the
+            request.
     """
 
     head: request.AnswerHead
@@ -56,9 +59,9 @@
     Attributes:
         pool: Chooses the engines for each prompt.
         estimates: Tracks the work that the engines have.
-        tracker: State of the engines, from this node's own exchanges.
+        tracker: State of the engines, from this gateway's own exchanges.
         client: Sends the attempts.
-        budget: Limits repeats.
+        budget: Limits retries.
         crashes: Blocks requests that crash servers.
         system_clock: Measures the time left.
     """
@@ -98,7 +101,7 @@
         ).open()
 
 
-class _Run(NamedTuple):
+class _OpenAnswer(NamedTuple):
     """An answer that is being read, and the engine that generates it."""
 
     server: fleet.Server
@@ -143,9 +146,9 @@
 
     def open(self) -> StreamAnswer:
         run = self._start_within_limit()
-        return StreamAnswer(run.answer.head, self._blocks(run))
+        return StreamAnswer(run.answer.head, self._events(run))
 
-    def _start_within_limit(self) -> _Run:
+    def _start_within_limit(self) -> _OpenAnswer:
         bound = gevent.Timeout(self._limit.left_s())
         try:
             with bound:
@@ -159,14 +162,14 @@
         finally:
             self._release_cache()
 
-    def _start(self) -> _Run:
+    def _start(self) -> _OpenAnswer:
         while True:
             attempted = self._attempt_once()
             if isinstance(attempted, Ok):
                 return attempted.ok_value
             self._allow_retry_or_raise(attempted.err_value)
 
-    def _attempt_once(self) -> Result[_Run, errors.EngineError]:
+    def _attempt_once(self) -> Result[_OpenAnswer, errors.EngineError]:
         """Sends the request once, after a separate prefill if that is best.
 
         The decode engine is chosen only when the prefill is done. The prefill
@@ -240,7 +243,7 @@
     def _prefill(
         self, placed: engine_estimates.Placed, server: fleet.Server
     ) -> Result[_Prefilled, errors.EngineError]:
-        attempt = self._attempt(server)._replace(
+        attempt = self._new_attempt(server)._replace(
             prefill_only=True, fetch_from=_fetch_from(placed)
         )
         began_s = self._dependencies.system_clock.monotonic_s()
@@ -251,7 +254,7 @@
         except BaseException:
             self._dependencies.estimates.failed(placed, awaited)
             raise
-        self._note_outcome(placed, awaited, result)
+        self._note_result(placed, awaited, result)
         expected_s = self._dependencies.estimates.expected_s(placed, awaited)
         self._record_attempt(attempt, began_s, expected_s, result)
         return result.map(lambda cache: self._record_prefill(cache, server))
@@ -265,13 +268,13 @@
         now_s = self._dependencies.system_clock.monotonic_s()
         return _Prefilled(cache, server, now_s + ttl_s)
 
-    def _note_outcome(
+    def _note_result(
         self,
         placed: engine_estimates.Placed,
         awaited: observed_waits.PendingPrompt,
-        outcome: Result[object, errors.EngineError],
+        result: Result[object, errors.EngineError],
     ) -> None:
-        if isinstance(outcome, Ok):
+        if isinstance(result, Ok):
             self._dependencies.estimates.answer_began(placed, awaited)
         else:
             self._dependencies.estimates.failed(placed, awaited)
@@ -309,13 +312,13 @@
 
     def _generate(
         self, placed: engine_estimates.Placed
-    ) -> Result[_Run, errors.EngineError]:
+    ) -> Result[_OpenAnswer, errors.EngineError]:
         server = placed.plan.decode.server
         prefilled, self._prefilled = self._prefilled, None
         # A handle can be used only once. If this attempt fails, it is unknown
         # whether the handle was used, so it is dropped.
         prefills_itself = prefilled is None
-        attempt = self._attempt(server)._replace(
+        attempt = self._new_attempt(server)._replace(
             cache=prefilled.cache if prefilled else None,
             fetch_from=_fetch_from(placed) if prefills_itself else None,
             last_event_id=self._last_event_id,
@@ -335,7 +338,7 @@
             estimates.failed(placed, awaited)
             self._dependencies.tracker.ended(server.start)
             raise
-        self._note_outcome(placed, awaited, sent)
+        self._note_result(placed, awaited, sent)
         expected_s = estimates.expected_s(placed, awaited)
         self._record_attempt(attempt, began_s, expected_s, sent)
         if isinstance(sent, Err):
@@ -350,9 +353,9 @@
                 self._runs_count += 1
             return sent
         self._runs_count += 1
-        return Ok(_Run(server, sent.ok_value, began_s))
+        return Ok(_OpenAnswer(server, sent.ok_value, began_s))
 
-    def _attempt(self, server: fleet.Server) -> request.Attempt:
+    def _new_attempt(self, server: fleet.Server) -> request.Attempt:
         return request.Attempt(
             self._routed_request,
             server,
@@ -369,7 +372,7 @@
         )
 
     def _allow_retry_or_raise(self, error: errors.EngineError) -> None:
-        """Charges another attempt to the repeat budget, if one is allowed.
+        """Charges another attempt to the retry budget, if one is allowed.
 
         Raises:
             RequestError: No further attempt is allowed.
@@ -389,22 +392,22 @@
 
     def _charge_repeat(self, error: errors.EngineError) -> bool:
         if isinstance(error, errors.EngineUnreachableError):
-            # No engine received the request, so sending it is no repeat.
+            # No engine received the request, so sending it again is no retry.
             return True
         return self._take_repeat()
 
     def _charge_prefill(self) -> None:
-        """Counts a prefill as a repeat, unless it is the request's first.
+        """Counts a prefill as a retry, unless it is the request's first.
 
-        Operators count every prefill after the first as a repeat. When these
-        were not charged, the engines behind 61 gateways received 935 repeats
-        in 10 s where 923 were allowed.
+        Operators count every prefill after the first as a retry. Without this
+        charge, the engines behind 61 gateways received 935 retries in 10 s
+        where 923 were allowed.
 
         Raises:
-            RequestError: The repeat budget is exhausted.
+            RequestError: The retry budget is exhausted.
         """
         if self._was_prefilled and not self._take_repeat():
-            raise self._final_error("the repeat budget is exhausted")
+            raise self._final_error("the retry budget is exhausted")
 
     def _take_repeat(self) -> bool:
         now_s = self._dependencies.system_clock.monotonic_s()
@@ -417,8 +420,8 @@
             message, retry_after_s=RETRY_AFTER_REFUSED_S
         )
 
-    def _blocks(self, run: _Run) -> Iterator[bytes]:
-        """Yields complete events up to the verified end of the answer.
+    def _events(self, run: _OpenAnswer) -> Iterator[bytes]:
+        """Yields complete events; at the end also bytes after the last one.
 
         Raises:
             RequestError: The answer broke off and can't be resumed, or it did
@@ -431,7 +434,7 @@
             run = self._resume(broken)
 
     def _relay(
-        self, run: _Run
+        self, run: _OpenAnswer
     ) -> Generator[bytes, None, errors.EngineError | None]:
         """Yields one engine's events; returns the error if it broke off."""
         splitter = events.EventSplitter()
@@ -456,10 +459,10 @@
                     return received.err_value
                 if not received.ok_value:
                     break
-                block = self._new_events(splitter, received.ok_value)
-                if block:
+                new_events = self._new_events(splitter, received.ok_value)
+                if new_events:
                     gaps.note(self._dependencies.system_clock.monotonic_s())
-                    yield block
+                    yield new_events
             self._dependencies.tracker.succeeded(run.server.start)
             self._dependencies.estimates.ended(
                 run.server, self._since_s(began_s)
@@ -502,7 +505,7 @@
             fresh.append(event.raw)
         return b"".join(fresh)
 
-    def _resume(self, error: errors.EngineError) -> _Run:
+    def _resume(self, error: errors.EngineError) -> _OpenAnswer:
         """Resumes at another engine after the last event delivered."""
         self._allow_retry_or_raise(error)
         run = self._start_within_limit()
@@ -551,8 +554,8 @@
         if prefilled is None:
             return
         now_s = self._dependencies.system_clock.monotonic_s()
-        # A resting engine gets no release request either; the KV cache that
-        # it holds expires by itself.
+        # An engine whose Retry-After has not passed gets no release request
+        # either; the KV cache that it holds expires by itself.
         if not self._dependencies.tracker.is_paused(
             prefilled.server.start, now_s
         ):
@@ -566,9 +569,10 @@
         attempt: request.Attempt,
         began_s: float,
         expected_s: float,
-        outcome: Result[object, errors.EngineError],
+        result: Result[object, errors.EngineError],
     ) -> None:
-        if isinstance(outcome, Err):
+        """Logs an attempt; if it failed, excludes its server from others."""
+        if isinstance(result, Err):
             self._excluded.add(attempt.server.start)
         logger.bind(
             request_id=self._routed_request.request_id,
@@ -582,7 +586,7 @@
             reported=self._dependencies.tracker.last_report(
                 attempt.server.start
             ),
-            result="ok" if isinstance(outcome, Ok) else outcome.err_value.code,
+            result="ok" if isinstance(result, Ok) else result.err_value.code,
         ).info("attempt")
 
 
--- a/src/mulberrywharf/forwarding/plain_call.py
+++ b/src/mulberrywharf/forwarding/plain_call.py
@@ -50,9 +50,9 @@
 
     Attributes:
         server_list: The servers of each service.
-        tracker: State of the servers, from this node's own exchanges.
+        tracker: State of the servers, from this gateway's own exchanges.
         client: Sends the attempts.
-        budget: Limits repeats.
+        budget: Limits retries.
         crashes: Blocks requests that crash servers.
         system_clock: Measures the time left.
         rng: Spreads retry delays and breaks ties between servers.
@@ -259,7 +259,7 @@
         if isinstance(attempted, Err) and isinstance(
             attempted.err_value, errors.EngineUnreachableError
         ):
-            # No server received the request, so sending it is no repeat.
+            # No server received the request, so sending it again is no retry.
             return True
         if self._outcome == "unknown" and not self._may_run_again:
             return False
@@ -271,7 +271,7 @@
             return self._failure_answer
         if self._outcome == "unknown":
             raise errors.BackEndLostError(
-                f"the server failed: {reason}", outcome="unknown"
+                f"the server failed, and {reason}", outcome="unknown"
             )
         self._dependencies.crashes.check(self._routed_request)
         raise errors.OverloadedError(
--- a/src/mulberrywharf/forwarding/prompt_parts.py
+++ b/src/mulberrywharf/forwarding/prompt_parts.py
@@ -8,14 +8,17 @@
 than the error of a queue estimate."""
 
 REPORTED_PARTS_LIMIT_COUNT = 4
-"""Most parts reported of one prompt, the longest ones; each takes about 13
-bytes."""
+"""Maximum number of parts reported of one prompt; the longest are chosen. Each
+takes about 13 bytes in a message."""
 
 
 def chain_of(
     prompt: request.Prompt | None,
 ) -> tuple[part_caches.ChainPart, ...]:
-    """Returns the parts of a prompt, keyed by the prefix that each ends."""
+    """Returns the parts of a prompt.
+
+    The key of each covers the prompt up to the end of that part.
+    """
     return part_caches.chain(prompt.parts) if prompt else ()
 
 
@@ -44,10 +47,10 @@
 def reported_chain(
     parts: tuple[part_caches.ChainPart, ...],
 ) -> tuple[part_caches.ChainPart, ...]:
-    """Returns the same parts with the position where each one ends.
+    """Returns the parts of ``reported_parts``, each with its end position.
 
-    The prefill of all other parts takes less time than sending one placement
-    notice.
+    The prefill of a part below the minimum takes less time than sending one
+    placement notice; see also ``REPORTED_PART_MIN_TOKENS``.
     """
     long = [
         part
--- a/src/mulberrywharf/forwarding/queue_owner_client.py
+++ b/src/mulberrywharf/forwarding/queue_owner_client.py
@@ -9,7 +9,7 @@
 
 
 class QueueOwnerClient(Protocol):
-    """Asks and informs the gateways that own engines' prefill queues.
+    """Sends queries and reports to the owners of engines' prefill queues.
 
     The owner of a queue counts all prompts at the engine, whichever gateway
     placed them.
@@ -30,7 +30,11 @@
         ...
 
     def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
-        """Returns the owner of an engine's queue, None for this gateway."""
+        """Returns the other gateway that owns an engine's queue.
+
+        Returns:
+            None if this gateway owns it, or if queues have no owners.
+        """
         ...
 
     def waits(
@@ -69,7 +73,7 @@
             own_tokens: Tokens of the rest of the prompt.
 
         Returns:
-            The argument for ``read`` or ``withdrawn``.
+            The argument for ``report_prefilled`` or ``report_withdrawn``.
         """
         ...
 
@@ -102,7 +106,7 @@
     def report_placed(
         self, server: fleet.Server, *_: Any
     ) -> queue_owners.PlacementId:
-        """Reports nothing; returns a placeholder placement_id."""
+        """Reports nothing; returns a placeholder."""
         return queue_owners.PlacementId(server, 0)
 
     def report_prefilled(self, placement_id: queue_owners.PlacementId) -> None:
--- a/src/mulberrywharf/forwarding/request.py
+++ b/src/mulberrywharf/forwarding/request.py
@@ -45,7 +45,7 @@
         target: Path and query as received.
         path: The path alone, as received.
         host: The ``Host`` field as received.
-        fields: End-to-end header fields without those that only a node sets.
+        fields: End-to-end header fields without those that only a gateway sets.
         body: The complete body.
         arrived_s: Monotonic time in seconds at which it was read.
         deadline_s: Monotonic time in seconds after which the caller no longer
@@ -99,7 +99,7 @@
 
 
 class Attempt(NamedTuple):
-    """One send of a request to one server.
+    """One sending of a request to one server.
 
     Attributes:
         request: The caller's request.
@@ -149,12 +149,12 @@
         status: HTTP status.
         reason: Reason phrase of the status line.
         fields: End-to-end header fields.
-        request_id: Id of the request that it states to answer, None if it
-            states none.
+        request_id: Id of the request that the answer claims to belong to, None
+            if it names none.
         has_signature: Whether it carries the server's response signature.
         not_executed: Whether the server states that nothing ran.
         load: The load that the server reports, None if it reports none.
-        retry_after_s: Time in seconds for which the server asks this node to
+        retry_after_s: Time in seconds for which the server asks this gateway to
             send it nothing, None if it asks for none.
         is_leaving: Whether the server states that it is leaving.
     """
--- a/src/mulberrywharf/forwarding/server_client.py
+++ b/src/mulberrywharf/forwarding/server_client.py
@@ -1,4 +1,4 @@
-"""Sends one attempt to one server; each kind of failure has its own type."""
+"""Sends an attempt to a server; each kind of failure has its own type."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -22,8 +22,8 @@
 ms, or within 100 ms if its machine is short of CPU time. Nothing has been sent
 when the timeout expires, so another server can be tried at once."""
 
-_REFUSAL_BODY_LIMIT_BYTES = 64 * 1024
-_RELEASE_TIMEOUT_S = 1.0
+_SHORT_ANSWER_LIMIT_BYTES = 64 * 1024
+_SHORT_ANSWER_TIMEOUT_S = 1.0
 
 
 class StartedAnswer(NamedTuple):
@@ -141,8 +141,8 @@
         released = _exchange.fetch(
             cache.address,
             self._dialect.encode_release(cache),
-            timeout_s=_RELEASE_TIMEOUT_S,
-            limit_bytes=_REFUSAL_BODY_LIMIT_BYTES,
+            timeout_s=_SHORT_ANSWER_TIMEOUT_S,
+            limit_bytes=_SHORT_ANSWER_LIMIT_BYTES,
             pool=self._pool,
         )
         if isinstance(released, Err):
@@ -178,17 +178,17 @@
             message = f"{server.address} answered another request"
             return Err(errors.ForeignAnswerError(message))
         if head.not_executed:
-            return Err(self._drain_refusal(exchange, server, head))
+            return Err(self._read_refusal_to_end(exchange, server, head))
         return Ok(StartedAnswer(exchange, head, answer.is_framed))
 
-    def _drain_refusal(
+    def _read_refusal_to_end(
         self,
         exchange: _exchange.Exchange,
         server: fleet.Server,
         head: request.AnswerHead,
     ) -> errors.EngineError:
         # The connection can be reused only if the answer is read to its end.
-        exchange.drain(_RELEASE_TIMEOUT_S)
+        exchange.drain(_SHORT_ANSWER_TIMEOUT_S)
         return errors.EngineRefusedError(
             f"{server.address} refused with {head.status}", status=head.status
         )
--- a/src/mulberrywharf/forwarding/server_tracker.py
+++ b/src/mulberrywharf/forwarding/server_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks the requests and the health of each server as this node sees them."""
+"""Tracks requests and health of each server, as this gateway sees them."""
 
 import math
 from collections.abc import Iterable
@@ -9,38 +9,39 @@
 from mulberrywharf.policy import server_choice
 
 REPORT_TIME_CONSTANT_S = 1.0
-"""A reported count of other nodes' requests decays by 1/e in this time. The
+"""A reported count of other gateways' requests decays by 1/e in this time. The
 work of a request at a plain service takes 20 to 50 ms, so an older count says
 little about the present."""
 
 FAILURE_WEIGHT = 0.1
 """Weight of one answer in the moving average of the failure share. It reflects
-about the last twenty answers, one second at one of three servers."""
+about the last twenty answers, which a server gets in about one second if its
+service has three servers."""
 
 PACE_WEIGHT = 0.15
 PACE_LIMIT = 10.0
 SUSPECT_S = 0.3
 """How long a server that broke off an exchange is used only as a last resort.
-If it restarts, it refuses connections by then; after a single lost answer it
-doesn't."""
+A restarting server refuses connections before this time has passed, and counts
+as unreachable then; a server that lost a single answer accepts them."""
 
 AVOID_S = 1.0
 AVOID_LIMIT_S = 2.0
-"""An unreachable server gets no requests for ``AVOID_S``, then one request
-probes it. Each further failure doubles the time, up to ``AVOID_LIMIT_S``.
-Network cuts last seconds, and a dead server leaves the server list after some
-four seconds."""
+"""An unreachable server gets no requests for ``AVOID_S``, then one trial
+request. Each further failure doubles the time, up to ``AVOID_LIMIT_S``. Network
+partitions last seconds, and a server that ended leaves the server list after
+some four seconds."""
 
-PROBE_S = 0.5
-"""How long other requests avoid a server while one request probes it. Each of
-them would wait for the same silent server, 0.2 s or more."""
+TRIAL_S = 0.5
+"""How long other requests avoid a server after it got a trial request. Each of
+them would wait for the same unresponsive server, 0.2 s or more."""
 
 
 REFUSED_S = 0.5
 """How long an engine that refused a request is used only as a last resort. It
 is full, or it is changing its role, which its record shows up to a second
-later. Without this, each gateway sent its prompts to the one engine that looked
-empty: 400 prompts were refused in 6 s because of two role changes."""
+later. Without this, each gateway would send its prompts to the one engine that
+looks empty: two role changes caused 400 refusals in 6 s."""
 
 CHANGING_LIMIT_S = 12.0
 """Longest time that an engine ordered to change its role gets no requests. It
@@ -48,18 +49,18 @@
 is back. If the order has no effect, the engine stays unused for this time."""
 
 
-REST_LIMIT_S = 60.0
+RETRY_AFTER_LIMIT_S = 60.0
 """Longest Retry-After that is honored. A longer one may be a mistake, and this
-node would silently stop using the server."""
+gateway would silently stop using the server."""
 
-_rests_total = metrics.counter(
+_retry_afters_total = metrics.counter(
     "mulberry_server_rests_total",
-    "Refusals that named a time for which the server wants nothing.",
+    "Answers with a Retry-After, until which their servers get no requests.",
 )
 
 
 class OthersLoad(NamedTuple):
-    """Other nodes' requests at a server, by its last report.
+    """Other gateways' requests at a server, by its last report.
 
     Attributes:
         requests_count: Requests running and waiting.
@@ -84,7 +85,7 @@
         self.suspected_until_s = float("-inf")
         self.avoided_until_s = float("-inf")
         self.changing_until_s = float("-inf")
-        self.resting_until_s = float("-inf")
+        self.retry_after_until_s = float("-inf")
         self.failed_attempts_count = 0
 
 
@@ -96,7 +97,7 @@
         self._entries: dict[fleet.ServerStart, _Entry] = {}
 
     def keep_only(self, starts: Iterable[fleet.ServerStart]) -> None:
-        """Drops ended servers, except those that still have own requests."""
+        """Drops ended servers, except those with requests of this gateway."""
         kept = set(starts)
         self._entries = {
             start: entry
@@ -105,11 +106,11 @@
         }
 
     def began(self, start: fleet.ServerStart, now_s: float) -> None:
-        """Counts a new request; at an unreachable server it is the probe."""
+        """Counts a new request; at an unreachable server it is the trial."""
         entry = self._entry(start)
         entry.own_in_flight_count += 1
         if entry.failed_attempts_count:
-            until_s = now_s + PROBE_S
+            until_s = now_s + TRIAL_S
             entry.avoided_until_s = max(entry.avoided_until_s, until_s)
 
     def ended(self, start: fleet.ServerStart) -> None:
@@ -117,7 +118,7 @@
         self._entry(start).own_in_flight_count -= 1
 
     def own_in_flight_count(self, start: fleet.ServerStart) -> int:
-        """Returns how many requests this node has at a server."""
+        """Returns how many requests this gateway has at a server."""
         return self._entry(start).own_in_flight_count
 
     def reported(
@@ -144,7 +145,8 @@
 
         Args:
             start: The server.
-            requests_count: Requests running and waiting, this node's included.
+            requests_count: Requests running and waiting, this gateway's
+                included.
             at_s: When the server reported it; ignored if a newer report exists.
         """
         entry = self._entry(start)
@@ -158,7 +160,7 @@
     def reported_since(
         self, since_s: float
     ) -> list[tuple[fleet.ServerStart, request.ReportedLoad, float]]:
-        """Returns the load reports that servers sent to this node.
+        """Returns the load reports that servers sent to this gateway.
 
         Args:
             since_s: Time of the oldest report to return.
@@ -218,14 +220,14 @@
         self, start: fleet.ServerStart, retry_after_s: float, now_s: float
     ) -> None:
         """Records a server's Retry-After; it gets no requests until then."""
-        _rests_total.inc({})
+        _retry_afters_total.inc({})
         entry = self._entry(start)
-        until_s = now_s + min(retry_after_s, REST_LIMIT_S)
-        entry.resting_until_s = max(entry.resting_until_s, until_s)
+        until_s = now_s + min(retry_after_s, RETRY_AFTER_LIMIT_S)
+        entry.retry_after_until_s = max(entry.retry_after_until_s, until_s)
 
     def is_paused(self, start: fleet.ServerStart, now_s: float) -> bool:
         """Tells whether a server's Retry-After has not yet passed."""
-        return now_s < self._entry(start).resting_until_s
+        return now_s < self._entry(start).retry_after_until_s
 
     def retry_after_left_s(
         self, among: Iterable[fleet.Server], now_s: float
@@ -236,7 +238,7 @@
             None unless all servers are waiting for their Retry-After.
         """
         lefts_s = [
-            self._entry(server.start).resting_until_s - now_s
+            self._entry(server.start).retry_after_until_s - now_s
             for server in among
         ]
         if not lefts_s or min(lefts_s) <= 0:
@@ -271,14 +273,14 @@
     def may_use(self, start: fleet.ServerStart, now_s: float) -> bool:
         """Tells whether requests may be sent to a server now.
 
-        A node that is cut off from all servers thereby refuses its callers at
-        once, instead of letting each wait for every silent server in turn.
+        A gateway that can reach no server thereby refuses its callers at once,
+        instead of letting each wait for every unresponsive server in turn.
         """
         entry = self._entry(start)
         return now_s >= max(
             entry.avoided_until_s,
             entry.changing_until_s,
-            entry.resting_until_s,
+            entry.retry_after_until_s,
         )
 
     def reachable(
@@ -288,18 +290,18 @@
         return [one for one in among if self.may_use(one.start, now_s)]
 
     def is_suspected(self, start: fleet.ServerStart, now_s: float) -> bool:
-        """Tells whether a server broke off or refused a request just now."""
+        """Tells whether a server recently broke off or refused a request."""
         return now_s < self._entry(start).suspected_until_s
 
     def others_in_flight_count(
         self, start: fleet.ServerStart, now_s: float
     ) -> float:
-        """Returns the estimated number of other nodes' requests at a server."""
+        """Estimates the number of other gateways' requests at a server."""
         load = self.others_load(start, now_s)
         return load.requests_count * load.weight
 
     def others_load(self, start: fleet.ServerStart, now_s: float) -> OthersLoad:
-        """Returns other nodes' requests at a server, by its last report."""
+        """Returns other gateways' requests at a server, by its last report."""
         entry = self._entry(start)
         age_s = now_s - entry.others_reported_at_s
         weight = math.exp(-age_s / REPORT_TIME_CONSTANT_S)
--- a/src/mulberrywharf/forwarding/servers.py
+++ b/src/mulberrywharf/forwarding/servers.py
@@ -14,9 +14,9 @@
 PURPOSE = "servers"
 
 DEFAULT_MISSING_HOLD_S = 2.0
-"""Live servers register again within 2 s after an outage of the store. A record
-that vanishes later means that the server has left; one that vanished earlier is
-awaited until then."""
+"""Live servers register again within 2 s after an outage of the key-value
+service. A record that vanishes later means that the server has left; one that
+vanished earlier is awaited until then."""
 
 _servers_gauge = metrics.gauge(
     "mulberry_servers_count", "Servers that may get new work."
@@ -27,17 +27,17 @@
 )
 _leaving_counter = metrics.counter(
     "mulberry_servers_leaving_total",
-    "Servers that said in an answer that they leave, by whether their record"
-    " did so before.",
+    "Servers that announced in an answer that they are leaving, by whether"
+    " their record already showed it.",
 )
 _copied_counter = metrics.counter(
     "mulberry_server_records_copied_total",
-    "Records of servers that were ignored, as the store was back from an older"
-    " copy, by whether the server was known.",
+    "Server records ignored because the key-value service was restored from an"
+    " older copy, by whether the server was known.",
 )
 _unreadable_counter = metrics.counter(
     "mulberry_server_records_unreadable_total",
-    "Records of servers that name none to use, each time one was written.",
+    "Server records that can't be decoded, counted at each write.",
 )
 
 
@@ -62,26 +62,26 @@
 
 
 class ServerList:
-    """The servers registered in the store; survives outages of the store.
+    """The servers registered in the key-value service; survives its outages.
 
-    A record that vanishes while the store works means that the server has left.
-    During an outage or just after it, the record may only have expired, because
-    the server could not renew it. If such servers were dropped at once, the
-    node would refuse callers although all servers are alive. So they are kept
-    until ``missing_hold_s`` after the outage, and dropped if they have not
-    registered again by then. When that time was counted from the deletion, a
-    server that left 1.7 s after an outage got requests for 2.4 s more.
+    A record that vanishes while the service works means that the server has
+    left. During an outage or just after it, the record may only have expired,
+    because the server could not renew it. If such servers were dropped at once,
+    the gateway would refuse callers although all servers are alive. So they are
+    kept until ``missing_hold_s`` after the outage, and dropped if they have not
+    registered again by then. If that time were counted from the deletion, a
+    server that left 1.7 s after an outage would get requests for 2.4 s more.
 
     A record that can't be decoded was written by another program. Nothing is
     known of the server then, not even whether it still runs, so it is not used
     until it writes its own record again.
 
-    After the store is restored from an older copy, its records are ignored
-    until their servers write them again. Servers whose records the copy lacks
-    are kept as after an outage.
+    After the key-value service is restored from an older copy, its records are
+    ignored until their servers write them again. Servers whose records the copy
+    lacks are kept as after an outage.
 
-    A server may restart under its id. Start times don't order its starts,
-    because its clock may be stepped back: the start whose record came last is
+    A server may restart under its id. Start times don't order its processes,
+    because its clock may be stepped back: the process whose record came last is
     the running one, and messages from earlier ones are late.
     """
 
@@ -96,10 +96,10 @@
         ),
         system_clock: clock.Clock | None = None,
     ):
-        """Initializes an empty list; ``start`` begins to read the store.
+        """Initializes an empty list; ``start`` begins to read the records.
 
         Args:
-            client: Client of the key-value store.
+            client: Client of the key-value service.
             source: Location and format of the records.
             missing_hold_s: Seconds after an outage for which a server is kept
                 whose record vanished in it.
@@ -150,15 +150,15 @@
         return self._by_service.get(service, ())
 
     def find(self, server_id: str) -> fleet.Server | None:
-        """Returns a listed server by its id, None if it is not listed."""
+        """Returns a known server by its id, None if there is none."""
         return self._by_id.get(server_id)
 
     def all(self) -> tuple[fleet.Server, ...]:
-        """Returns all listed servers, also draining ones."""
+        """Returns all known servers, also draining ones."""
         return tuple(self._by_id.values())
 
     def unlisted(self, server_ids: Iterable[str]) -> list[str]:
-        """Returns those servers that are kept although their record vanished.
+        """Returns which of the servers are kept although their record vanished.
 
         Requests sent to them are logged as such; nothing else distinguishes
         them from requests to registered servers.
@@ -166,11 +166,11 @@
         return [one for one in server_ids if one in self._missing]
 
     def mark_leaving(self, start: fleet.ServerStart) -> None:
-        """Marks a server as draining because an answer of it says so.
+        """Marks a server as draining because its answer states that it leaves.
 
-        Its record shows that only after a write to the store. Leaving is final:
-        older records of this start no longer change the state. A later start of
-        the server is not affected.
+        Its record shows that only after the server writes it. A server that
+        leaves stays draining: older records of this server process no longer
+        change that. A later process of the server is not affected.
         """
         known = self._by_id.get(start.server_id)
         if known is None or known.start != start or start in self._leaving:
@@ -187,12 +187,12 @@
     ) -> None:
         """Drops a server that reports a restart before its record shows it.
 
-        The record shows the new start up to one heartbeat later. Until then the
-        server's state is unknown and it gets no requests.
+        The record shows the new server process up to one heartbeat later. Until
+        then the server's state is unknown and it gets no requests.
 
         Args:
-            start: The start in its record.
-            by: The start that the server reported; ignored if it is known to
+            start: The server process in its record.
+            by: The process that the server reported; ignored if it is known to
                 have ended, because the message is late then.
         """
         known = self._by_id.get(start.server_id)
@@ -220,10 +220,10 @@
         self._on_record(decoded.ok_value)
 
     def _on_restored_record(self, server_id: str) -> None:
-        """Ignores a record that comes from an older copy of the store.
+        """Ignores a record that comes from an older copy.
 
         It may be outdated: a server that has since announced that it leaves
-        would get new requests again, and one that has ended would be listed
+        would get new requests again, and one that has ended would be known
         again. Each server rewrites its record within a heartbeat; until then
         its known state is kept.
         """
--- a/src/mulberrywharf/requests/__init__.py
+++ b/src/mulberrywharf/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Runs requests, from their admission to the end of their answers."""
+"""Runs a router's requests, from admission to the end of their answers."""
--- a/src/mulberrywharf/requests/background_tasks.py
+++ b/src/mulberrywharf/requests/background_tasks.py
@@ -10,9 +10,9 @@
 class InFlight:
     """Background tasks that run beside or after the answer to a caller.
 
-    The callers' listener counts the requests. It does not see tasks such as
-    the recording of an answer under its claim. A stop that did not wait for
-    them would leave claims with an unknown outcome.
+    Requests are not included: the callers' listener counts them. It does not
+    see tasks such as the recording of an answer under its claim. A stop that
+    did not wait for them would leave claims with an unknown outcome.
     """
 
     def __init__(self) -> None:
--- a/src/mulberrywharf/requests/claimed_call.py
+++ b/src/mulberrywharf/requests/claimed_call.py
@@ -31,7 +31,7 @@
 
 _duplicates_total = metrics.counter(
     "mulberry_duplicates_total",
-    "Calls that met an earlier one with the same key, by what came of it.",
+    "Calls whose idempotency key an earlier call had claimed, by result.",
 )
 
 
@@ -57,7 +57,7 @@
     def wait(
         self, customer: str, key: str, timeout_s: float
     ) -> Result[claims.ClaimMet, errors.ClaimUnavailableError]:
-        """Waits for the end of the run that holds the claim."""
+        """Waits until the request that holds the claim has ended."""
         ...
 
     def complete(
@@ -97,7 +97,7 @@
     def run(
         self, call: passthrough.ServiceCall, key: str, run_once: RunCall
     ) -> passthrough.ServiceAnswer:
-        """Returns the answer of the call's only run, now or earlier.
+        """Runs the call, or returns the answer of an earlier call with its key.
 
         Args:
             call: The call.
--- a/src/mulberrywharf/requests/generation.py
+++ b/src/mulberrywharf/requests/generation.py
@@ -111,7 +111,7 @@
     def generate(
         self, completion: request.CompletionRequest
     ) -> Iterator[streams.TokenBatch]:
-        """Yields the answer; the last batch marks it as complete.
+        """Yields the answer's tokens; the last batch marks it as complete.
 
         Raises:
             RequestError: The request was refused, or its answer cannot be
@@ -153,10 +153,10 @@
     ) -> places.SlotRequest:
         caller = completion.caller
         standings = self._standings()
-        customer_standing = standings.of(caller.customer)
+        customer_priority = standings.of(caller.customer)
         # A caller may lower the customer's priority for a request (a higher
         # number), but not raise it.
-        priority = max(customer_standing.priority, caller.priority or 0)
+        priority = max(customer_priority.priority, caller.priority or 0)
         shape = engine_choice.RequestShape(
             model=completion.model,
             adapter=completion.adapter,
@@ -173,7 +173,7 @@
         return places.SlotRequest(
             shape=shape,
             customer=caller.customer,
-            weight=customer_standing.weight,
+            weight=customer_priority.weight,
             deadline_s=caller.deadline_s,
             first_token_target_s=standings.first_token_target_s,
             between_tokens_target_s=standings.between_tokens_target_s,
@@ -233,7 +233,7 @@
             self._places.on_refused(failed.engine_id)
         view = self._reader.view(failed.engine_id)
         if view is not None:
-            _note_possible_crash(
+            _report_possible_crash(
                 self._crashes,
                 completion,
                 view.vm,
@@ -326,7 +326,10 @@
         return Ok(view)
 
     def prepare(self, view: fleet.EngineView) -> resume.PreparedRequest:
-        """Has another engine prefill the prompt if the slot is split."""
+        """Has the chosen prefill engine prefill the prompt, if there is one.
+
+        There is one if the slot has different engines for prefill and decode.
+        """
         slot = self._slot
         if slot is None or not slot.choice.is_split:
             return resume.PreparedRequest(
@@ -337,7 +340,7 @@
             prefill_vm,
             self.generation,
             self._reader,
-            on_failed=lambda error: _note_possible_crash(
+            on_failed=lambda error: _report_possible_crash(
                 self._crashes,
                 self._completion,
                 prefill_vm,
@@ -377,7 +380,7 @@
             self._slot.on_first_token(now_s - self._sent_s)
 
 
-def _note_possible_crash(
+def _report_possible_crash(
     crashes: crash_watch.CrashWatch,
     completion: request.CompletionRequest,
     vm: fleet.VmRecord,
@@ -385,7 +388,7 @@
     *,
     made_output: bool,
 ) -> None:
-    """Reports a failed exchange that may have been caused by a crash."""
+    """Reports a failed attempt that may have been caused by a crash."""
     if crash_watch.may_be_crash(error):
         start = fleet.ServerStart(vm.vm_id)
         run = crash_watch.RequestRun(completion.caller, start, vm.address)
--- a/src/mulberrywharf/requests/kept_answers.py
+++ b/src/mulberrywharf/requests/kept_answers.py
@@ -1,8 +1,8 @@
 """Encoding and in-memory store of answers that duplicate requests may need.
 
-The owner of a claim stores short answers with the claim. Long answers stay in
-the memory of the router that ran the request, and other routers fetch them
-from there.
+The router that owns a claim's shard stores short answers with the claim. Long
+answers stay in the memory of the router that ran the request, and other routers
+fetch them from there.
 """
 
 import collections
@@ -28,7 +28,7 @@
 
 
 class AnswerStore:
-    """The latest answers to requests run by this process, bounded in bytes."""
+    """The latest answers to requests run by this router, bounded in bytes."""
 
     def __init__(self, limit_bytes: int = DEFAULT_LIMIT_BYTES):
         self._limit_bytes = limit_bytes
--- a/src/mulberrywharf/requests/places.py
+++ b/src/mulberrywharf/requests/places.py
@@ -1,4 +1,4 @@
-"""Allocates request slots at engines.
+"""Allocates slots at engines to requests.
 
 A request gets a slot at once, waits in a queue, or is refused at once. The
 ``policy`` package makes these decisions. This module keeps the state that they
@@ -33,7 +33,7 @@
     "Generations by what admission decided, by model.",
 )
 _queued_gauge = metrics.gauge(
-    "mulberry_queued_requests", "Generations that wait for a place, by model."
+    "mulberry_queued_requests", "Generations that wait for a slot, by model."
 )
 
 
@@ -159,7 +159,7 @@
         slot_request: SlotRequest,
         excluded_engine_ids: Collection[str] = (),
     ) -> EngineSlot:
-        """Allocates a slot, waiting no longer than the answer can be in time.
+        """Allocates a slot; waits only while the answer can still be in time.
 
         Raises:
             RequestError: The request was refused and did not run; the error
--- a/src/mulberrywharf/requests/service_call.py
+++ b/src/mulberrywharf/requests/service_call.py
@@ -1,4 +1,4 @@
-"""Runs one call to a plain service, from its admission to its full answer.
+"""Runs one call to a plain service, from admission to its complete answer.
 
 A call that is not idempotent is never retried once a byte of it was sent. With
 an idempotency key it runs only under a confirmed claim; see ``claimed_call``.
@@ -66,7 +66,7 @@
         )
 
     def call(self, call: passthrough.ServiceCall) -> passthrough.ServiceAnswer:
-        """Returns the full answer.
+        """Returns the complete answer.
 
         Raises:
             RequestError: The call failed; the error has its outcome.
@@ -95,7 +95,7 @@
     def _run(self, call: passthrough.ServiceCall) -> passthrough.ServiceAnswer:
         tried_ids: set[str] = set()
         outcome_so_far: errors.Outcome = "not-run"
-        run_id = run_ids.make(call.caller.request_id)
+        sent_request_id = run_ids.make(call.caller.request_id)
         while True:
             chosen = self._servers.choose(
                 call.service, self._clock.monotonic_s(), frozenset(tried_ids)
@@ -104,7 +104,7 @@
                 raise _no_server_error(chosen.err_value, outcome_so_far)
             vm = chosen.ok_value
             tried_ids.add(vm.vm_id)
-            attempted = self._attempt(call, vm, run_id)
+            attempted = self._attempt(call, vm, sent_request_id)
             if isinstance(attempted, Ok):
                 return attempted.ok_value
             if self._crashes.is_blocked(call.caller):
@@ -135,7 +135,7 @@
         self,
         call: passthrough.ServiceCall,
         vm: fleet.VmRecord,
-        run_id: str,
+        sent_request_id: str,
     ) -> Result[passthrough.ServiceAnswer, errors.EngineError]:
         caller = call.caller
         left_s = max(_MIN_TIMEOUT_S, self._time_left_s(call))
@@ -144,7 +144,7 @@
             call.path,
             call.headers,
             caller.body,
-            run_id,
+            sent_request_id,
             idempotent=call.idempotent,
             timeout_s=min(call.timeout_s, left_s),
         )
@@ -191,6 +191,6 @@
 
 
 def _progress(error: errors.EngineError) -> outcome.Progress:
-    # The answer is read in full before any of it is forwarded. A call whose
+    # The answer is read completely before any of it is forwarded. A call whose
     # answer broke off is therefore treated like one without any answer.
     return "nothing-sent" if error.outcome == "not-run" else "sent"
--- a/src/mulberrywharf/requests/service_exchange.py
+++ b/src/mulberrywharf/requests/service_exchange.py
@@ -1,4 +1,4 @@
-"""Reads the full answer of a backend server before any of it is forwarded."""
+"""Reads a backend server's complete answer before any of it is forwarded."""
 
 from mulberrywharf import errors
 from mulberrywharf.backend_servers import client
--- a/src/mulberrywharf/requests/standing.py
+++ b/src/mulberrywharf/requests/standing.py
@@ -11,8 +11,8 @@
 _MS_PER_S = 1000.0
 
 
-class Standing(NamedTuple):
-    """Weight and priority of one customer while capacity is short.
+class CustomerPriority(NamedTuple):
+    """How one customer's requests are scheduled while capacity is short.
 
     Attributes:
         weight: Weight of the customer in the fair queue.
@@ -24,7 +24,7 @@
 
 
 class Standings(NamedTuple):
-    """Parts of one configuration that generations are scheduled by.
+    """The scheduling settings for generations, from one configuration.
 
     Attributes:
         customers: Weight and priority of each customer, by name.
@@ -35,7 +35,7 @@
         prefer_zone: Zone that the rule in force prefers, or empty.
     """
 
-    customers: Mapping[str, Standing] = {}
+    customers: Mapping[str, CustomerPriority] = {}
     first_token_target_s: float | None = None
     between_tokens_target_s: float | None = None
     prefer_zone: str = ""
@@ -46,7 +46,7 @@
     ) -> "Standings":
         """Reads the values from a validated configuration document."""
         customers = {
-            name: Standing(entry["weight"], entry["priority"])
+            name: CustomerPriority(entry["weight"], entry["priority"])
             for name, entry in document.get("customers", {}).items()
         }
         shed = document.get("shed")
@@ -56,15 +56,15 @@
             between_tokens_s = shed["between_tokens_target_ms"] / _MS_PER_S
         return cls(customers, first_token_s, between_tokens_s, prefer_zone)
 
-    def of(self, customer: str) -> Standing:
+    def of(self, customer: str) -> CustomerPriority:
         """Returns a customer's weight and priority; defaults if unknown."""
-        return self.customers.get(customer, Standing())
+        return self.customers.get(customer, CustomerPriority())
 
 
 def customer_limits(
     document: Mapping[str, Any], rule_limit: Limit | None = None
 ) -> dict[str, limits.CustomerLimit]:
-    """Returns the customers' limits for the whole deployment.
+    """Returns the configured limits of customers for the whole deployment.
 
     Args:
         document: A validated configuration document.
--- a/src/mulberrywharf/server_ends.py
+++ b/src/mulberrywharf/server_ends.py
@@ -1,7 +1,7 @@
-"""Distinguishes the exit of a server from a lost connection.
+"""Distinguishes the end of a server process from a lost connection.
 
-Both interrupt an exchange. After an exit, nothing listens at the server's
-address until the server restarts some seconds later.
+Both interrupt an exchange. After the process has ended, nothing listens at the
+server's address until the server restarts some seconds later.
 """
 
 from typing import Protocol
@@ -12,8 +12,8 @@
 from mulberrywharf import _connections, clock, errors, fleet
 
 CACHE_TTL_S = 0.5
-"""How long a detected exit is remembered. All exchanges with a server fail
-together when it exits, and one probe is enough for all of them."""
+"""How long a detected end is remembered. All exchanges with a server fail
+together when it ends, and one probe is enough for all of them."""
 
 
 class Prober(Protocol):
@@ -41,7 +41,7 @@
 
 
 class ServerEnds:
-    """Detects whether servers have exited."""
+    """Detects whether server processes have ended."""
 
     def __init__(self, prober: Prober, system_clock: clock.Clock):
         self._prober = prober
@@ -52,12 +52,11 @@
     def ended_s(
         self, start: fleet.ServerStart, address: fleet.Address
     ) -> float | None:
-        """Returns the monotonic time at which a server's exit was detected.
+        """Returns the monotonic time at which the end of a server was detected.
 
-        All callers get the same time for one exit. Returns None if the server
-        has not exited. A server that does not respond at all may be running
-        on the other side of a network partition, so it does not count as
-        exited.
+        All calls for one end return the same time. Returns None if the server
+        has not ended. A server that does not respond at all may be running on
+        the other side of a network partition, so it does not count as ended.
 
         Args:
             start: The server process.
--- a/tests/test_router_rules.py
+++ b/tests/test_router_rules.py
@@ -26,7 +26,7 @@
 
     def test_unknown_customer_gets_default_weight_and_priority(self) -> None:
         standings = standing.Standings.from_config(callers_fixture.document())
-        self.assertEqual(standings.of("nobody"), standing.Standing())
+        self.assertEqual(standings.of("nobody"), standing.CustomerPriority())
 
 
 class DemandRatesTest(unittest.TestCase):
