--- a/src/mulberrywharf/engines/handover.py
+++ b/src/mulberrywharf/engines/handover.py
@@ -1,4 +1,4 @@
-"""Prefills on one engine and hands the KV cache over to another to decode."""
+"""Prefills on one engine and points another, which decodes, to the KV cache."""
 
 import json
 from collections.abc import Callable
@@ -16,7 +16,8 @@
 
 _failed_handovers = metrics.counter(
     "mulberry_handovers_failed_total",
-    "Prefills elsewhere that failed, so the decode engine prefilled itself.",
+    "Prefills on a prefill engine that failed; the decode engine then prefilled"
+    " the prompt.",
 )
 
 
@@ -26,7 +27,7 @@
     Attributes:
         ip: IP address of the prefill engine.
         port: Port of the prefill engine.
-        handle: Identifies the exported cache at the prefill engine.
+        handle: Identifies the kept KV cache at the prefill engine.
     """
 
     ip: str
@@ -77,9 +78,9 @@
 ) -> resume.PreparedRequest:
     """Prefills on another engine and points the decode engine to the KV cache.
 
-    A handover only saves time. If the prefill fails, or if the exported cache
-    is gone when the decode engine fetches it, the decode engine prefills the
-    prompt itself.
+    A handover only saves time. If the prefill fails, or if the kept KV
+    cache is gone when the decode engine fetches it, the decode engine prefills
+    the prompt itself.
 
     Args:
         prefill_vm: The engine that prefills.
--- a/src/mulberrywharf/engines/load_client.py
+++ b/src/mulberrywharf/engines/load_client.py
@@ -1,4 +1,7 @@
-"""Fetches the load report of one engine."""
+"""Fetches the load report of one engine over a new connection.
+
+``load_reader`` polls engines over kept connections instead.
+"""
 
 import json
 from typing import Any
@@ -26,7 +29,8 @@
         timeout_s: Timeout of the connect and of each read, in seconds.
 
     Returns:
-        The report, or EngineUnreachableError if there is no valid report.
+        The report, or EngineUnreachableError for every failure: no
+        connection or a lost one, an unsuccessful status, a malformed report.
     """
     client = geventhttpclient.HTTPClient(
         address.ip,
@@ -51,7 +55,11 @@
 
 
 def parse_load(body: bytes) -> Result[fleet.LoadReport, errors.EngineError]:
-    """Parses a load report from JSON and ignores unknown fields."""
+    """Parses a load report from JSON and ignores unknown fields.
+
+    Unlike ``load_reader.parse_report``, it accepts negative and non-finite
+    figures and returns EngineUnreachableError for a malformed report.
+    """
     try:
         fields: dict[str, Any] = json.loads(body)
         known = {k: fields[k] for k in fleet.LoadReport._fields if k in fields}
--- a/src/mulberrywharf/engines/load_reader.py
+++ b/src/mulberrywharf/engines/load_reader.py
@@ -71,18 +71,18 @@
         self,
         interval_s: float,
         sink: CacheEventSink | None,
-        now: clock.Clock,
+        system_clock: clock.Clock,
         rng: random.Random,
     ):
         self._interval_s = interval_s
         self._sink = sink
-        self._clock = now
+        self._clock = system_clock
         self._random = rng
         self._pool = _connections.ConnectionPool(idle_limit_count=1)
         self._loads: dict[str, engine_load.EngineLoad] = {}
-        self._readers: dict[str, gevent.Greenlet] = {}
+        self._poll_tasks: dict[str, gevent.Greenlet] = {}
         self._drained: frozenset[str] = frozenset()
-        self._slice: frozenset[str] | None = None
+        self._polled_ids: frozenset[str] | None = None
         self._started = False
 
     @classmethod
@@ -94,7 +94,7 @@
         now: clock.Clock | None = None,
         rng: random.Random | None = None,
     ) -> "LoadReader":
-        """Returns a reader without engines; ``set_vms`` adds them.
+        """Returns a LoadReader without engines; ``set_vms`` adds them.
 
         Args:
             config: The ``engines`` section of the settings.
@@ -114,12 +114,12 @@
     def start(self) -> None:
         """Starts polling."""
         self._started = True
-        self._sync_readers()
+        self._sync_poll_tasks()
 
     def close(self) -> None:
         """Stops polling and closes the connections."""
         self._started = False
-        self._sync_readers()
+        self._sync_poll_tasks()
         self._pool.close()
 
     def set_vms(self, vms: Iterable[fleet.VmRecord]) -> None:
@@ -136,7 +136,7 @@
                 self._loads[engine_id] = engine_load.EngineLoad(vm)
             else:
                 load.vm = vm
-        self._sync_readers()
+        self._sync_poll_tasks()
 
     def set_drained(self, engine_ids: Collection[str]) -> None:
         """Sets the engines that must get no new work."""
@@ -144,8 +144,8 @@
 
     def set_polled_engines(self, engine_ids: Collection[str] | None) -> None:
         """Sets the engines that this node polls itself; None polls all."""
-        self._slice = None if engine_ids is None else frozenset(engine_ids)
-        self._sync_readers()
+        self._polled_ids = None if engine_ids is None else frozenset(engine_ids)
+        self._sync_poll_tasks()
 
     def record_report(self, report: fleet.LoadReport, age_s: float) -> None:
         """Stores a report that another node read, unless a newer one is known.
@@ -187,7 +187,7 @@
             load.request_started(prompt_tokens, self._clock.monotonic_s())
 
     def request_finished(self, engine_id: str, failed: bool) -> None:
-        """Records that a request ended; once per ``request_started``."""
+        """Records that a request ended; called once per ``request_started``."""
         load = self._loads.get(engine_id)
         if load is not None:
             load.request_finished(failed, self._clock.monotonic_s())
@@ -195,24 +195,24 @@
     def _forget(self, engine_id: str) -> None:
         load = self._loads.pop(engine_id)
         self._pool.forget(load.vm.address)
-        reader = self._readers.pop(engine_id, None)
-        if reader is not None:
-            reader.kill(block=False)
+        task = self._poll_tasks.pop(engine_id, None)
+        if task is not None:
+            task.kill(block=False)
         if self._sink is not None:
             self._sink.forget(engine_id)
 
-    def _sync_readers(self) -> None:
+    def _sync_poll_tasks(self) -> None:
         wanted = set()
         if self._started:
-            wanted = {e for e in self._loads if self._is_in_slice(e)}
-        for engine_id in set(self._readers) - wanted:
-            self._readers.pop(engine_id).kill(block=False)
-        for engine_id in wanted - set(self._readers):
+            wanted = {e for e in self._loads if self._is_polled(e)}
+        for engine_id in set(self._poll_tasks) - wanted:
+            self._poll_tasks.pop(engine_id).kill(block=False)
+        for engine_id in wanted - set(self._poll_tasks):
             load = self._loads[engine_id]
-            self._readers[engine_id] = gevent.spawn(self._poll, load)
+            self._poll_tasks[engine_id] = gevent.spawn(self._poll, load)
 
-    def _is_in_slice(self, engine_id: str) -> bool:
-        return self._slice is None or engine_id in self._slice
+    def _is_polled(self, engine_id: str) -> bool:
+        return self._polled_ids is None or engine_id in self._polled_ids
 
     def _poll(self, load: engine_load.EngineLoad) -> None:
         last_succeeded = True
@@ -301,7 +301,11 @@
 def parse_report(
     body: bytes,
 ) -> Result[fleet.LoadReport, errors.EngineError]:
-    """Parses a load report from JSON and ignores unknown fields."""
+    """Parses a load report from JSON and ignores unknown fields.
+
+    Unlike ``load_client.parse_load``, it rejects negative and non-finite
+    figures.
+    """
     try:
         document = json.loads(body)
         known = {
--- a/src/mulberrywharf/engines/orders.py
+++ b/src/mulberrywharf/engines/orders.py
@@ -76,7 +76,8 @@
 
     With default socket options, the kernel could deliver an order minutes
     later, once a network partition heals. By then another node may hold the
-    authority, and the engine would change without an order of that node.
+    authority, and the engine would carry out an order that the new holder did
+    not give.
     TCP_USER_TIMEOUT limits retransmission. SO_LINGER with timeout 0 discards
     unsent data when the socket is closed, also when the process is killed.
     """
@@ -136,7 +137,7 @@
 
     Args:
         address: The engine's address for orders.
-        order: The order, already recorded.
+        order: The order; the caller has already written its order record.
         user_timeout_s: How long sent bytes may stay unacknowledged, in seconds;
             also the timeout of the connect and of each read.
         before_send: Called right before the first byte is sent; raises
@@ -213,16 +214,16 @@
     if status in _ACCEPTED_STATUSES:
         state = str(fields.get("state", ""))
         return Ok(OrderAccepted(order.order_id, state))
-    kind = str(fields.get("type", ""))
+    reason = str(fields.get("type", ""))
     if status not in _REFUSED_STATUSES:
         return Err(
             errors.OrderOutcomeUnknownError(
                 f"order {order.order_id}: unexpected status {status}"
             )
         )
-    if kind == _BUSY:
+    if reason == _BUSY:
         return Err(errors.EngineBusyError(f"order {order.order_id}"))
-    if kind == _STALE:
+    if reason == _STALE:
         return Err(
             errors.StaleFencingNumberError(
                 f"order {order.order_id}: fencing number"
@@ -230,7 +231,7 @@
             )
         )
     return Err(
-        errors.OrderRefusedError(f"order {order.order_id}: {status} {kind}")
+        errors.OrderRefusedError(f"order {order.order_id}: {status} {reason}")
     )
 
 
--- a/src/mulberrywharf/engines/refusals.py
+++ b/src/mulberrywharf/engines/refusals.py
@@ -13,7 +13,7 @@
     """Returns the error for an unsuccessful answer.
 
     A 503 whose body has a ``type``, and any 4xx, mean that the engine did not
-    run the request. Any other status leaves it unknown.
+    run the request. With any other status, it is unknown whether it did.
     """
     status = answer.status_code
     reason = _parse_reason(body)
--- a/src/mulberrywharf/engines/resume.py
+++ b/src/mulberrywharf/engines/resume.py
@@ -23,7 +23,7 @@
 
 _resumes = metrics.counter(
     "mulberry_resumes_total",
-    "Begun answers that went on at another engine.",
+    "Answers that were resumed at another engine after their first token.",
 )
 
 
@@ -80,7 +80,7 @@
 
 
 class RequestTracker(Protocol):
-    """Counts requests at engines, as ``loads.LoadReader`` does."""
+    """Counts requests at engines, as ``load_reader.LoadReader`` does."""
 
     def request_started(self, engine_id: str, prompt_tokens: int) -> None:
         """Records that a request is sent to an engine."""
@@ -167,7 +167,7 @@
         self._idle_timeout_s = idle_timeout_s
         self._connect_timeout_s = connect_timeout_s
         self._token_texts: list[str] = []
-        self._finished = False
+        self._has_finish_reason = False
         self._attempt_count = 0
         self._delivered_before_count = 0
         self._outcome: errors.Outcome = "not-run"
@@ -200,7 +200,7 @@
                 return
             except errors.EngineError as error:
                 failure = error
-            if self._finished:
+            if self._has_finish_reason:
                 # The caller has every token and the finish reason; only
                 # ``[DONE]`` was lost.
                 yield streams.TokenBatch((), True)
@@ -288,7 +288,7 @@
         self._token_texts += [token.text for token in batch.tokens]
         if not batch.tokens or batch.tokens[-1].finish_reason is None:
             return batch
-        self._finished = True
+        self._has_finish_reason = True
         if self._attempt_count == 1:
             return batch
         last = self._with_total_usage(batch.tokens[-1])
@@ -329,14 +329,16 @@
             raise errors.BadRequestError(
                 failure.message, outcome=self._outcome
             ) from failure
-        attempt = self._describe_failure(engine_id, failure)
-        decision = self._decide(attempt)
+        attempt_failure = self._describe_failure(engine_id, failure)
+        decision = self._decide(attempt_failure)
         logger.bind(
             request_id=self._generation.request_id, engine_id=engine_id
-        ).warning("attempt {} failed: {}", attempt.attempt_count, failure)
+        ).warning(
+            "attempt {} failed: {}", attempt_failure.attempt_count, failure
+        )
         if isinstance(decision, retry_budget.GiveUp):
             raise decision.error from failure
-        if attempt.progress not in ("nothing-sent", "refused"):
+        if attempt_failure.progress not in ("nothing-sent", "refused"):
             self._outcome = "unknown"
         self._failed_engine_ids |= {engine_id}
         if self._token_texts:
--- a/src/mulberrywharf/engines/role_orders.py
+++ b/src/mulberrywharf/engines/role_orders.py
@@ -1,6 +1,6 @@
-"""Sends role orders to engines and fetches their reports.
+"""Sends role orders to engines and fetches their role reports.
 
-A ``RoleDialect`` defines the format of orders and reports; ``before_send``
+A ``RoleWireFormat`` defines the format of both; ``before_send``
 decides whether an order may be sent. An order is sent once, on a connection
 that delivers no bytes after it was closed.
 """
@@ -14,7 +14,8 @@
 from mulberrywharf.engines import orders
 
 REPORT_TIMEOUT_S = 0.5
-"""A live engine answers a report request within milliseconds."""
+"""Timeout for fetching a role report. A live engine answers within
+milliseconds."""
 
 _REPORT_LIMIT_BYTES = 256 * 1024
 _ACCEPTED_STATUSES = (200, 202)
@@ -24,13 +25,13 @@
 
 
 class RoleOrder(NamedTuple):
-    """An order that changes the role of one started instance of an engine.
+    """An order that changes the role of an engine.
 
     Attributes:
-        server: The engine instance.
+        server: The run of the engine's process that gets the order.
         role: The new role.
         holder: Id of the VM that holds the authority to give role orders.
-        number: The fencing number.
+        number: Fencing number of the holder's lease.
         expected_count: Number of orders that the sender expects the engine to
             have accepted so far; the engine refuses the order if it differs.
     """
@@ -43,15 +44,17 @@
 
 
 class EngineReport(NamedTuple):
-    """The state that an engine reports.
+    """An engine's role report: its role and the work that it still has.
+
+    It is fetched separately from the load report, ``fleet.LoadReport``.
 
     Attributes:
         role: Its current role.
         running_count: Number of requests that it processes.
         waiting_count: Number of requests in its queue.
         is_changing: Whether it is executing an order.
-        accepted_count: Number of orders accepted since it started.
-        started_unix_ms: Start time of the engine, see ``fleet.ServerStart``.
+        accepted_count: Number of orders accepted since the process started.
+        started_unix_ms: Start time of the process, see ``fleet.ServerStart``.
     """
 
     role: fleet.Role
@@ -62,11 +65,11 @@
     started_unix_ms: int | None = None
 
 
-class RoleDialect(Protocol):
-    """Format of role orders and reports on the wire.
+class RoleWireFormat(Protocol):
+    """Wire format of role orders and role reports.
 
     Attributes:
-        report_request: The request that fetches a report.
+        report_request: The request that fetches a role report.
         order_path: URL path to which orders are posted.
     """
 
@@ -80,23 +83,23 @@
     def decode_report(
         self, server: fleet.Server, body: bytes
     ) -> Result[EngineReport, errors.EngineError]:
-        """Parses a report."""
+        """Parses a role report."""
         ...
 
 
 class RoleClient:
-    """Sends role orders to engines and fetches their reports."""
+    """Sends role orders to engines and fetches their role reports."""
 
-    def __init__(self, dialect: RoleDialect):
-        self._dialect = dialect
+    def __init__(self, wire_format: RoleWireFormat):
+        self._wire_format = wire_format
 
     def report(
         self, server: fleet.Server
     ) -> Result[EngineReport, errors.EngineError]:
-        """Fetches the report of an engine."""
+        """Fetches the role report of an engine."""
         fetched = _exchange.fetch(
             server.address,
-            self._dialect.report_request,
+            self._wire_format.report_request,
             timeout_s=REPORT_TIMEOUT_S,
             limit_bytes=_REPORT_LIMIT_BYTES,
         )
@@ -106,7 +109,7 @@
         if answer.status_code != 200:
             message = f"{server.address}: report status {answer.status_code}"
             return Err(errors.AnswerLostError(message))
-        return self._dialect.decode_report(server, body)
+        return self._wire_format.decode_report(server, body)
 
     def send(
         self,
@@ -118,7 +121,8 @@
         """Sends an order once.
 
         Args:
-            order: The order, already recorded.
+            order: The order; the caller has already recorded it in the
+                key-value service.
             user_timeout_s: How long sent bytes may stay unacknowledged, in
                 seconds.
             before_send: Called right before the first byte is sent; raises
@@ -128,10 +132,10 @@
             None if the engine accepted the order; otherwise the same errors as
             ``orders.send_order``.
         """
-        body, headers = self._dialect.encode_order(order)
+        body, headers = self._wire_format.encode_order(order)
         answered = orders.post_once(
             order.server.address,
-            self._dialect.order_path,
+            self._wire_format.order_path,
             body,
             headers,
             user_timeout_s=user_timeout_s,
--- a/src/mulberrywharf/engines/streams.py
+++ b/src/mulberrywharf/engines/streams.py
@@ -23,7 +23,7 @@
 _EVENT_LIMIT_BYTES = 1024 * 1024
 _ERROR_BODY_LIMIT_BYTES = 64 * 1024
 _CANCEL_TIMEOUT_S = 1.0
-_DRAIN_LIMIT_S = 1.0
+_REMAINDER_TIMEOUT_S = 1.0
 _CANCEL_ANSWER_LIMIT_BYTES = 4096
 _OK = 200
 _PARSE_ERRORS = (
@@ -106,8 +106,8 @@
         self._next_index = first_index
         self._idle_timeout_s = idle_timeout_s
         self._buffer = b""
-        self._finished = False
-        self._done = False
+        self._has_finish_reason = False
+        self._has_done_event = False
         self._failed = False
         self._closed = False
 
@@ -189,10 +189,10 @@
                 or repeated, or the stream ended without a finish reason and
                 ``[DONE]``.
         """
-        while not self._done:
+        while not self._has_done_event:
             tokens = self._parse(self._read_events())
-            if tokens or self._done:
-                yield TokenBatch(tuple(tokens), self._done)
+            if tokens or self._has_done_event:
+                yield TokenBatch(tuple(tokens), self._has_done_event)
 
     def close(self) -> None:
         """Closes the exchange and cancels an unfinished answer.
@@ -205,8 +205,8 @@
         if self._closed:
             return
         self._closed = True
-        if self._done and not self._failed:
-            gevent.spawn(self._exchange.drain, _DRAIN_LIMIT_S)
+        if self._has_done_event and not self._failed:
+            gevent.spawn(self._exchange.drain, _REMAINDER_TIMEOUT_S)
             return
         sent = not isinstance(self._exchange.stage, _exchange.NotSent)
         self._exchange.close()
@@ -283,9 +283,9 @@
         return tokens
 
     def _end(self) -> None:
-        if not self._finished:
+        if not self._has_finish_reason:
             raise self._fail_broken("[DONE] arrived without a finish reason")
-        self._done = True
+        self._has_done_event = True
 
     def _parse_token(self, payload: bytes, event: bytes) -> Token:
         try:
@@ -303,7 +303,7 @@
             )
         if document["id"] != self._request_id:
             raise self._fail_foreign()
-        if self._finished:
+        if self._has_finish_reason:
             raise self._fail_broken("a token arrived after the finish reason")
         index = document["token_index"]
         if index != self._next_index:
@@ -312,8 +312,8 @@
             )
         choice = document["choices"][0]
         reason = choice["finish_reason"]
-        self._finished = reason is not None
-        usage = _parse_usage(document) if self._finished else None
+        self._has_finish_reason = reason is not None
+        usage = _parse_usage(document) if self._has_finish_reason else None
         return Token(
             index, _choice_text(choice), reason, event + _EVENT_END, usage
         )
--- a/src/mulberrywharf/peers/crash.capnp
+++ b/src/mulberrywharf/peers/crash.capnp
@@ -1,5 +1,5 @@
 @0xe41c07b95d2f8a63;
-# A datagram about server exits. crash_codec.py decodes it to NamedTuples.
+# A datagram about servers that ended. crash_codec.py decodes it to NamedTuples.
 
 struct CrashReport {
   ends @0 :List(End);
@@ -11,6 +11,6 @@
 struct End {
   request @0 :UInt64;     # fingerprint
   server @1 :UInt32;      # hash of the server's ID and start
-  ageMs @2 :UInt32;       # time since the server exited
+  ageMs @2 :UInt32;       # time since the server ended
   madeOutput @3 :Bool;    # whether any part of the answer had arrived
 }
--- a/src/mulberrywharf/peers/crash_codec.py
+++ b/src/mulberrywharf/peers/crash_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes reports on server exits with Cap'n Proto."""
+"""Encodes and decodes reports on ended servers with Cap'n Proto."""
 
 import pathlib
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 from mulberrywharf import errors
 
 ENDS_LIMIT_COUNT = 48
-"""Maximum number of server exits in one report. Each takes about 20 bytes
+"""Maximum number of server ends in one report. Each takes about 20 bytes
 packed, so that the datagram is not fragmented."""
 
 _UINT32_LIMIT = 0xFFFFFFFF
@@ -20,14 +20,14 @@
 
 
 class ReportedEnd(NamedTuple):
-    """The exit of a server while it processed a request.
+    """The end of a server while it processed a request.
 
     Attributes:
         fingerprint: Fingerprint of the request.
         server_key: Key of the server process, see
             ``notice_codec.hash_server_start``.
         made_output: Whether any part of the answer had arrived.
-        age_s: Time since the exit.
+        age_s: Time since the end.
     """
 
     fingerprint: int
@@ -37,10 +37,10 @@
 
 
 class CrashReport(NamedTuple):
-    """A report on server exits from one gateway to others.
+    """A report on ended servers from one gateway to others.
 
     Attributes:
-        ends: The server exits.
+        ends: The ends of servers, one for each request at the server.
         cleared: Fingerprints of requests that have completed since.
         is_reply: Whether this replies to a report on a request that the
             sender already blocks.
@@ -52,7 +52,7 @@
 
 
 def encode(report: CrashReport) -> bytes:
-    """Encodes a report as a datagram."""
+    """Encodes a report as the body of a datagram."""
     message = _SCHEMA.CrashReport.new_message()
     message.cleared = list(report.cleared)
     message.isReply = report.is_reply
@@ -65,14 +65,14 @@
     return bytes(message.to_bytes_packed())
 
 
-def decode(datagram: bytes) -> Result[CrashReport, errors.BadFrameError]:
-    """Decodes a datagram.
+def decode(body: bytes) -> Result[CrashReport, errors.BadFrameError]:
+    """Decodes the body of a datagram.
 
     Returns:
-        The report, or an error if the datagram is invalid.
+        The report, or an error if the body is invalid.
     """
     try:
-        message = _SCHEMA.CrashReport.from_bytes_packed(datagram)
+        message = _SCHEMA.CrashReport.from_bytes_packed(body)
         return Ok(
             CrashReport(
                 tuple(
--- a/src/mulberrywharf/peers/crash_records.py
+++ b/src/mulberrywharf/peers/crash_records.py
@@ -1,4 +1,7 @@
-"""Stores blocked requests in the key-value service for restarted gateways.
+"""Stores records of blocked requests in the key-value service.
+
+Restarted gateways read them and block the same requests. A record holds the
+fingerprint of a request and the ends of servers during it, not its prompt.
 
 Gateways do not persist state themselves. When all of them restart at once,
 none is left to report which requests crash servers, and each such request
@@ -24,8 +27,8 @@
 
 READ_INTERVAL_S = 30.0
 """Mean interval between reads. A stale read costs a tenth of a call to the
-service. Reads only recover what no report from another gateway delivered, for
-example during a network partition."""
+key-value service. Reads only recover what no report from another gateway
+delivered, for example during a network partition."""
 
 WRITE_DELAY_RANGE_S = (0.2, 0.6)
 """Range of the random delay between blocking a request and writing its record.
@@ -33,8 +36,8 @@
 arrived, and another gateway may have written the record."""
 
 RESTORE_READ_DELAY_LIMIT_S = 2.0
-"""Maximum random delay between a restore of the service from a backup and the
-next read, so that the gateways do not all read at once."""
+"""Maximum random delay between the restore of an older copy of the key-value
+service and the next read, so that the gateways do not all read at once."""
 
 _RETRY_BASE_S = 1.0
 _RETRY_LIMIT_S = 8.0
@@ -44,7 +47,7 @@
 
 
 class CrashRecords:
-    """Writes records of requests blocked here and reads those of others.
+    """Writes records of requests blocked here and reads all records.
 
     Each record has a lease that expires when its request is no longer blocked.
     """
@@ -59,9 +62,10 @@
 
         Args:
             client: Client of the key-value service.
-            suspects: Receives the server exits that are read and determines
+            suspects: Receives the server ends that are read and determines
                 which requests are blocked.
-            system_clock: Measures ages; uses wall-clock time across gateways.
+            system_clock: Measures ages. Records hold wall-clock times, because
+                monotonic clocks of different gateways are not comparable.
         """
         self._client = client
         self._suspects = suspects
@@ -81,7 +85,7 @@
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Stops the task; the records remain in the service."""
+        """Stops the task; the records remain in the key-value service."""
         self._client.remove_on_restored(self._on_restored)
         if self._task is not None:
             self._task.kill()
--- a/src/mulberrywharf/peers/crash_reports.py
+++ b/src/mulberrywharf/peers/crash_reports.py
@@ -1,12 +1,12 @@
-"""Exchanges reports between gateways on server exits during requests.
+"""Exchanges reports between gateways on servers that end during requests.
 
 A request that crashes servers may be repeated at any gateway. Without reports,
 each gateway would lose servers of its own before it blocks the request.
 
 A datagram may be lost, and a gateway may be partitioned or start later. A
-report on a request during which two servers exited is therefore repeated. A
-gateway that reports on a request which other gateways already block receives
-their records of it from some of them.
+report on a request during which two servers ended is therefore repeated. If
+other gateways already block the request, some of them reply to the report with
+the server ends that they know.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 BATCH_DELAY_S = 0.002
 """Delay before pending reports are sent together. All requests at a server fail
-at the same time when it exits."""
+at the same time when it ends."""
 
 REPEAT_DELAYS_S = (0.3, 1.5)
 """Delays after the first report on a request at which it is repeated. Operators
@@ -63,7 +63,7 @@
         Args:
             peers: The other gateways.
             socket: Carries the reports; the caller starts it.
-            suspects: Receives the server exits that other gateways report.
+            suspects: Receives the server ends that other gateways report.
             system_clock: Measures ages.
             call_later: Calls a function with arguments after a delay in
                 seconds.
@@ -80,7 +80,7 @@
         socket.set_handler(b"c", self._on_datagram)
 
     def on_report(self, callback: Callable[[int], None]) -> None:
-        """Sets the callback for new server exits from other gateways.
+        """Sets the callback for server ends that other gateways newly report.
 
         Args:
             callback: Called with the fingerprint of the request.
@@ -88,11 +88,11 @@
         self._on_report = callback
 
     def tell(self, fingerprint: int) -> None:
-        """Sends the known server exits during a request to all gateways.
+        """Sends the known server ends during a request to all gateways.
 
         Args:
             fingerprint: Fingerprint of a request during which this gateway
-                saw a server exit.
+                saw a server end.
         """
         self._enqueue(fingerprint)
         now_s = self._clock.monotonic_s()
@@ -139,12 +139,10 @@
     ) -> None:
         self._socket.send(b"c", crash_codec.encode(report), peers)
 
-    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = crash_codec.decode(datagram)
+    def _on_datagram(self, body: bytes, source: fleet.Address) -> bool:
+        decoded = crash_codec.decode(body)
         if isinstance(decoded, Err):
-            logger.warning(
-                "invalid crash report dropped: {}", decoded.err_value.message
-            )
+            logger.warning("datagram dropped: {}", decoded.err_value.message)
             return False
         report = decoded.ok_value
         now_s = self._clock.monotonic_s()
@@ -165,9 +163,9 @@
     def _reply(
         self, report: crash_codec.CrashReport, source: fleet.Address
     ) -> None:
-        """Sends the known server exits during requests that are blocked here.
+        """Sends the known server ends during requests that are blocked here.
 
-        Only reports with a server exit that is new to this gateway get a
+        Only reports with a server end that is new to this gateway get a
         reply.
         """
         now_s = self._clock.monotonic_s()
@@ -193,7 +191,7 @@
 def _split(
     ends: Iterable[crash_codec.ReportedEnd],
 ) -> list[tuple[crash_codec.ReportedEnd, ...]]:
-    """Splits server exits into batches that each fit into one datagram."""
+    """Splits server ends into batches that each fit into one datagram."""
     all_ends = tuple(ends)
     size = crash_codec.ENDS_LIMIT_COUNT
     return [all_ends[at : at + size] for at in range(0, len(all_ends), size)]
--- a/src/mulberrywharf/peers/datagrams.py
+++ b/src/mulberrywharf/peers/datagrams.py
@@ -12,7 +12,7 @@
 from mulberrywharf.policy import token_bucket
 
 SENT_BYTES_PER_S = 2_000
-"""Limit that the operators set for the control traffic of a node."""
+"""Limit that the operators set for the control traffic of a gateway."""
 
 SENT_BURST_BYTES = 60_000
 """Half a minute of the sustained rate. It covers a burst of long prompts: 120
@@ -107,20 +107,31 @@
             self._receive_task.kill()
         self._socket.close()
 
-    def wait_s(self, datagram: bytes, peers_count: int) -> float:
-        """Returns the time until the budget covers a datagram, in seconds."""
-        cost = _cost(datagram, peers_count)
+    def wait_s(self, body: bytes, peers_count: int) -> float:
+        """Returns the time in seconds until the budget covers a datagram.
+
+        Args:
+            body: Body of the datagram.
+            peers_count: Number of gateways that it is sent to.
+        """
+        cost = _cost(body, peers_count)
         return self.budget.wait_s(cost, self._clock.monotonic_s())
 
     def send(
-        self, kind: Kind, datagram: bytes, peers: tuple[fleet.Address, ...]
+        self, kind: Kind, body: bytes, peers: tuple[fleet.Address, ...]
     ) -> None:
-        """Sends a datagram to each peer, even if it exceeds the budget."""
-        cost = _cost(datagram, len(peers))
+        """Sends a datagram to each peer, even if it exceeds the budget.
+
+        Args:
+            kind: Kind of the datagram.
+            body: Its body.
+            peers: Addresses of the gateways.
+        """
+        cost = _cost(body, len(peers))
         self.budget.refill(self._clock.monotonic_s())
         self.budget.take(cost)
         _sent_bytes.add({"kind": kind.decode()}, cost)
-        framed = frame_datagram(kind, datagram)
+        framed = frame_datagram(kind, body)
         for peer in peers:
             try:
                 self._socket.sendto(framed, (peer.ip, peer.port))
@@ -160,5 +171,5 @@
     return kind + checksum + body
 
 
-def _cost(datagram: bytes, peers_count: int) -> int:
-    return peers_count * (len(datagram) + DATAGRAM_OVERHEAD_BYTES)
+def _cost(body: bytes, peers_count: int) -> int:
+    return peers_count * (len(body) + DATAGRAM_OVERHEAD_BYTES)
--- a/src/mulberrywharf/peers/directory.py
+++ b/src/mulberrywharf/peers/directory.py
@@ -1,4 +1,4 @@
-"""Registers this gateway in the store and discovers the others there."""
+"""Registers this gateway in the key-value service and finds the others."""
 
 import heapq
 import ipaddress
@@ -22,9 +22,9 @@
 PURPOSE = "peers"
 KEY_PREFIX = "mulberrywharf/gateways/"
 LEASE_TTL_S = 6.0
-"""Bounds how long a stopped gateway is still counted and sent notices. Leases
-are renewed after a third of this time: 4.5 renewals per second for nine nodes,
-each at a tenth of the cost of a read."""
+"""Limits how long a stopped gateway is still counted and still receives
+notices. Leases are renewed after a third of this time: 4.5 renewals per second
+for nine gateways, each at a tenth of the cost of a read."""
 
 READ_INTERVAL_S = 5.0
 """Interval between reads of all registrations. These reads accept stale results
@@ -35,7 +35,8 @@
 READERS_COUNT = 2
 """Number of readers among gateways that exchange notices. Readers reopen their
 watches often; the others let theirs wait long while they hear from a reader.
-With a single reader, its restart would make all others read the store."""
+With a single reader, its restart would make all others read the key-value
+service."""
 
 FIRST_READ_DELAY_S = 1.5
 """Delay of the first read after the start. Gateways that start together have
@@ -45,21 +46,22 @@
 """Maximum number of other gateways for a full mesh, in which all work is
 reported to all gateways. In larger fleets, work at an engine is reported only
 to gateways in the engine's availability zone: notices to each of 80 gateways
-would cost five times what a node may send."""
+would cost five times what a gateway may send."""
 
 RESTORE_GRACE_S = 12.0
-"""How long known gateways are kept that are missing from the store after it was
-restored from an older copy. They notice the loss at their next renewal,
-register again within seconds, and are found by the next read."""
+"""After the key-value service was restored from an older copy, known gateways
+that are missing there are kept for this time. They notice the loss at their
+next renewal, register again within seconds, and are found by the next read."""
 
 REMOVED_PEER_TIMEOUT_S = 30.0
 """How long datagrams are exchanged with a gateway after its key is removed. It
-may still be serving if the store rejected its renewals."""
+may still be serving if the key-value service rejected its renewals."""
 
 _OWNER_CACHE_LIMIT_COUNT = 5_000
 """Maximum number of cached queue owners. Each prompt needs the owners of all
-engines, and choosing an owner hashes all gateways of a zone. Engines come and
-go, so the limit exceeds the number of engines in a fleet."""
+engines, and choosing an owner hashes all gateways of a zone. Entries of
+removed engines stay in the cache, so the limit exceeds the number of engines in
+a fleet."""
 
 _PORT_LIMIT = 65_535
 _RETRY_BASE_S = 1.0
@@ -81,13 +83,14 @@
 class PeerDirectory:
     """Registers this gateway and keeps a list of the others.
 
-    Each VM counts once, by its newest key. The key from before a restart stays
-    in the store until its lease expires. When both keys were counted, gateways
-    assumed twice the real traffic after all of them had restarted, and refused
-    half of their callers while engines were idle.
+    Each VM counts once, by its newest registration. The registration from
+    before a restart stays in the key-value service until its lease expires. If
+    both were counted, each gateway would assume twice the real traffic after a
+    restart of all gateways, and refuse half of its callers while engines are
+    idle.
 
-    Peers stay known while the store is unavailable. Datagrams to a gateway that
-    has stopped do no harm.
+    Peers stay known while the key-value service is unavailable. Datagrams to a
+    gateway that has stopped do no harm.
     """
 
     def __init__(
@@ -120,7 +123,7 @@
         self._register_task = gevent.spawn(self._keep_registered)
 
     def close(self) -> None:
-        """Stops both and removes the registration."""
+        """Stops both tasks and removes the registration."""
         for task in (self._poll_task, self._register_task):
             if task is not None:
                 task.kill()
@@ -139,7 +142,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the store on behalf of others.
+        """Whether this gateway reads the key-value service for others.
 
         All gateways select the same readers by hashing, without messages. If
         they know different gateways, more than the usual number may be readers.
@@ -147,7 +150,11 @@
         return self._own_vm_id in self._reader_ids()
 
     def reader_addresses(self) -> tuple[fleet.Address, ...]:
-        """Returns the datagram addresses of the other readers in the zone."""
+        """Returns the datagram addresses of the other readers.
+
+        Readers are chosen among the gateways that exchange notices with this
+        one: all gateways in a full mesh, otherwise those in its zone.
+        """
         return tuple(
             self._peers_by_vm[vm_id].address
             for vm_id in self._reader_ids()
@@ -178,8 +185,8 @@
     def recent_addresses(self) -> tuple[fleet.Address, ...]:
         """Returns the addresses of current and recently removed gateways.
 
-        A gateway whose renewals the store rejects loses its key but keeps
-        serving.
+        A gateway whose renewals the key-value service rejects loses its key but
+        keeps serving.
         """
         self._expire_removed_peers()
         return (*self.all_addresses(), *self._removed_peers)
@@ -195,10 +202,11 @@
         }
 
     def pick_gateway_per_other_zone(self) -> tuple[fleet.Address, ...]:
-        """Returns one gateway of each zone that gets no notices of this one.
+        """Returns one gateway of each other zone, none in a full mesh.
 
+        Gateways in other zones get no notices about the engines of this zone.
         Picks at random on each call, so that over time every gateway is
-        reached. Returns none in a full mesh.
+        reached.
         """
         by_zone: dict[str, list[fleet.Address]] = {}
         for peer in self._peers_by_vm.values():
@@ -221,7 +229,7 @@
         engine_key: int,
         availability_zone: str,
         owners_count: int,
-        kind: str,
+        role: str,
     ) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway.
 
@@ -235,22 +243,22 @@
                 ``notice_codec.hash_server_start``.
             availability_zone: Zone of the engine.
             owners_count: Number of gateways in the zone that share the queues
-                of its engines of this kind.
-            kind: Kind of the engine; each kind has its own owners.
+                of its engines of this role.
+            role: Role of the engine; each role has its own owners.
         """
-        wanted = engine_key, availability_zone, owners_count, kind
-        if wanted not in self._owner_cache:
+        cache_key = engine_key, availability_zone, owners_count, role
+        if cache_key not in self._owner_cache:
             if len(self._owner_cache) >= _OWNER_CACHE_LIMIT_COUNT:
                 self._owner_cache.clear()
-            self._owner_cache[wanted] = self._choose_owner(*wanted)
-        return self._owner_cache[wanted]
+            self._owner_cache[cache_key] = self._choose_owner(*cache_key)
+        return self._owner_cache[cache_key]
 
     def _choose_owner(
         self,
         engine_key: int,
         availability_zone: str,
         owners_count: int,
-        kind: str,
+        role: str,
     ) -> fleet.Address | None:
         candidates: dict[str, fleet.Address | None] = {
             vm_id: peer.address
@@ -264,7 +272,7 @@
         owner_ids = heapq.nsmallest(
             owners_count,
             candidates,
-            key=lambda vm_id: _vm_rank(f"{kind}/{vm_id}"),
+            key=lambda vm_id: _vm_rank(f"{role}/{vm_id}"),
         )
         owner_id = max(
             owner_ids,
--- a/src/mulberrywharf/peers/freshness_codec.py
+++ b/src/mulberrywharf/peers/freshness_codec.py
@@ -27,11 +27,11 @@
 
 
 class Reply(NamedTuple):
-    """Answers a question.
+    """The reply to a question.
 
     Attributes:
         nonce: Nonce of the question.
-        version: Version of the routes in force at the answering gateway.
+        version: Version of the routes in force at the replying gateway.
         age_s: Time since they were confirmed as the newest.
     """
 
@@ -41,7 +41,7 @@
 
 
 def encode(message: Question | Reply) -> bytes:
-    """Encodes a message as a datagram."""
+    """Encodes a message as the body of a datagram."""
     wire = _SCHEMA.FreshnessMessage.new_message()
     wire.nonce = message.nonce
     if isinstance(message, Question):
@@ -55,14 +55,14 @@
     return bytes(wire.to_bytes_packed())
 
 
-def decode(datagram: bytes) -> Result[Question | Reply, errors.BadFrameError]:
-    """Decodes a datagram.
+def decode(body: bytes) -> Result[Question | Reply, errors.BadFrameError]:
+    """Decodes the body of a datagram.
 
     Returns:
-        The message, or an error if the datagram is invalid.
+        The message, or an error if the body is invalid.
     """
     try:
-        wire = _SCHEMA.FreshnessMessage.from_bytes_packed(datagram)
+        wire = _SCHEMA.FreshnessMessage.from_bytes_packed(body)
         if wire.which() == "question":
             return Ok(Question(wire.nonce))
         reply = wire.reply
--- a/src/mulberrywharf/peers/freshness_relay.py
+++ b/src/mulberrywharf/peers/freshness_relay.py
@@ -1,8 +1,8 @@
 """Asks other gateways how recently the routes were confirmed as the newest.
 
-The readers ask the key-value service; the other gateways ask a reader. Each
-step measures the age from before its request was sent, so a late reply or a
-suspended reader only makes a confirmation older.
+The readers ask the key-value service; the other gateways ask a reader. Whoever
+asks counts the age of a confirmation from before it sent its question, so a
+late reply or a suspended reader only makes the confirmation older.
 """
 
 import random
@@ -28,7 +28,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the service on behalf of others."""
+        """Whether this gateway reads the key-value service for others."""
         ...
 
     def reader_addresses(self) -> tuple[fleet.Address, ...]:
@@ -49,7 +49,7 @@
 
 
 class FreshnessRelay:
-    """Asks readers for confirmations and answers other gateways."""
+    """Asks readers for confirmations and replies to other gateways."""
 
     def __init__(self, peers: Peers, socket: datagrams.PeerSocket):
         """Creates it and registers it with the socket.
@@ -60,21 +60,27 @@
         """
         self._peers = peers
         self._socket = socket
-        self._answer: Callable[[], Confirmation | None] = lambda: None
+        self._confirmation: Callable[[], Confirmation | None] = lambda: None
         self._pending: dict[int, gevent.event.AsyncResult[Confirmation]] = {}
         socket.set_handler(b"f", self._on_datagram)
 
-    def on_question(self, answer: Callable[[], Confirmation | None]) -> None:
-        """Sets the function that answers questions.
+    def on_question(
+        self, confirmation: Callable[[], Confirmation | None]
+    ) -> None:
+        """Sets the function that returns the reply to a question.
 
         Args:
-            answer: Returns the confirmation to reply with, None for no reply.
+            confirmation: Returns the confirmation to reply with, None for no
+                reply.
         """
-        self._answer = answer
+        self._confirmation = confirmation
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway has to ask the service itself."""
+        """Whether this gateway reads the key-value service for others.
+
+        A reader asks the service itself for confirmations.
+        """
         return self._peers.is_reader
 
     def ask(self) -> Confirmation | None:
@@ -102,11 +108,11 @@
         finally:
             del self._pending[nonce]
 
-    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = freshness_codec.decode(datagram)
+    def _on_datagram(self, body: bytes, source: fleet.Address) -> bool:
+        decoded = freshness_codec.decode(body)
         if isinstance(decoded, Err):
             logger.warning(
-                "invalid freshness datagram dropped: {}",
+                "datagram dropped: {}",
                 decoded.err_value.message,
             )
             return False
@@ -116,7 +122,7 @@
             if pending is not None:
                 pending.set(Confirmation(message.version, message.age_s))
             return True
-        confirmation = self._answer()
+        confirmation = self._confirmation()
         if confirmation is not None:
             reply = freshness_codec.Reply(message.nonce, *confirmation)
             self._socket.send(b"f", freshness_codec.encode(reply), (source,))
--- a/src/mulberrywharf/peers/notice.capnp
+++ b/src/mulberrywharf/peers/notice.capnp
@@ -2,25 +2,29 @@
 # One datagram between gateways. notice_codec.py maps it to NamedTuples.
 
 struct Notice {
-  sender @0 :UInt32;    # identifies the start of the sending process
+  sender @0 :UInt32;    # identifies the run of the sending process
   sequence @1 :UInt32;  # increases with each notice of a sender
   placements @2 :List(Placement);
   routesRevision @3 :UInt64;   # of the latest change that the sender has seen
   serversRevision @4 :UInt64;
   loads @5 :List(Load);
   demands @6 :List(Demand);
-  changing @7 :List(UInt32);   # hashes of engine starts that change their role
-  isReading @8 :Bool;          # the revisions above are at most seconds old
+  changing @7 :List(UInt32);   # hashes of the ids and starts of engines that
+                               # change their role
+  isReading @8 :Bool;          # the sender reads the key-value service often
+                               # enough to have seen any change more than a few
+                               # seconds old
   zone @9 :UInt32;             # hash of the availability zone of roleLoads
   roleLoads @10 :List(RoleLoad);
-  storeEra @11 :UInt32;        # era of the store that the revisions belong to
+  storeEra @11 :UInt32;        # era of the key-value service that the revisions
+                               # belong to
 }
 
 struct RoleLoad {
   service @0 :UInt32;      # hash of the service's name
   isPrefill @1 :Bool;      # true for prefill engines, false for all others
   milliShare @2 :UInt16;   # mean share of occupied slots, x 1000
-  queueMs @3 :UInt16;      # mean time until the engines' steps reach a new prompt
+  queueMs @3 :UInt16;      # mean time until the engines start a new prompt
 }
 
 struct Demand {
@@ -37,10 +41,10 @@
 struct Placement {
   engine @0 :UInt32;      # hash of the engine's id and start
   workUs @1 :UInt32;      # engine time, microseconds
-  part @2 :UInt64;        # hash of the longest known chain, 0 for none
-  partTokens @3 :UInt32;  # length of the last part of that chain
-  ownTokens @4 :UInt32;   # other tokens that take up the engine's memory
-  before @5 :List(Part);  # long parts before that one, in order
+  part @2 :UInt64;        # key of the last long shared part, 0 for none
+  partTokens @3 :UInt32;  # length of that part
+  ownTokens @4 :UInt32;   # prompt tokens outside the long shared parts
+  before @5 :List(Part);  # long shared parts before that one, in order
 }
 
 struct Part {
--- a/src/mulberrywharf/peers/notice_codec.py
+++ b/src/mulberrywharf/peers/notice_codec.py
@@ -18,8 +18,8 @@
 
 LOADS_LIMIT_COUNT = 6
 """Maximum number of load reports in one notice, about 7 bytes each when packed.
-A gateway that receives 4 answers per second sends the reports of the last
-1.5 s."""
+Each engine's answer carries a load report, so a gateway that receives 4 answers
+per second sends the reports of the last 1.5 s."""
 
 _UINT16_LIMIT = 0xFFFF
 _MS_PER_S = 1000.0
@@ -35,8 +35,10 @@
     Attributes:
         engine_key: Key of the engine, see ``hash_server_start``.
         work_s: Engine time that the work takes, in seconds.
-        parts: Long prompt parts that the engine now holds, in order.
-        own_tokens: Number of other tokens that the engine now holds.
+        parts: Long shared parts of the prompt, in order, at least 1,000 tokens
+            each. The engine now holds them.
+        own_tokens: Number of prompt tokens outside these parts, which the
+            engine now holds as well.
     """
 
     engine_key: int
@@ -60,11 +62,12 @@
 
 
 class Demand(NamedTuple):
-    """Prefill work that the callers of one gateway request from a service.
+    """Prefill work that one gateway's callers request from a model service.
 
     Attributes:
         service_key: Key of the service, see ``hash_name``.
-        engines: Number of prefill engines that this work keeps busy.
+        engines: Number of prefill engines that this work keeps busy, with
+            fractions.
     """
 
     service_key: int
@@ -72,7 +75,7 @@
 
 
 class RoleLoad(NamedTuple):
-    """Mean load of a service's engines in one availability zone, by role.
+    """Mean load of a model service's engines in one zone, by role.
 
     Attributes:
         service_key: Key of the service, see ``hash_name``.
@@ -91,9 +94,9 @@
     Attributes:
         routes_revision: Revision of the latest change to the routes.
         servers_revision: Revision of the latest change to a server record.
-        is_reading: Whether the gateway reads the service so often that it
-            would have seen a later change.
-        era: Era of the service to which the revisions belong.
+        is_reading: Whether the gateway reads the key-value service often enough
+            to have seen any change more than a few seconds old.
+        era: Era of the key-value service to which the revisions belong.
     """
 
     routes_revision: int = 0
@@ -106,7 +109,7 @@
     """State that one gateway shares with others, and its recent placements.
 
     Attributes:
-        sender: Identifies the start of the sending process.
+        sender: Identifies the run of the sending process.
         sequence: Increases by one with each notice of a sender.
         placements: Work placed since the last notice.
         seen: The latest key-value service changes that the sender has seen.
@@ -138,9 +141,9 @@
 
 
 def hash_server_start(start: fleet.ServerStart) -> int:
-    """Returns the key of one start of a server.
+    """Returns the key of one run of a server's process.
 
-    Each start has its own key, so reports about an earlier start are ignored.
+    Each run has its own key, so reports about an earlier run are ignored.
     """
     return hash_name(str(start))
 
@@ -189,7 +192,7 @@
 
 
 def fit_datagram(placements: Iterable[Placement]) -> tuple[Placement, ...]:
-    """Returns as many of the first placements as fit in one datagram."""
+    """Returns the first placements, as many as fit in one datagram."""
     found = []
     room_count = PLACEMENTS_LIMIT_COUNT
     for placement in placements:
@@ -220,14 +223,14 @@
         wire_part.tokens = part.tokens
 
 
-def decode(datagram: bytes) -> Result[Notice, errors.BadFrameError]:
+def decode(body: bytes) -> Result[Notice, errors.BadFrameError]:
     """Decodes the body of a datagram.
 
     Returns:
         The notice, or an error if the bytes are not a valid notice.
     """
     try:
-        message = _SCHEMA.Notice.from_bytes_packed(datagram)
+        message = _SCHEMA.Notice.from_bytes_packed(body)
         return Ok(
             Notice(
                 message.sender,
@@ -250,7 +253,7 @@
             )
         )
     except (capnp.KjException, ValueError) as error:
-        return Err(errors.BadFrameError(f"not a notice: {error}"))
+        return Err(errors.BadFrameError(f"invalid notice: {error}"))
 
 
 def _decode_placement(wire: capnp.lib.capnp._DynamicStructReader) -> Placement:
--- a/src/mulberrywharf/peers/notices.py
+++ b/src/mulberrywharf/peers/notices.py
@@ -18,16 +18,17 @@
 from mulberrywharf.policy import part_caches
 
 BATCH_DELAY_S = 0.002
-"""Time for which placements are collected into one notice. It saves datagrams
-in a burst, and a delay of 2 ms does not distort the estimate of a queue of
-30 ms or more."""
+"""Delay before pending placements are sent together in one notice. It saves
+datagrams in a burst, and a delay of 2 ms does not distort the estimate of a
+queue of 30 ms or more."""
 
 ZONE_LOADS_INTERVAL_S = 1.0
-"""Interval at which a gateway sends the mean loads of its own zone's engines to
-one gateway of each other zone. If all zones have the same number of gateways,
-each gateway hears from each other zone about once per second. A notice takes
-about 80 bytes per zone, or 560 bytes/s with eight zones. The mix of requests
-shifts within three seconds, so older reports are of little use."""
+"""Interval at which a gateway sends role loads, the mean loads of its own
+zone's engines by role, to one gateway of each other zone. If all zones have the
+same number of gateways, each gateway hears from each other zone about once per
+second. A notice takes about 80 bytes per zone, or 560 bytes/s with eight zones.
+The mix of requests shifts within three seconds, so older reports are of little
+use."""
 
 LATE_S = 0.1
 """Notices that waited longer than this are logged, because queues of a few
@@ -35,7 +36,7 @@
 
 _wait_histogram = metrics.histogram(
     "mulberry_notice_wait_seconds",
-    "From the first placement of a notice until it left.",
+    "Time from the first placement in a notice until the notice is sent.",
 )
 
 
@@ -58,7 +59,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the store on behalf of others."""
+        """Whether this gateway reads the key-value service for others."""
         ...
 
     def addresses(self, availability_zone: str) -> tuple[fleet.Address, ...]:
@@ -66,7 +67,7 @@
         ...
 
     def pick_gateway_per_other_zone(self) -> tuple[fleet.Address, ...]:
-        """Returns one gateway of each zone that gets no notices of this one."""
+        """Returns one gateway of each other zone, none in a full mesh."""
         ...
 
     def receives_notices_for(self, availability_zone: str) -> bool:
@@ -98,7 +99,7 @@
         Args:
             listen: Address on which notices are received.
             peers: The other gateways.
-            sender: Identifies this start of the process.
+            sender: Identifies this run of the process.
             availability_zone: Zone of this gateway.
             system_clock: Measures waiting times and the byte budget.
         """
@@ -139,7 +140,7 @@
         demands: Callable[[], tuple[notice_codec.Demand, ...]] = tuple,
         role_loads: Callable[[], tuple[notice_codec.RoleLoad, ...]] = tuple,
     ) -> None:
-        """Sets the notice callback and the sources of this gateway's reports.
+        """Sets the callback for received notices and what this gateway sends.
 
         Args:
             on_notice: Called with each received notice.
@@ -158,7 +159,7 @@
         seen: Callable[[], notice_codec.SeenRevisions],
         on_seen: Callable[[notice_codec.SeenRevisions], None],
     ) -> None:
-        """Sets the callbacks for the key-value service state in notices.
+        """Sets the callbacks for the key-value service revisions in notices.
 
         Args:
             seen: Returns the latest changes that this gateway has seen.
@@ -190,7 +191,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the store on behalf of others."""
+        """Whether this gateway reads the key-value service for others."""
         return self._peers.is_reader
 
     @property
@@ -227,8 +228,10 @@
         Args:
             server: The engine.
             work_s: Engine time that the placement takes, in seconds.
-            parts: Long prompt parts that the engine now holds, in order.
-            own_tokens: Number of other tokens that it now holds.
+            parts: Long shared parts of the prompt, in order, which the engine
+                now holds.
+            own_tokens: Number of prompt tokens outside these parts, which it
+                now holds as well.
         """
         if self._pending_since_s is None:
             self._pending_since_s = self._clock.monotonic_s()
@@ -275,7 +278,7 @@
         changing: tuple[int, ...],
     ) -> None:
         self._sequence += 1
-        datagram = notice_codec.encode(
+        body = notice_codec.encode(
             notice_codec.Notice(
                 self._sender,
                 self._sequence,
@@ -286,12 +289,12 @@
                 changing,
             )
         )
-        self._send_to(self._peers.addresses(zone), datagram)
+        self._send_to(self._peers.addresses(zone), body)
         if zone == self._availability_zone:
             self._last_sent_s = self._clock.monotonic_s()
 
     def _send_role_loads(self) -> None:
-        """Sends the mean loads of this zone's engines to other zones."""
+        """Sends the role loads of this zone to other zones."""
         while True:
             gevent.sleep(ZONE_LOADS_INTERVAL_S)
             receivers = self._peers.pick_gateway_per_other_zone()
@@ -308,18 +311,16 @@
             )
             self._send_to(receivers, notice_codec.encode(notice))
 
-    def _send_to(
-        self, peers: tuple[fleet.Address, ...], datagram: bytes
-    ) -> None:
-        wait_s = self.socket.wait_s(datagram, len(peers))
+    def _send_to(self, peers: tuple[fleet.Address, ...], body: bytes) -> None:
+        wait_s = self.socket.wait_s(body, len(peers))
         if wait_s > 0:
             gevent.sleep(wait_s)
-        self.socket.send(b"n", datagram, peers)
+        self.socket.send(b"n", body, peers)
 
-    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = notice_codec.decode(datagram)
+    def _on_datagram(self, body: bytes, source: fleet.Address) -> bool:
+        decoded = notice_codec.decode(body)
         if isinstance(decoded, Err):
-            logger.warning("notice dropped: {}", decoded.err_value.message)
+            logger.warning("datagram dropped: {}", decoded.err_value.message)
             return False
         self._on_notice(decoded.ok_value)
         self._on_seen(decoded.ok_value.seen)
--- a/src/mulberrywharf/peers/queue.capnp
+++ b/src/mulberrywharf/peers/queue.capnp
@@ -11,7 +11,7 @@
 }
 
 struct Ask {
-  number @0 :UInt32;         # repeated in the answer
+  number @0 :UInt32;         # repeated in the reply
   priority @1 :UInt8;        # of the prompt to be placed; 0 is the most urgent
   engines @2 :List(UInt32);  # hashes of engine ids and starts
   parts @3 :List(UInt64);    # keys of the prompt's long shared parts, in order
@@ -31,13 +31,13 @@
 
 struct Work {
   engine @0 :UInt32;
-  sender @1 :UInt32;    # identifies the start of the sending process
+  sender @1 :UInt32;    # identifies the run of the sending process
   number @2 :UInt32;    # given to the prompt by the sender
   priority @3 :UInt8;
   matter @4 :Matter;
   workUs @5 :UInt32;    # duration of the prefill; only if placed
   parts @6 :List(Part); # long shared parts, in order; only if placed
-  ownTokens @7 :UInt32; # other tokens of the prompt; only if placed
+  ownTokens @7 :UInt32; # prompt tokens outside these parts; only if placed
 
   enum Matter {
     placed @0;
--- a/src/mulberrywharf/peers/queue_codec.py
+++ b/src/mulberrywharf/peers/queue_codec.py
@@ -14,7 +14,8 @@
 """Maximum number of engines in one question; a gateway owns a few queues."""
 
 PARTS_LIMIT_COUNT = 4
-"""Maximum number of a prompt's parts in one message, the same as in notices."""
+"""Maximum number of a prompt's long shared parts in one message, the same as in
+notices."""
 
 _UINT16_LIMIT = 0xFFFF
 _MS_PER_S = 1000.0
@@ -35,7 +36,7 @@
     """Asks how long a prompt would wait at engines and which parts they hold.
 
     Attributes:
-        number: Number of the question, repeated in the answer.
+        number: Number of the question, repeated in the reply.
         priority: Priority of the prompt; 0 is the most urgent.
         engine_keys: Keys of the engines, see
             ``notice_codec.hash_server_start``.
@@ -66,7 +67,7 @@
 
 
 class Waits(NamedTuple):
-    """The answer to a question.
+    """The reply to a question.
 
     Attributes:
         number: Number of the question.
@@ -82,13 +83,14 @@
 
     Attributes:
         engine_key: Key of the engine, see ``notice_codec.hash_server_start``.
-        sender: Identifies the start of the process that placed the prompt.
+        sender: Identifies the run of the process that placed the prompt.
         number: Number that the sender gave the prompt.
         event: The state change.
         priority: Priority of the prompt; 0 is the most urgent.
         work_s: Duration of its prefill in seconds; only if placed.
-        parts: Its long shared parts, in order; only if placed.
-        own_tokens: Number of its other tokens; only if placed.
+        parts: Its long shared parts, in order, at least 1,000 tokens each; only
+            if placed.
+        own_tokens: Number of its tokens outside these parts; only if placed.
     """
 
     engine_key: int
@@ -127,9 +129,9 @@
 
 @_encode_into.register
 def _(message: Waits, wire: Any) -> None:
-    answer = wire.init("waits")
-    answer.number = message.number
-    waits = answer.init("waits", len(message.waits))
+    reply = wire.init("waits")
+    reply.number = message.number
+    waits = reply.init("waits", len(message.waits))
     for wire_wait, wait in zip(waits, message.waits, strict=True):
         wire_wait.engine = wait.engine_key
         wire_wait.waitMs = _to_ms(wait.wait_s)
@@ -162,14 +164,14 @@
     return max(0, min(int(seconds * _MS_PER_S), _UINT16_LIMIT))
 
 
-def decode(datagram: bytes) -> Result[QueueMessage, errors.BadFrameError]:
+def decode(body: bytes) -> Result[QueueMessage, errors.BadFrameError]:
     """Decodes the body of a datagram.
 
     Returns:
         The message, or an error if the bytes are not a valid message.
     """
     try:
-        wire = _SCHEMA.QueueMessage.from_bytes_packed(datagram)
+        wire = _SCHEMA.QueueMessage.from_bytes_packed(body)
         kind = str(wire.which())
         if kind == "ask":
             return Ok(_decode_ask(wire.ask))
@@ -177,7 +179,7 @@
             return Ok(_decode_waits(wire.waits))
         return Ok(_decode_work(wire.work))
     except (capnp.KjException, ValueError) as error:
-        return Err(errors.BadFrameError(f"not a queue message: {error}"))
+        return Err(errors.BadFrameError(f"invalid queue message: {error}"))
 
 
 def _decode_ask(wire: Any) -> WaitQuery:
--- a/src/mulberrywharf/peers/queue_owners.py
+++ b/src/mulberrywharf/peers/queue_owners.py
@@ -1,17 +1,19 @@
-"""Tracks each engine's queue at one gateway, its owner, which the others ask.
+"""Tracks each engine's queue at one gateway, called the owner of the queue.
+
+The other gateways ask the owner how long a prompt would wait at the engine.
 
 Sending each placement to every gateway costs bytes in proportion to the square
 of their number. With more than about 20 gateways, notices wait a second or more
-for the byte budget, and queues of a few tenths of a second are over before
-others learn of them. Gateways then send to engines that look idle but are not,
-and half of all long prompts are answered late. Here, a placement is reported
-only to the owner of the engine's queue, and a gateway that has a prompt asks
-the owners of the best engines. The cost of this does not depend on the number
-of gateways.
+for the byte budget, and queues of a few tenths of a second have been processed
+before others learn of them. Gateways then send to engines that look idle but
+are not, and half of all long prompts are answered late. Here, a placement is
+reported only to the owner of the engine's queue, and a gateway that has a
+prompt asks the owners of the best engines. The cost of this does not depend on
+the number of gateways.
 
 Owners are chosen by rendezvous hashing over the gateways of the engine's
 availability zone, without an election. Correctness never depends on them. If an
-owner does not answer within a few milliseconds because it has stopped, hangs or
+owner does not reply within a few milliseconds because it has stopped, hangs or
 is partitioned, the asking gateway uses its own estimate. A new owner reports
 for how long it has been counting. If two gateways are both taken for the owner,
 each knows a part of the queue.
@@ -32,18 +34,20 @@
 from mulberrywharf.policy import part_caches, prefill_queue
 
 REPLY_TIMEOUT_S = 0.02
-"""Maximum time to wait for answers. A round trip between availability zones
+"""Maximum time to wait for replies. A round trip between availability zones
 takes about 2 ms, and a busy gateway a few ms more. Callers wait on the order of
 100 ms for their first token."""
 
 QUEUE_COMPLETE_AFTER_S = 1.0
-"""Counting time after which an owner's wait is complete. A wait from an owner
-that has counted for less is used only if it exceeds the asking gateway's own
-estimate. Queues longer than this are rare, because callers are refused then."""
+"""Time for which an owner must have counted before the wait that it reports
+includes all work. A wait from an owner that has counted for less is used only
+if it exceeds the asking gateway's own estimate. Queues longer than this are
+rare, because callers are refused then."""
 
 PARTS_COMPLETE_AFTER_S = 10.0
-"""Counting time after which an owner is assumed to know all parts that an
-engine holds: older parts have been used since, or will be evicted soon."""
+"""Time for which an owner must have counted before it is assumed to know all
+parts that an engine holds: older parts have been used since, or will be evicted
+soon."""
 
 IDLE_QUEUE_TIMEOUT_S = 10.0
 """Time without new work after which an engine's queue is assumed to be empty.
@@ -51,11 +55,13 @@
 
 ENGINES_PER_OWNER_COUNT = 3
 """Average number of engines whose queues one gateway owns. A question about a
-few engines costs about the same as one about a single engine, and the best of
-eight known engines is far better than the best of three."""
+few engines costs about the same as one about a single engine. With three owners
+asked, a prompt's waits are known for about nine engines. The best of eight
+known engines is far better than the best of three."""
 
 MAX_ASKED_OWNERS_COUNT = 3
-"""Number of owners that are asked for one prompt within the byte budget."""
+"""Maximum number of owners that are asked for one prompt within the byte
+budget."""
 
 MAX_ASKED_OWNERS_OVER_BUDGET_COUNT = 1
 """The same while the byte budget is exhausted. One owner is still asked,
@@ -70,7 +76,7 @@
 
 _asked_total = metrics.counter(
     "mulberry_queue_asks_total",
-    "Questions for an engine's queue, by whether an answer came in time.",
+    "Rounds of questions to queue owners, by whether all replied in time.",
 )
 
 
@@ -103,8 +109,8 @@
     number: int
 
 
-class Parts(Protocol):
-    """Prompt parts that engines hold, as far as this gateway knows."""
+class HeldParts(Protocol):
+    """Long shared parts that engines hold, as far as this gateway knows."""
 
     def record_remote_prompt(
         self,
@@ -112,7 +118,13 @@
         parts: tuple[part_caches.HeldPart, ...],
         own_tokens: int,
     ) -> None:
-        """Records what another gateway's prompt leaves at an engine."""
+        """Records what an engine holds after another gateway's prompt.
+
+        Args:
+            engine_key: Key of the engine.
+            parts: The long shared parts of the prompt.
+            own_tokens: Number of prompt tokens outside these parts.
+        """
         ...
 
     def held_count(self, engine_key: int, part_keys: Sequence[int]) -> int:
@@ -120,7 +132,7 @@
         ...
 
 
-class Directory(Protocol):
+class Peers(Protocol):
     """The other gateways."""
 
     @property
@@ -133,19 +145,19 @@
         engine_key: int,
         availability_zone: str,
         owners_count: int,
-        kind: str,
+        role: str,
     ) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway."""
         ...
 
 
 class _PendingQuestion:
-    """A question that still waits for answers."""
+    """A question that still waits for replies."""
 
     def __init__(self, owners: frozenset[fleet.Address]):
         self.owners = set(owners)
         self.waits: list[queue_codec.EngineWait] = []
-        self.is_answered = gevent.event.Event()
+        self.is_complete = gevent.event.Event()
 
 
 class QueueOwners:
@@ -153,7 +165,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        peers: Peers,
         socket: datagrams.PeerSocket,
         sender: int,
         system_clock: clock.Clock,
@@ -161,60 +173,60 @@
         """Creates it and registers it with the socket.
 
         Args:
-            directory: The other gateways.
+            peers: The other gateways.
             socket: Carries the messages; the caller starts it.
-            sender: Identifies this start of the process.
+            sender: Identifies this run of the process.
             system_clock: Measures the queues.
         """
-        self._directory = directory
+        self._peers = peers
         self._socket = socket
         self._sender = sender
         self._clock = system_clock
         self._queues: dict[int, prefill_queue.PrefillQueue] = {}
-        self._parts: Parts | None = None
+        self._parts: HeldParts | None = None
         self._questions: dict[int, _PendingQuestion] = {}
         self._owners_counts: dict[tuple[str, fleet.Role | None], int] = {}
         self._numbers = itertools.count(1)
         socket.set_handler(b"q", self._on_datagram)
 
-    def set_parts(self, parts: Parts) -> None:
+    def set_parts(self, parts: HeldParts) -> None:
         """Sets the record of the parts that engines hold."""
         self._parts = parts
 
     @property
     def is_used(self) -> bool:
         """Whether the fleet is so large that owners track the queues."""
-        return not self._directory.is_full_mesh
+        return not self._peers.is_full_mesh
 
-    def set_engines(self, known: Sequence[fleet.Server]) -> None:
-        """Sets the engines; the owners are chosen for each zone and role.
+    def set_engines(self, engines: Sequence[fleet.Server]) -> None:
+        """Replaces the engines whose queues have owners.
 
-        A question then covers engines of one role, which are the alternatives
-        for most prompts.
+        Owners are chosen per zone and role, so that one question covers engines
+        that are alternatives for the same prompt.
         """
         counts = collections.Counter(
             (server.availability_zone, server.role)
-            for server in known
+            for server in engines
             if server.role is not None
         )
         self._owners_counts = {
-            kind: math.ceil(count / ENGINES_PER_OWNER_COUNT)
-            for kind, count in counts.items()
+            zone_and_role: math.ceil(count / ENGINES_PER_OWNER_COUNT)
+            for zone_and_role, count in counts.items()
         }
 
     def queue_owner(self, server: fleet.Server) -> fleet.Address | None:
         """Returns the owner of an engine's queue, None for this gateway."""
-        kind = server.availability_zone, server.role
-        return self._directory.queue_owner(
+        zone_and_role = server.availability_zone, server.role
+        return self._peers.queue_owner(
             notice_codec.hash_server_start(server.start),
             server.availability_zone,
-            self._owners_counts.get(kind, 1),
+            self._owners_counts.get(zone_and_role, 1),
             server.role or "",
         )
 
     @property
     def max_asked_owners_count(self) -> int:
-        """Number of owners that may be asked for one prompt now."""
+        """Maximum number of owners that may be asked for one prompt now."""
         has_bytes = self._socket.budget.level > 0
         return (
             MAX_ASKED_OWNERS_COUNT
@@ -237,7 +249,7 @@
 
         Returns:
             The waits that arrived in time. Engines are missing if their owner
-            did not answer.
+            did not reply.
         """
         start_by_key = {
             notice_codec.hash_server_start(engine.start): engine.start
@@ -274,7 +286,7 @@
             work_s: Duration of the prompt's prefill in seconds.
             priority: Priority of the prompt; 0 is the most urgent.
             parts: Its long shared parts, in order.
-            own_tokens: Number of its other tokens.
+            own_tokens: Number of its tokens outside these parts.
         """
         number = next(self._numbers) % _NUMBERS_COUNT
         placement_id = PlacementId(server, number)
@@ -327,10 +339,10 @@
                 )
                 self._socket.send(b"q", queue_codec.encode(ask), (owner,))
         try:
-            is_answered = question.is_answered.wait(REPLY_TIMEOUT_S)
+            is_complete = question.is_complete.wait(REPLY_TIMEOUT_S)
         finally:
             del self._questions[number]
-        result = "answered" if is_answered else "silent"
+        result = "answered" if is_complete else "silent"
         _asked_total.inc({"result": result})
         return question.waits
 
@@ -351,26 +363,24 @@
         else:
             self._socket.send(b"q", queue_codec.encode(work), (owner,))
 
-    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = queue_codec.decode(datagram)
+    def _on_datagram(self, body: bytes, source: fleet.Address) -> bool:
+        decoded = queue_codec.decode(body)
         if isinstance(decoded, Err):
-            logger.warning("message dropped: {}", decoded.err_value.message)
+            logger.warning("datagram dropped: {}", decoded.err_value.message)
             return False
         match decoded.ok_value:
             case queue_codec.WaitQuery() as ask:
-                self._answer(ask, source)
+                self._reply(ask, source)
             case queue_codec.Waits() as waits:
                 self._on_waits(waits, source)
             case queue_codec.PromptUpdate() as work:
                 self._record(work)
         return True
 
-    def _answer(
-        self, ask: queue_codec.WaitQuery, source: fleet.Address
-    ) -> None:
+    def _reply(self, ask: queue_codec.WaitQuery, source: fleet.Address) -> None:
         waits = self._local_waits(ask.engine_keys, ask.priority, ask.part_keys)
-        answer = queue_codec.Waits(ask.number, tuple(waits))
-        self._socket.send(b"q", queue_codec.encode(answer), (source,))
+        reply = queue_codec.Waits(ask.number, tuple(waits))
+        self._socket.send(b"q", queue_codec.encode(reply), (source,))
 
     def _local_waits(
         self,
@@ -403,29 +413,29 @@
         self, waits: queue_codec.Waits, source: fleet.Address
     ) -> None:
         question = self._questions.get(waits.number)
-        # The question is missing if the answer arrived too late.
+        # The question is missing if the reply arrived too late.
         if question is None or source not in question.owners:
             return
         question.owners.discard(source)
         question.waits += waits.waits
         if not question.owners:
-            question.is_answered.set()
+            question.is_complete.set()
 
     def _record(self, work: queue_codec.PromptUpdate) -> None:
         now_s = self._clock.monotonic_s()
         queue = self._get_or_create_queue(work.engine_key, now_s)
-        placement = work.sender, work.number
+        placement_id = work.sender, work.number
         match work.event:
             case "placed":
-                queue.add(placement, work.work_s, work.priority, now_s)
+                queue.add(placement_id, work.work_s, work.priority, now_s)
                 if self._parts is not None and work.sender != self._sender:
                     self._parts.record_remote_prompt(
                         work.engine_key, work.parts, work.own_tokens
                     )
             case "read":
-                queue.finish(placement, now_s)
+                queue.finish(placement_id, now_s)
             case "withdrawn":
-                queue.withdraw(placement, now_s)
+                queue.withdraw(placement_id, now_s)
 
     def _get_or_create_queue(
         self, key: int, now_s: float
--- a/src/mulberrywharf/peers/revision_exchange.py
+++ b/src/mulberrywharf/peers/revision_exchange.py
@@ -1,12 +1,12 @@
 """Exchanges the latest key-value service revisions between gateways.
 
-The service may silently drop a waiting watch, which then delivers no change
-until it is reopened. If each gateway reopens its two watches every two seconds,
-this takes three quarters of what a fleet pays for calls. Therefore only a few
-gateways, the readers, reopen theirs that often. They send the others the
-revisions that they have seen, and heartbeats that they are still reading. The
-other gateways let their watches wait as long as the service allows. A reader's
-notice shows them that a watch was dropped, and they reopen it at once.
+The key-value service may silently drop a waiting watch, which then delivers no
+change until it is reopened. If each gateway reopens its two watches every two
+seconds, this takes three quarters of what a fleet pays for calls. Therefore
+only a few gateways, the readers, reopen theirs that often. They send the others
+the revisions that they have seen, and heartbeats that they are still reading.
+The other gateways let their watches wait as long as the service allows. A
+reader's notice shows them that a watch was dropped, and they reopen it at once.
 
 Correctness never depends on a reader. A gateway that hears from no active
 reader, because the readers have stopped, hang, are partitioned or are rejected
@@ -38,7 +38,7 @@
 HEARTBEAT_INTERVAL_S = 1.5
 """Interval at which a reader notifies its peers that it is reading, unless
 another notice has done so. With 40 peers and about 70 bytes each, this takes
-1,900 of the 2,000 bytes/s that a node may send."""
+1,900 of the 2,000 bytes/s that a gateway may send."""
 
 READER_TIMEOUT_S = 4.0
 """Time after its last notice for which a reader is assumed to be active. With
@@ -52,11 +52,13 @@
 REOPEN_DELAY_S = 0.3
 """Delay from a peer's notice of a change until a watch that has not delivered
 it is reopened. A working watch starts to deliver a change within a few ms of
-its peers'; one that is still receiving changes is not interrupted."""
+the peers' watches. A watch that is still receiving changes is not
+interrupted."""
 
 MIN_REOPEN_INTERVAL_S = 2.0
-"""Minimum time between two such reopenings of a watch. It leaves a new call
-time to be answered: on a saturated 5 Mbit/s link, the answer may start late."""
+"""Minimum time between two reopenings of a watch because of a peer's notice. It
+leaves a new call time to be answered: on a saturated 5 Mbit/s link, the answer
+may start late."""
 
 NOTICE_DELAY_RANGE_S = (0.05, 0.25)
 """Range of the random delay after which a gateway notifies its peers of a
@@ -69,7 +71,7 @@
 
 _waiting_long_gauge = metrics.gauge(
     "mulberry_watches_waiting_long",
-    "1 while this node's watches wait long, as it hears from a reader.",
+    "1 while watches use long timeouts because a reader is active, else 0.",
 )
 
 
@@ -78,7 +80,7 @@
 
     @property
     def age_s(self) -> float:
-        """Time since the service last answered the watch, in seconds."""
+        """Seconds since the key-value service last answered the watch."""
         ...
 
     @property
@@ -111,7 +113,7 @@
 
     @property
     def is_reader(self) -> bool:
-        """Whether this gateway reads the service on behalf of others."""
+        """Whether this gateway reads the key-value service for others."""
         ...
 
     def set_seen_callbacks(
@@ -143,9 +145,9 @@
 
         Args:
             notices: Exchanges notices with other gateways.
-            watches: Returns the watches, keyed by the ``codec.SeenRevisions``
-                field that holds their revision.
-            era: Returns the newest era of the service that was seen.
+            watches: Returns the watches, keyed by the
+                ``notice_codec.SeenRevisions`` field that holds their revision.
+            era: Returns the newest era of the key-value service that was seen.
         """
         self._notices = notices
         self._watches = watches
@@ -159,11 +161,11 @@
         notices.set_seen_callbacks(self.seen, self.on_seen)
 
     def start(self) -> None:
-        """Starts monitoring the readers, and sending heartbeats as a reader."""
+        """Starts the task that checks the readers and sends heartbeats."""
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Stops both."""
+        """Stops the task."""
         if self._task is not None:
             self._task.kill()
 
@@ -175,8 +177,10 @@
         """Returns how long the watch of the routes may currently wait.
 
         Operators are promised that changed routes are in force within 3 s after
-        the service drops its watches, including on gateways that learn of the
-        change from a reader.
+        the key-value service drops its watches, see
+        ``watch.SHORT_SILENCE_TIMEOUT_S``, also on gateways that learn of the
+        change from a reader. A gateway that does not wait long therefore
+        reopens this watch sooner than its others.
         """
         return LONG_TIMEOUTS if self._waits_long else watch.SHORTEST_TIMEOUTS
 
@@ -192,7 +196,7 @@
     def _is_reading(self, watches: Mapping[str, WatchState]) -> bool:
         # A gateway that relies on a reader may just have received an answer,
         # but its next one may take long, so others must not rely on it.
-        ages_s = [watched.age_s for watched in watches.values()]
+        ages_s = [watch_state.age_s for watch_state in watches.values()]
         is_fresh = bool(ages_s) and max(ages_s) <= READING_AGE_S
         return is_fresh and not self._waits_long
 
@@ -228,32 +232,35 @@
             return
         # The calls may still wait for up to half a minute, and the service may
         # have silently dropped the watches in the meantime.
-        for watched in self._watches().values():
-            watched.reopen_if_waiting()
+        for watch_state in self._watches().values():
+            watch_state.reopen_if_waiting()
 
     def on_seen(self, seen: notice_codec.SeenRevisions) -> None:
         """Processes the latest changes that a peer has seen.
 
         Revisions of different eras are not comparable. A peer in an older era
-        has not yet noticed that the service was restored from an older copy;
-        relying on it as a reader would mean waiting for outdated changes. A
-        peer in a newer era does not prove a restore. The watches are reopened,
-        because only the service's own answer does.
+        has not yet noticed that the key-value service was restored from an
+        older copy; a gateway that relied on it as a reader would wait for
+        outdated changes. A peer in a newer era does not prove a restore; only
+        an answer of the service proves it, so the watches are reopened.
         """
         if seen.era < self._era():
             return
         if seen.era > self._era():
-            for name, watched in self._watches().items():
-                self._reopen(name, watched, getattr(seen, name), seen.era)
+            for name, watch_state in self._watches().items():
+                self._reopen(name, watch_state, getattr(seen, name), seen.era)
             return
         if seen.is_reading:
             self._reader_heard_at_s = time.monotonic()
-        for name, watched in self._watches().items():
+        for name, watch_state in self._watches().items():
             revision = getattr(seen, name)
-            if revision >= watched.changed_revision:
+            if revision >= watch_state.changed_revision:
                 key = (name, seen.era, revision)
                 self._notice_counts[key] = self._notice_counts.get(key, 0) + 1
-            if revision > watched.seen_revision and name not in self._pending:
+            if (
+                revision > watch_state.seen_revision
+                and name not in self._pending
+            ):
                 self._pending.add(name)
                 gevent.spawn_later(
                     REOPEN_DELAY_S, self._reopen_if_behind, name, revision
@@ -267,13 +274,13 @@
 
     def _reopen_if_behind(self, name: str, revision: int) -> None:
         self._pending.discard(name)
-        watched = self._watches().get(name)
-        if watched is None or watched.seen_revision >= revision:
+        watch_state = self._watches().get(name)
+        if watch_state is None or watch_state.seen_revision >= revision:
             return
-        self._reopen(name, watched, revision, self._era())
+        self._reopen(name, watch_state, revision, self._era())
 
     def _reopen(
-        self, name: str, watched: WatchState, revision: int, era: int
+        self, name: str, watch_state: WatchState, revision: int, era: int
     ) -> None:
         now_s = time.monotonic()
         last_s = self._reopened_at_s.get(name, float("-inf"))
@@ -284,19 +291,19 @@
             matter=name,
             heard=revision,
             heard_era=era,
-            seen=watched.seen_revision,
+            seen=watch_state.seen_revision,
             seen_era=self._era(),
         ).warning("peers know of a change that the watch did not bring")
-        watched.reopen_if_waiting()
+        watch_state.reopen_if_waiting()
 
     def _send_if_needed(self) -> None:
         current = self._watches()
         if any(
             self._notice_counts.get(
-                (name, self._era(), watched.changed_revision), 0
+                (name, self._era(), watch_state.changed_revision), 0
             )
             < SUFFICIENT_NOTICES_COUNT
-            for name, watched in current.items()
+            for name, watch_state in current.items()
         ):
             self._notices.send_now()
         self._notice_counts = {
--- a/src/mulberrywharf/peers/usage.capnp
+++ b/src/mulberrywharf/peers/usage.capnp
@@ -10,13 +10,14 @@
 
 struct Announcement {
   number @0 :UInt64;          # fencing number of the collector
-  reportedWindow @1 :UInt64;  # counts up to this window are not needed
+  reportedWindow @1 :UInt64;  # last window whose report is recorded; counts up
+                              # to it are not needed
 }
 
 struct Counts {
   incarnation @0 :UInt32;     # identifies one run of the gateway
   window @1 :UInt64;
-  isFinal @2 :Bool;           # whether the window had ended
+  isFinal @2 :Bool;           # whether the counts will not change any more
   customers @3 :List(Customer);
   totalCount @4 :UInt64;      # requests of all customers, including those in
                               # other messages on this window
--- a/src/mulberrywharf/peers/usage_codec.py
+++ b/src/mulberrywharf/peers/usage_codec.py
@@ -25,7 +25,8 @@
 
     Attributes:
         number: Fencing number of the collector; the highest one wins.
-        reported_window: Counts up to this window are no longer needed.
+        reported_window: The last window whose report is recorded, see
+            ``usage_exchange``. Counts up to this window are no longer needed.
     """
 
     number: int
@@ -38,7 +39,7 @@
     Attributes:
         incarnation: Identifies one run of the gateway.
         window: Window number.
-        is_final: Whether the window had ended.
+        is_final: Whether these counts will not change any more.
         by_customer: Started requests of some or all customers.
         total_count: Started requests of all customers.
     """
@@ -51,21 +52,21 @@
 
 
 def split_counts(counts: Counts) -> Iterator[Counts]:
-    """Yields at least one part, each small enough for a datagram."""
-    part: dict[str, int] = {}
+    """Yields at least one batch, each small enough for a datagram."""
+    batch: dict[str, int] = {}
     size_bytes = 0
     for name, count in counts.by_customer.items():
         cost_bytes = len(name.encode()) + _ENTRY_OVERHEAD_BYTES
-        if part and size_bytes + cost_bytes > COUNTS_LIMIT_BYTES:
-            yield counts._replace(by_customer=part)
-            part, size_bytes = {}, 0
-        part[name] = count
+        if batch and size_bytes + cost_bytes > COUNTS_LIMIT_BYTES:
+            yield counts._replace(by_customer=batch)
+            batch, size_bytes = {}, 0
+        batch[name] = count
         size_bytes += cost_bytes
-    yield counts._replace(by_customer=part)
+    yield counts._replace(by_customer=batch)
 
 
 def encode_announcement(announcement: Announcement) -> bytes:
-    """Encodes an announcement as a datagram."""
+    """Encodes an announcement as the body of a datagram."""
     message = _SCHEMA.UsageMessage.new_message()
     wire = message.init("announcement")
     wire.number = announcement.number
@@ -74,7 +75,7 @@
 
 
 def encode_counts(counts: Counts) -> bytes:
-    """Encodes counts as a datagram."""
+    """Encodes counts as the body of a datagram."""
     message = _SCHEMA.UsageMessage.new_message()
     wire = message.init("counts")
     wire.incarnation = counts.incarnation
@@ -91,15 +92,15 @@
 
 
 def decode(
-    datagram: bytes,
+    body: bytes,
 ) -> Result[Announcement | Counts, errors.BadFrameError]:
-    """Decodes a datagram.
+    """Decodes the body of a datagram.
 
     Returns:
-        The message, or an error if the datagram is invalid.
+        The message, or an error if the body is invalid.
     """
     try:
-        message = _SCHEMA.UsageMessage.from_bytes_packed(datagram)
+        message = _SCHEMA.UsageMessage.from_bytes_packed(body)
         if message.which() == "announcement":
             wire = message.announcement
             return Ok(Announcement(wire.number, wire.reportedWindow))
--- a/src/mulberrywharf/peers/usage_exchange.py
+++ b/src/mulberrywharf/peers/usage_exchange.py
@@ -1,6 +1,7 @@
-"""Sends usage counts of all gateways to the one that reports them.
+"""Sends usage counts of all gateways to the collector, which reports them.
 
-The collector announces itself. The other gateways send it their counts of each
+The collector announces itself. A window is reported once the collector has
+recorded its usage report. The other gateways send it their counts of each
 unreported window, once a second if they have changed and once more after the
 window has ended. Counts never decrease, so late or duplicate datagrams have no
 effect, a lost one is superseded by the next, and a new collector receives all
@@ -23,20 +24,21 @@
 gateway fails."""
 
 FINAL_COUNTS_DELAY_S = 0.3
-"""Delay after the end of a window before its counts are final. Allows for clock
-skew; a request is counted only when its response starts."""
+"""Delay after the end of a window before its counts are final. It allows for
+clock skew. It need not cover requests in flight, because a request is counted
+in the window in which its response starts."""
 
 EMPTY_WINDOWS_LIMIT_COUNT = 3
 """Maximum number of windows without requests that are sent in reply to an
 announcement."""
 
 PEER_DISCOVERY_S = 8.0
-"""Time after startup in which not all peers may be known; the peer directory is
-read twice in this period."""
+"""Time after startup during which some peers may still be unknown; the peer
+directory is read twice in this period."""
 
 _sent_total = metrics.counter(
     "mulberry_usage_counts_told_total",
-    "Counts of a window that were sent to the gateway that reports them.",
+    "Counts of a window that were sent to the collector, which reports them.",
 )
 
 
@@ -108,15 +110,15 @@
 
     @property
     def reported_window(self) -> int:
-        """Highest window that a collector announced as recorded, -1 if none."""
+        """Last reported window that a collector announced, -1 if none."""
         return self._reported_window
 
     def announce(self, number: int, reported_window: int) -> None:
         """Announces this gateway to the others as the collector.
 
         Args:
-            number: Its fencing number.
-            reported_window: Last window whose report is recorded.
+            number: Fencing number of this gateway as the collector.
+            reported_window: The last reported window.
         """
         self._set_collector(None, number, reported_window)
         announcement = usage_codec.Announcement(number, reported_window)
@@ -132,8 +134,8 @@
         """Sends an announcement to gateways whose final counts are missing.
 
         Args:
-            number: Its fencing number.
-            reported_window: Last window whose report is recorded.
+            number: Fencing number of this gateway as the collector.
+            reported_window: The last reported window.
             window: The window whose counts are requested.
         """
         missing = self._missing_addresses(window)
@@ -206,18 +208,16 @@
         whole = usage_codec.Counts(
             self._incarnation, window, is_final, counts, sum(counts.values())
         )
-        for part in usage_codec.split_counts(whole):
+        for batch in usage_codec.split_counts(whole):
             self._socket.send(
-                b"u", usage_codec.encode_counts(part), (self._collector,)
+                b"u", usage_codec.encode_counts(batch), (self._collector,)
             )
         _sent_total.inc({})
 
-    def _on_datagram(self, datagram: bytes, source: fleet.Address) -> bool:
-        decoded = usage_codec.decode(datagram)
+    def _on_datagram(self, body: bytes, source: fleet.Address) -> bool:
+        decoded = usage_codec.decode(body)
         if isinstance(decoded, Err):
-            logger.warning(
-                "invalid usage datagram dropped: {}", decoded.err_value.message
-            )
+            logger.warning("datagram dropped: {}", decoded.err_value.message)
             return False
         message = decoded.ok_value
         if isinstance(message, usage_codec.Announcement):
--- a/tests/router_without.py
+++ b/tests/router_without.py
@@ -102,11 +102,11 @@
             if "ended before [DONE]" not in error.message:
                 raise
             stream._failed = False
-            stream._done = True
+            stream._has_done_event = True
             return []
 
     def end(stream: Any) -> None:
-        stream._done = True
+        stream._has_done_event = True
 
     _patch(streams.EngineStream, "_read_events", read_truncated)
     _patch(streams.EngineStream, "_end", end)
--- a/tests/test_role_orders.py
+++ b/tests/test_role_orders.py
@@ -52,7 +52,7 @@
                 sock.settimeout(5)
                 sock.sendall(
                     test_gateway.request(
-                        "/stream/x", fields=test_gateway.TOKENS
+                        "/stream/x", fields=test_gateway.PROMPT_FIELDS
                     )
                 )
                 test_gateway.read_to_end(sock)
