--- a/src/mulberrywharf/authority/duty_holder.py
+++ b/src/mulberrywharf/authority/duty_holder.py
@@ -1,20 +1,23 @@
-"""Assigns a duty to one gateway at a time through a lease in the store.
+"""Assigns a duty to one gateway at a time through a lease.
 
-The duties are ordering engine roles and calling the operators' platform.
+The lease is one of the key-value service. The duties are ordering engine roles
+and calling the operators' platform. "Request" stands here for what a holder
+sends: an order to an engine, or a call to the platform.
 
-An engine that does not check fencing numbers executes every order it receives.
-So a holder must not send an order after its lease has ended, and the next
-holder must not send one while an order of the previous holder may still be in
+A receiver that does not check fencing numbers executes every request. So a
+holder must not send a request after its lease has ended, and the next holder
+must not send one while a request of the previous holder may still be in
 transit:
 
 - The holder owns a key attached to a lease. Its fencing number combines the
-  store's era with the revision that created the key. A store that is restored
-  from an older copy assigns revisions again, but its era increases. The number
-  therefore increases from holder to holder.
-- The holder records an order before it sends it, in a write that fails if it no
-  longer owns the key. It checks the lease again right before the first byte.
+  era of the key-value service with the revision that created the key. A service
+  that is restored from an older copy assigns revisions again, but its era
+  increases. The number therefore increases from holder to holder.
+- The holder records a request before it sends it, in a write that fails if it
+  no longer owns the key. It checks the lease again right before the first byte.
 - A new holder that may follow another one first waits for longer than the
-  lease plus the time that unacknowledged bytes of an order can be delivered.
+  lease plus the time for which unacknowledged bytes of a request can be
+  delivered.
 
 A process that is suspended between the check and the send can still send late.
 The lease is measured by a clock that keeps counting while the machine is
@@ -34,21 +37,23 @@
 from mulberrywharf.authority import takeover_delay
 from mulberrywharf.platform_service import era, key_value, lease
 
-PURPOSE = "roles"
-KEY_PREFIX = "mulberrywharf/roles/"
+_ROLES_DUTY_NAME = "roles"
+_ROLES_KEY_PREFIX = "mulberrywharf/roles/"
 
 USER_TIMEOUT_S = 0.5
-"""TCP user timeout of order connections: how long unacknowledged bytes are
-retransmitted. A working engine responds within milliseconds."""
+"""TCP user timeout: how long sent bytes of a request may stay unacknowledged.
+
+Also the timeout of the connect and of each read. A working engine responds
+within milliseconds."""
 
 ERA_NUMBERS_COUNT = 2**32
-"""Fencing numbers reserved for one era, more than the revisions that a store
-assigns. Two million eras fit into the 53 bits that every JSON parser reads
-exactly."""
+"""Fencing numbers reserved for one era, more than the revisions that a
+key-value service assigns. Two million eras fit into the 53 bits that every JSON
+parser reads exactly."""
 
 NON_CANDIDATE_INTERVAL_FACTOR = 4.0
-"""Multiplies the check interval of VMs that are not candidates, because each
-check costs a call to the store."""
+"""Multiplies the check interval of gateways that are not candidates, because
+each check loads the key-value service."""
 
 CLOCK_MARGIN_S = 0.5
 """Maximum drift between the clocks of two VMs during one lease."""
@@ -58,11 +63,12 @@
     """A task that one gateway at a time performs for the fleet.
 
     Attributes:
-        name: Name in logs; also the purpose of calls to the store.
-        key_prefix: Prefix of its keys in the store.
+        name: Name in logs; also the purpose of calls to the key-value
+            service.
+        key_prefix: Prefix of its keys in the key-value service.
         is_fencing_checked: Whether the receiver rejects a fencing number lower
             than one it has seen. If so, a new holder does not wait until
-            orders of the previous holder can no longer arrive.
+            requests of the previous holder can no longer arrive.
     """
 
     name: str
@@ -80,7 +86,7 @@
         return self.key_prefix + "record"
 
 
-ROLES_DUTY = Duty(PURPOSE, KEY_PREFIX)
+ROLES_DUTY = Duty(_ROLES_DUTY_NAME, _ROLES_KEY_PREFIX)
 
 
 class HolderTiming(NamedTuple):
@@ -88,14 +94,14 @@
 
     Attributes:
         lease_ttl_s: Length of the lease. It is renewed every third of this
-            time, and each renewal costs a tenth of a call. A failed holder is
-            replaced after this time at the earliest; roles do not change until
-            then.
+            time, and each renewal costs the key-value service a tenth of a
+            regular call. A failed holder is replaced after this time at the
+            earliest; roles do not change until then.
         first_check_max_delay_s: Maximum random delay before the first check
-            whether the key is held. Gateways start at the same time; with the
-            delay, most find that another one already holds the key.
+            whether the holder key exists. Gateways start at the same time; with
+            the delay, most find that another one already holds the key.
         check_interval_s: Interval between two checks. A check may read stale
-            data and costs a tenth of a call.
+            data and costs the key-value service a tenth of a regular call.
     """
 
     lease_ttl_s: float = 6.0
@@ -104,7 +110,7 @@
 
 
 class Authority(NamedTuple):
-    """Proof that this gateway held the duty when it asked.
+    """Shows that this gateway held the duty when it asked.
 
     Attributes:
         number: The fencing number.
@@ -132,16 +138,17 @@
         """Creates the holder; ``start`` begins to acquire the duty.
 
         Args:
-            client: Client of the key-value store.
+            client: Client of the key-value service.
             vm_id: Identifies this gateway as the holder.
-            min_lease_s: Minimum time between orders of two holders, in seconds;
-                the lease is at least as long.
+            min_lease_s: Lower limit of the length of the lease, in seconds,
+                such as the minimum time between orders of two holders.
             timing: Timing of the lease; the defaults if None.
             system_clock: Clock that keeps counting while the machine is
                 suspended.
             duty: The duty to hold.
-            is_candidate: Whether this VM checks at the normal interval. Other
-                VMs check less often, and take over if no candidate is left.
+            is_candidate: Whether this gateway checks at the normal interval.
+                Other gateways check less often, and take over if no candidate
+                is left.
         """
         self._is_candidate = is_candidate
         self._duty = duty
@@ -152,14 +159,14 @@
         self._lease_ttl_s = max(self._timing.lease_ttl_s, min_lease_s)
         self._lease: lease.LeaseHolder | None = None
         self._authority: Authority | None = None
-        self._may_order_from_s = float("inf")
+        self._may_send_from_s = float("inf")
         self._record_revision = 0
         self._last_record: bytes | None = None
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
         """Starts the task that acquires the duty."""
-        self._task = gevent.spawn(self._campaign)
+        self._task = gevent.spawn(self._acquire_repeatedly)
 
     def close(self) -> None:
         """Stops the task and releases the duty if it is held."""
@@ -173,13 +180,13 @@
     def authority(self) -> Result[Authority, errors.AuthorityLostError]:
         """Returns the authority if it is held now and may be used.
 
-        Call this again right before the first byte of an order is sent.
+        Call this again right before the first byte of a request is sent.
         """
         held = self._lease
         if self._authority is None or held is None:
             return Err(
                 errors.AuthorityLostError(
-                    f"this VM does not hold the duty {self._duty.name}"
+                    f"this gateway does not hold the duty {self._duty.name}"
                 )
             )
         now_s = self._clock.monotonic_s()
@@ -188,26 +195,26 @@
             return Err(
                 errors.AuthorityLostError("the lease is about to expire")
             )
-        if now_s < self._may_order_from_s:
+        if now_s < self._may_send_from_s:
             return Err(
                 errors.AuthorityLostError(
-                    "an order of the previous holder may still be in transit"
+                    "a request of the previous holder may still be in transit"
                 )
             )
         return Ok(self._authority)
 
     def check(self) -> None:
-        """Checks that an order may be sent now.
+        """Raises an error unless a request may be sent now.
 
         Raises:
-            AuthorityLostError: The order must not be sent.
+            AuthorityLostError: The request must not be sent.
         """
         held = self.authority()
         if isinstance(held, Err):
             raise held.err_value
 
     def record(self, value: bytes) -> Result[None, errors.PlatformError]:
-        """Records an order before it is sent, if the duty is still held."""
+        """Records a request before it is sent, if the duty is still held."""
         held = self.authority()
         if isinstance(held, Err):
             return held
@@ -221,14 +228,16 @@
         if isinstance(written, Err):
             # The write may or may not have taken effect; the next holder reads
             # the record.
-            self._give_up(f"an order was not recorded: {written.err_value}")
+            self._step_down(f"a request was not recorded: {written.err_value}")
             return written
         if self._authority is not held.ok_value:
-            # The response showed that the store was restored from an older
-            # copy, in which another key may have the guard's revision.
+            # During the call, the key-value service was found to be restored
+            # from an older copy, so ``_on_lost`` cleared the authority. In that
+            # copy, the holder key of another gateway may have the guard's
+            # revision, so the successful write proves nothing.
             return Err(
                 errors.AuthorityLostError(
-                    "the duty was lost while the order was being recorded"
+                    "the duty was lost while the request was being recorded"
                 )
             )
         self._record_revision = written.ok_value.mod_revision
@@ -241,14 +250,14 @@
         return self._last_record
 
     def resign(self, reason: str) -> None:
-        """Releases the duty so that another gateway can acquire it.
+        """Steps down, so that another gateway can acquire the duty.
 
         Args:
             reason: Reason to log.
         """
-        self._give_up(reason)
+        self._step_down(reason)
 
-    def _campaign(self) -> None:
+    def _acquire_repeatedly(self) -> None:
         gevent.sleep(random.uniform(0.0, self._timing.first_check_max_delay_s))
         while True:
             if self._authority is None and self._is_free():
@@ -330,16 +339,16 @@
                 {self._duty.name} if self._duty.is_fencing_checked else ()
             ),
         )
-        # Where the store can be restored from an older copy, a missing record
-        # does not prove that no order was sent: the restore may have lost the
-        # previous holder's record.
+        # Where the key-value service can be restored from an older copy, a
+        # missing record does not prove that no request was sent: the restore
+        # may have lost the previous holder's record.
         takeover = takeover_delay.Takeover(
             acquired_s,
             predecessor_unsettled=(
                 record is not None or self._client.era != era.NO_ERA
             ),
         )
-        self._may_order_from_s = delay.ends_s(takeover, self._duty.name)
+        self._may_send_from_s = delay.ends_s(takeover, self._duty.name)
         self._record_revision = record.mod_revision if record else 0
         self._last_record = record.value if record else None
         self._lease = held
@@ -348,7 +357,7 @@
         self._authority = Authority(number, guard)
         logger.bind(
             number=number,
-            quiet_s=round(self._may_order_from_s - acquired_s, 2),
+            quiet_s=round(self._may_send_from_s - acquired_s, 2),
         ).info("this VM has the duty {} now", self._duty.name)
 
     def _on_lost(
@@ -363,7 +372,7 @@
                 error.message,
             )
 
-    def _give_up(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         self._authority = None
         if self._lease is not None:
             self._lease.close()
--- a/src/mulberrywharf/authority/findings.py
+++ b/src/mulberrywharf/authority/findings.py
@@ -1,4 +1,8 @@
-"""Known facts about an engine, and the findings of reconciling it."""
+"""Known facts about an engine, and the results of comparing states.
+
+The wanted state of the engine is compared with its actual state; each possible
+result is a finding.
+"""
 
 from typing import NamedTuple
 
@@ -10,17 +14,17 @@
 
 
 class WantedEngine(NamedTuple):
-    """The desired state of an engine, according to the rules.
+    """The wanted state of an engine, according to the rules.
 
     Attributes:
-        role: Desired role, or empty if the rules do not specify one.
+        role: Wanted role, or empty if the rules do not specify one.
         model: Model that is to be loaded, or empty if not specified.
         adapter: Adapter that is to be loaded, or empty.
         version: Version of the weights, or empty.
         drained: Whether the engine is to accept no work.
         rule: Name of the rule that requires this state.
         config_version: Version of the configuration that contains the rule.
-        reason: Why this state is desired, for operators.
+        reason: Why this state is wanted, for operators.
     """
 
     role: str = ""
@@ -38,11 +42,12 @@
 
     Attributes:
         engine_id: Id of the engine.
-        wanted: Desired state, or None while it is unknown.
+        wanted: Wanted state, or None while it is unknown.
         record: Latest order record, or None.
         report: Latest report of the engine, or None. It may lag.
         accepted_unix_s: Wall clock time at which the engine first accepted the
-            order in flight from this process, or 0.
+            order that this process sent in the current phase (the drain order
+            or the order itself), or 0.
     """
 
     engine_id: str
@@ -53,7 +58,7 @@
 
 
 class Holder(NamedTuple):
-    """The lease holder that reconciles the engine.
+    """What this process knows about its lease, for one engine.
 
     Attributes:
         fencing_number: Fencing number of the lease.
@@ -80,7 +85,7 @@
     """No order may be sent now.
 
     Attributes:
-        why: What is waited for.
+        why: The reason, for operators.
     """
 
     why: str
@@ -101,7 +106,7 @@
 class Unfinished(NamedTuple):
     """The order in flight is to be continued.
 
-    It is still wanted, or it may still arrive and is repeated to settle it.
+    It is still wanted, or it may still arrive and is sent again to settle it.
 
     Attributes:
         record: Record of the order.
@@ -127,13 +132,14 @@
 
 
 class NotAsDesired(NamedTuple):
-    """The engine is not in the desired state.
+    """The engine is not in the wanted state and needs an order.
 
     Attributes:
         action: Action of the order that corrects it.
-        wanted: Desired state.
-        unexplained: Whether the last settled order does not explain the state
-            either, as after a crash during a change.
+        wanted: Wanted state.
+        unexplained: For ``set-role``, whether the engine failed or reports
+            another role than its last order gave it, for example after a crash
+            during a change.
         needs_drain: Whether the engine has to finish its work first.
     """
 
--- a/src/mulberrywharf/authority/lease_watchdog.py
+++ b/src/mulberrywharf/authority/lease_watchdog.py
@@ -19,9 +19,9 @@
 class LeaseWatchdog:
     """Tracks until when this process may send orders, and enforces it.
 
-    Three points in time follow from the lease. All are measured from before the
-    renewal was sent, because the key-value service measures from when it
-    arrived:
+    Three points in time follow from the lease. All are counted from just before
+    the renewal was sent. The key-value service counts from its arrival, which
+    is later, so they pass before the service ends the lease:
 
     - ``user_timeout_s`` before the timer: the last time at which an order may
       be sent. Its unacknowledged bytes are retransmitted for at most
@@ -51,7 +51,7 @@
         self._offset_s = clock.unix_s() - clock.monotonic_s()
 
     def on_renewed(self, lease_end_monotonic_s: float) -> bool:
-        """Updates the end of the lease after a renewal, and arms the timer.
+        """Extends the authority after a renewal, and arms the timer.
 
         Args:
             lease_end_monotonic_s: Time until which the lease is certainly
@@ -71,14 +71,20 @@
         return self._arm()
 
     def step_down(self) -> None:
-        """Ends the authority and disarms the timer, so no kill follows."""
+        """Steps down: ends the authority and disarms the timer.
+
+        So the process is not killed when the lease ends.
+        """
         self._due_monotonic_s = float("-inf")
         self._due_unix_s = float("-inf")
         if self._enabled:
             signal.setitimer(signal.ITIMER_REAL, 0)
 
     def remaining_s(self) -> float:
-        """Returns the seconds until the timer is due, by the stricter clock.
+        """Returns the seconds until the timer is due.
+
+        The monotonic and the wall clock are read; the one that shows less time
+        left decides.
 
         A pause of the whole VM can stop the monotonic clock and the timer with
         it; the wall clock, which the host corrects, shows the lost time. A jump
--- a/src/mulberrywharf/authority/order_records.py
+++ b/src/mulberrywharf/authority/order_records.py
@@ -56,7 +56,8 @@
         rule: Name of the rule that caused the order.
         config_version: Version of the configuration that contains the rule.
         fencing_number: Fencing number of the lease under which the order was
-            last recorded.
+            last recorded. This is the revision of the lease key, without an
+            era as in ``duty_holder``.
         action: What the engine is to do.
         role: Role of the engine after the order. It is sent only with
             ``set-role``. Other actions record it so that the role can be
@@ -128,8 +129,8 @@
     Attributes:
         vm_id: Entry VM of the holder.
         fencing_number: Fencing number of its lease.
-        settled: True if it has released the lease with all its orders settled,
-            so that none of its orders can still arrive.
+        settled: True if it has released the lease when all its orders were in
+            a final phase, so that none of them can still arrive.
     """
 
     vm_id: str
@@ -149,7 +150,10 @@
 
 
 class Holder(NamedTuple):
-    """The holder that last wrote the records; fields as in ``HolderFields``."""
+    """The lease holder that last wrote the records.
+
+    The fields are those of ``HolderFields``.
+    """
 
     vm_id: str
     fencing_number: int
@@ -258,6 +262,6 @@
         return Err(
             errors.OrderRecordsError(
                 f"cannot decode the order records: {error}",
-                advice="Look at the value with mulberrywharf's handover page.",
+                advice="Run mulberryctl handover to see what can be read.",
             )
         )
--- a/src/mulberrywharf/authority/reconcile.py
+++ b/src/mulberrywharf/authority/reconcile.py
@@ -1,9 +1,9 @@
-"""Compares the desired state of an engine with its order record and report.
+"""Compares the wanted state of an engine with its order record and report.
 
 ``find`` returns a finding about one engine, and ``steps.next_step`` returns
 what to do about it. Both are pure functions. At most one order per engine is in
-flight: the next one is sent only after the record is settled, or if the order
-itself was not sent yet.
+flight: the next one is sent only after the record is in a final phase, or if
+the order itself was not sent yet.
 """
 
 from mulberrywharf import fleet
@@ -18,7 +18,7 @@
 def find(
     facts: findings.EngineFacts, holder: findings.Holder
 ) -> findings.Finding:
-    """Returns the finding about one engine."""
+    """Returns the finding about one engine: how its states compare."""
     if facts.report is None:
         return findings.NoReport()
     if facts.report.state == "changing":
--- a/src/mulberrywharf/authority/record_store.py
+++ b/src/mulberrywharf/authority/record_store.py
@@ -16,11 +16,16 @@
 
 
 class LeaseKey(NamedTuple):
-    """The key that proves that a lease is held, and its revision.
+    """The key that exists while a lease is held, and its revision.
+
+    A write with a ``key_value.Guard`` of these two values fails once the lease
+    is lost.
 
     Attributes:
         key: Key, such as ``/mulberry/D/controllers/ZONE``.
-        mod_revision: Revision at which the holder created the key.
+        mod_revision: Revision of the key since the holder created it. The key
+            is not changed after that, so this is also the lease's fencing
+            number.
     """
 
     key: str
@@ -54,8 +59,8 @@
     def load(self) -> Result[order_records.ZoneRecords, StoreError]:
         """Reads the current records.
 
-        Required before the first write, and again while ``must_load`` is set
-        because an earlier write may or may not have taken effect.
+        Must be called before the first write, and again while ``must_load`` is
+        set because an earlier write may or may not have taken effect.
         """
         answer = self._key_value.get(self._key, purpose=_PURPOSE)
         if isinstance(answer, Err):
@@ -82,12 +87,12 @@
         """Replaces the records if the lease is still held.
 
         If the response is lost, the stored write id tells whether the write
-        took effect. Repeating the write is safe: both attempts require the same
-        revision, so only one can succeed.
+        took effect. Sending the write again is safe: both attempts require the
+        same revision, so only one can succeed.
 
         Args:
             zone_records: All records, with this holder.
-            lease_key: Proof of the lease.
+            lease_key: Key of the lease; the write fails if the key has changed.
 
         Returns:
             Nothing if the records were written; AuthorityLostError if another
@@ -113,12 +118,12 @@
     def _write_once(
         self, value: bytes, write_id: str, lease_key: LeaseKey
     ) -> Result[int, StoreError]:
-        proof = key_value.Guard(lease_key.key, lease_key.mod_revision)
+        guard = key_value.Guard(lease_key.key, lease_key.mod_revision)
         answer = self._key_value.compare_and_swap(
             self._key,
             value,
             expected_revision=self._revision,
-            guards=[proof] if self._guarded else [],
+            guards=[guard] if self._guarded else [],
             purpose=_PURPOSE,
         )
         if isinstance(answer, Ok):
@@ -161,7 +166,10 @@
     def _error_if_changed(
         self, value: bytes, lease_key: LeaseKey
     ) -> errors.PlatformError:
-        """Tells whether this holder or another one wrote the stored value."""
+        """Returns the error for a value that has changed.
+
+        RevisionConflictError if this holder wrote it, else AuthorityLostError.
+        """
         decoded = order_records.decode(value)
         if isinstance(decoded, Ok):
             holder = decoded.ok_value.holder
--- a/src/mulberrywharf/authority/role_manager.py
+++ b/src/mulberrywharf/authority/role_manager.py
@@ -36,8 +36,8 @@
 from an availability zone and does not see the whole fleet."""
 
 STALE_LIST_S = 3.0
-"""Time after a failed call to the store during which the list of engines may be
-stale."""
+"""Time after an outage of the key-value service during which the list of
+engines may be stale."""
 
 _CONCURRENT_REPORTS_COUNT = 16
 
@@ -54,11 +54,18 @@
         ...
 
     def accepts_calls(self, server: fleet.Server) -> bool:
-        """Tells whether this node may send an engine anything now."""
+        """Tells whether this gateway may send an engine anything now.
+
+        It may not until the engine's last Retry-After has passed.
+        """
         ...
 
     def outage_age_s(self) -> float:
-        """Returns the time since the list was last possibly stale."""
+        """Returns the seconds since the key-value service's last outage.
+
+        Infinite before any outage. The list of engines may be stale for a while
+        after an outage.
+        """
         ...
 
     def wanted_prefill(self, service: str) -> float | None:
@@ -69,7 +76,7 @@
         ...
 
 
-class Holder(Protocol):
+class RolesDutyHolder(Protocol):
     """Holds the duty of ordering roles."""
 
     def authority(
@@ -103,7 +110,7 @@
 
     def __init__(
         self,
-        holder: Holder,
+        holder: RolesDutyHolder,
         engines: Engines,
         client: role_orders.RoleClient,
         vm_id: str,
@@ -122,8 +129,8 @@
             vm_id: Identifies this gateway in orders.
             system_clock: Measures how long the outcome of an order is awaited.
             on_accepted: Called with an engine that has accepted an order.
-            on_restarted: Called with the start in an engine's record and the
-                different start that the engine reports.
+            on_restarted: Called with the start under which an engine is
+                registered and the different start that it reports.
         """
         self._holder = holder
         self._engines = engines
@@ -133,7 +140,7 @@
         self._on_accepted = on_accepted
         self._on_restarted = on_restarted
         self._splits: dict[str, role_split.RoleSplit] = {}
-        self._unsettled: _SentOrder | None = None
+        self._awaited_order: _SentOrder | None = None
         self._last_orders: dict[fleet.ServerStart, _SentOrder] = {}
         self._last_reason: dict[str, str] = {}
         self._pool = gevent.pool.Pool(_CONCURRENT_REPORTS_COUNT)
@@ -157,7 +164,7 @@
                 # again, so the state of earlier rounds is dropped.
                 self._splits.clear()
                 self._last_orders.clear()
-                self._unsettled = None
+                self._awaited_order = None
                 continue
             for service, servers in self._engines.engines().items():
                 self.round(service, servers)
@@ -176,8 +183,9 @@
     def _reports(self, servers: Sequence[fleet.Server]) -> _Reports:
         """Reads the engines' reports, without those of restarted engines.
 
-        The count of accepted orders restarts with the engine, so the new start
-        could accept an order that was meant for the old one.
+        The count of accepted orders restarts with the engine's process, so the
+        restarted engine could accept an order that was meant for the engine
+        before its restart.
         """
         servers = [one for one in servers if self._engines.accepts_calls(one)]
         results = self._pool.map(self._client.report, servers)
@@ -207,7 +215,7 @@
         if len(reports) < MIN_REPORTING_SHARE * len(servers):
             return role_split.Stay("too many engines do not report")
         loads = [
-            self._load(one, reports[one.start], now_s)
+            self._engine_load(one, reports[one.start], now_s)
             for one in servers
             if one.start in reports
         ]
@@ -215,13 +223,13 @@
         decision = split.decide(
             loads, self._engines.wanted_prefill(service), now_s
         )
-        if self._unsettled is not None:
+        if self._awaited_order is not None:
             return role_split.Stay("the last order is not settled")
         if self._engines.outage_age_s() < STALE_LIST_S:
             return role_split.Stay("the list of engines may be old")
         return decision
 
-    def _load(
+    def _engine_load(
         self,
         server: fleet.Server,
         report: role_orders.EngineReport,
@@ -253,14 +261,15 @@
         servers: Sequence[fleet.Server],
         now_s: float,
     ) -> None:
-        sent = self._unsettled
+        sent = self._awaited_order
         if sent is None or all(
             one.service != sent.order.server.service for one in servers
         ):
             return
         report = reports.get(sent.order.server.start)
-        # If the order was not answered, the engine may still execute it after a
-        # restart, when its count of accepted orders can match again.
+        # An accepted order ends when its engine leaves the list. An unanswered
+        # order does not: the engine may come back, and the count of accepted
+        # orders, which restarts with the engine, can match the order again.
         is_removed = sent.is_accepted and sent.order.server.server_id not in {
             one.server_id for one in servers
         }
@@ -269,7 +278,7 @@
             and report.accepted_count > sent.order.expected_count
         )
         if is_removed or is_accepted or now_s - sent.sent_s > SETTLE_TIMEOUT_S:
-            self._unsettled = None
+            self._awaited_order = None
 
     def _order(self, change: role_split.Change, accepted_count: int) -> None:
         held = self._holder.authority()
@@ -287,7 +296,7 @@
             _log_order(order, recorded.err_value.code)
             return
         sent_order = _SentOrder(order, self._clock.monotonic_s())
-        self._unsettled = sent_order
+        self._awaited_order = sent_order
         self._last_orders[change.server.start] = sent_order
         sent = self._client.send(
             order,
@@ -298,10 +307,10 @@
             sent.err_value, errors.OrderOutcomeUnknownError
         ):
             # The order was not sent, or the engine rejected it.
-            self._unsettled = None
+            self._awaited_order = None
             del self._last_orders[change.server.start]
         if isinstance(sent, Ok):
-            self._unsettled = sent_order._replace(is_accepted=True)
+            self._awaited_order = sent_order._replace(is_accepted=True)
             self._on_accepted(order.server)
         _log_order(
             order, sent.err_value.code if isinstance(sent, Err) else "accepted"
--- a/src/mulberrywharf/authority/situation_builder.py
+++ b/src/mulberrywharf/authority/situation_builder.py
@@ -35,7 +35,7 @@
 
     Engines report completed work, which is less than the demand while a queue
     grows. The backlog is therefore added, as the rate that would clear it
-    within several seconds.
+    within ``_BACKLOG_CLEAR_S``.
     """
 
     def __init__(self, smoothing_s: float = _SMOOTHING_S):
@@ -60,14 +60,14 @@
             return None
         prompt = sum(rate[0] for rate in self._rates.values())
         output = sum(rate[1] for rate in self._rates.values())
-        backlog = sum(seen.report.waiting_prompt_tokens for seen in reports)
+        backlog = sum(aged.report.waiting_prompt_tokens for aged in reports)
         offered_prompt = prompt + backlog / _BACKLOG_CLEAR_S
         offered_output = self._scaled_output(prompt, output, offered_prompt)
-        waiting_share = _decode_waiting_share(reports)
+        waiting_ratio = _decode_waiting_ratio(reports)
         return role_planner.Demand(
             prompt_tokens_per_s=offered_prompt,
-            output_tokens_per_s=offered_output * (1 + waiting_share),
-            age_s=max((seen.age_s for seen in reports), default=float("inf")),
+            output_tokens_per_s=offered_output * (1 + waiting_ratio),
+            age_s=max((aged.age_s for aged in reports), default=float("inf")),
         )
 
     def _observe_one(self, report: fleet.LoadReport) -> None:
@@ -104,7 +104,7 @@
         return output * offered_prompt / prompt
 
 
-def _decode_waiting_share(reports: Sequence[AgedReport]) -> float:
+def _decode_waiting_ratio(reports: Sequence[AgedReport]) -> float:
     """Returns the ratio of waiting to running requests of decode engines."""
     decoding = [s.report for s in reports if s.report.role == "decode"]
     running = sum(report.running_count for report in decoding)
@@ -131,23 +131,23 @@
         demand: Estimate of a ``DemandTracker``, or None.
         vm_list_age_s: Age of the VM list.
     """
-    seen = list(reports.values())
+    aged_reports = list(reports.values())
     return situation.Situation(
         availability_zone=availability_zone,
         utc_minute=situation.utc_minute(now_unix_s),
-        prefill_share=_prefill_share(seen, demand),
-        queue_delay_s=_queue_delay(seen),
+        prefill_share=_prefill_share(aged_reports, demand),
+        queue_delay_s=_queue_delay(aged_reports),
         engines_lost_count=_lost_engines(engine_ids, reports, vm_list_age_s),
     )
 
 
 def _prefill_share(
-    seen: Sequence[AgedReport], demand: role_planner.Demand | None
+    reports: Sequence[AgedReport], demand: role_planner.Demand | None
 ) -> situation.Reading:
     """Returns the share of the required engine time that prefill needs."""
     if demand is None:
         return situation.UNKNOWN_READING
-    speeds = dedicated_speeds([s.report for s in seen])
+    speeds = dedicated_speeds([aged.report for aged in reports])
     prefill_speed = _mean_of_positive(
         [s.prefill_tokens_per_s for s in speeds.values()]
     )
@@ -206,14 +206,14 @@
     return _mean_of_positive([speed for _, speed in speeds])
 
 
-def _queue_delay(seen: Sequence[AgedReport]) -> situation.Reading:
+def _queue_delay(reports: Sequence[AgedReport]) -> situation.Reading:
     """Returns how long prefilling the waiting prompts would take."""
-    prefilling = [s for s in seen if s.report.role != "decode"]
-    speed = sum(s.report.prefill_tokens_per_s for s in prefilling)
+    prefilling = [aged for aged in reports if aged.report.role != "decode"]
+    speed = sum(aged.report.prefill_tokens_per_s for aged in prefilling)
     if speed <= 0:
         return situation.UNKNOWN_READING
-    waiting = sum(s.report.waiting_prompt_tokens for s in seen)
-    age_s = max(s.age_s for s in seen)
+    waiting = sum(aged.report.waiting_prompt_tokens for aged in reports)
+    age_s = max(aged.age_s for aged in reports)
     return situation.Reading(waiting / speed, age_s)
 
 
@@ -226,10 +226,10 @@
     return situation.Reading(float(lost_count), vm_list_age_s)
 
 
-def _is_lost(seen: AgedReport | None) -> bool:
-    if seen is None or seen.age_s > _STALE_REPORT_S:
+def _is_lost(aged: AgedReport | None) -> bool:
+    if aged is None or aged.age_s > _STALE_REPORT_S:
         return True
-    return seen.report.state in ("failed", "unknown")
+    return aged.report.state in ("failed", "unknown")
 
 
 def _mean_of_positive(values: Sequence[float]) -> float:
--- a/src/mulberrywharf/authority/steps.py
+++ b/src/mulberrywharf/authority/steps.py
@@ -13,10 +13,10 @@
 
     Attributes:
         record: Record to store before anything is sent, or None.
-        sends_drain: Whether to send the drain order then.
-        sends_order: Whether to send the record's order then.
-        planned: Whether this starts a planned change. Only one engine of a
-            zone makes a planned change at a time.
+        sends_drain: Whether to send the drain order after that.
+        sends_order: Whether to send the record's order after that.
+        planned: Whether this makes the engine drain for a change. Only one
+            engine of a zone does so at a time.
     """
 
     record: OrderRecord | None = None
@@ -59,7 +59,9 @@
 
 @next_step.register
 def _not_applied(finding: findings.NotApplied, context: StepContext) -> Step:
-    record = finding.record._replace(reason="the engine failed in the change")
+    record = finding.record._replace(
+        reason="the order ended, but the engine is not in the ordered state"
+    )
     return Step(_in_phase(record, "failed", context))
 
 
@@ -72,7 +74,7 @@
 @next_step.register
 def _superseded(finding: findings.Superseded, context: StepContext) -> Step:
     # The role is cleared so that the record no longer states the engine's
-    # desired role.
+    # wanted role.
     record = finding.record._replace(
         role="", reason="dropped before it was carried out"
     )
@@ -131,7 +133,10 @@
 def _under_own_lease(
     record: OrderRecord, context: StepContext
 ) -> OrderRecord | None:
-    """Returns the record for this lease, or None if it is already its own."""
+    """Returns the record with this lease's fencing number.
+
+    None if the record already has that number.
+    """
     if record.fencing_number == context.fencing_number:
         return None
     return record._replace(
--- a/src/mulberrywharf/authority/takeover_delay.py
+++ b/src/mulberrywharf/authority/takeover_delay.py
@@ -28,13 +28,14 @@
 
     Attributes:
         lease_ttl_s: Length of the lease. The previous lease has usually ended
-            when the key becomes free. But if an operator or a restored store
-            removed the key early, the previous holder may act on its lease for
-            up to this time.
-        user_timeout_s: How long unacknowledged bytes of an order are
-            retransmitted.
+            when the key becomes free. But if an operator or a restored
+            key-value service removed the key early, the previous holder may act
+            on its lease for up to this time.
+        user_timeout_s: How long sent bytes of an order may stay
+            unacknowledged.
         clock_margin_s: Maximum error between the clocks.
-        fencing_checking_kinds: Engine kinds that reject an old fencing number.
+        fencing_checking_kinds: Kinds of receivers that reject an old fencing
+            number: engine kinds, or the name of a duty.
         is_disabled: Disables the wait; only for tests that show its effect.
     """
 
@@ -50,21 +51,21 @@
             return 0.0
         return self.lease_ttl_s + self.user_timeout_s + self.clock_margin_s
 
-    def ends_s(self, takeover: Takeover, engine_kind: str) -> float:
-        """Returns the monotonic time from which an engine may be ordered.
+    def ends_s(self, takeover: Takeover, receiver_kind: str) -> float:
+        """Returns the monotonic time from which a receiver may be sent orders.
 
         Args:
             takeover: How the lease was acquired.
-            engine_kind: Kind of the engine.
+            receiver_kind: An engine kind, or the name of a duty.
         """
-        if engine_kind in self.fencing_checking_kinds:
+        if receiver_kind in self.fencing_checking_kinds:
             return takeover.acquired_s
         if not takeover.predecessor_unsettled:
             return takeover.acquired_s
         return takeover.acquired_s + self.length_s()
 
     def has_ended(self, takeover: Takeover, now_s: float) -> bool:
-        """Tells whether engines of every kind may be ordered."""
+        """Tells whether the delay has ended for receivers of every kind."""
         if not takeover.predecessor_unsettled:
             return True
         return now_s >= takeover.acquired_s + self.length_s()
--- a/src/mulberrywharf/authority/wanted_states.py
+++ b/src/mulberrywharf/authority/wanted_states.py
@@ -1,4 +1,4 @@
-"""Derives the desired state of each engine from the rule in force."""
+"""Derives the wanted state of each engine from the rule in force."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class RuleInForce(NamedTuple):
-    """The rule that currently applies.
+    """The rule in force.
 
     Attributes:
         match: Result of matching the rules.
@@ -39,10 +39,10 @@
 
 
 class WantedZone(NamedTuple):
-    """The desired state of every engine, and the planner's decision.
+    """The wanted state of every engine, and the planner's decision.
 
     Attributes:
-        engines: Desired state by engine id.
+        engines: Wanted state by engine id.
         plan: Decision of the role planner.
     """
 
@@ -55,6 +55,8 @@
 ) -> fleet.Role:
     """Returns the role that an engine is to have after its last order.
 
+    The last order may still be in flight.
+
     The reported role is used only if no order determines the role: after a
     crash during a change, or an order of a process without authority, an
     engine may report a role that was not intended.
@@ -73,7 +75,7 @@
     options: role_planner.PlannerSettings,
     now_unix_s: float,
 ) -> WantedZone:
-    """Returns the desired state of every engine that has reported."""
+    """Returns the wanted state of every engine that has reported."""
     actions = in_force.match.actions
     is_on_hold = in_force.match.undecided or bool(actions.get("hold"))
     plan = _plan(zone, actions, is_on_hold, options, now_unix_s)
@@ -95,7 +97,9 @@
     now_unix_s: float,
 ) -> role_planner.Plan:
     if is_on_hold:
-        return role_planner.Stay("the rules hold the fleet as it is")
+        return role_planner.Stay(
+            "no change: the rule says hold, or it is unknown whether it matches"
+        )
     engines = _planner_engines(zone, actions)
     view = role_planner.PlannerView(
         engines=engines,
@@ -110,14 +114,14 @@
 def _planner_engines(
     zone: Zone, actions: rules.Actions
 ) -> tuple[role_planner.PlannerEngine, ...]:
-    """Returns the engines that serve requests, without a drained one."""
+    """Returns every engine that has reported and the rule does not drain."""
     drained_id = _drained_engine_id(actions)
     speeds = situation_builder.dedicated_speeds(
-        [seen.report for seen in zone.reports.values()]
+        [aged.report for aged in zone.reports.values()]
     )
     return tuple(
-        _planner_engine(seen, zone.records.get(engine_id), speeds[engine_id])
-        for engine_id, seen in sorted(zone.reports.items())
+        _planner_engine(aged, zone.records.get(engine_id), speeds[engine_id])
+        for engine_id, aged in sorted(zone.reports.items())
         if engine_id != drained_id
     )
 
@@ -158,11 +162,15 @@
 
 
 def changing_count(zone: Zone) -> int:
-    """Returns how many engines are unavailable because of a planned change."""
+    """Returns how many engines are changing or have an order to change.
+
+    These are the engines that report a change, whatever its cause, and those
+    with a role or model order in flight.
+    """
     return sum(
         1
-        for engine_id, seen in zone.reports.items()
-        if seen.report.state == "changing"
+        for engine_id, aged in zone.reports.items()
+        if aged.report.state == "changing"
         or _is_planned_change(zone.records.get(engine_id))
     )
 
@@ -174,11 +182,11 @@
 
 
 def _planner_engine(
-    seen: situation_builder.AgedReport,
+    aged: situation_builder.AgedReport,
     record: order_records.OrderRecord | None,
     speeds: situation_builder.Speeds,
 ) -> role_planner.PlannerEngine:
-    report = seen.report
+    report = aged.report
     last_change_unix_s = 0.0
     if record is not None and record.action == "set-role":
         last_change_unix_s = record.recorded_unix_s
@@ -189,7 +197,7 @@
         prefill_tokens_per_s=speeds.prefill_tokens_per_s,
         decode_tokens_per_s=speeds.decode_tokens_per_s,
         running_count=report.running_count,
-        report_age_s=seen.age_s,
+        report_age_s=aged.age_s,
         reported_unix_s=report.reported_unix_s,
         last_change_unix_s=last_change_unix_s,
     )
--- a/src/mulberrywharf/customers/__init__.py
+++ b/src/mulberrywharf/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Identifies customers by the keys in their requests."""
+"""Identifies customers by key, and admits and counts their requests."""
--- a/src/mulberrywharf/customers/authentication.py
+++ b/src/mulberrywharf/customers/authentication.py
@@ -34,17 +34,18 @@
         ...
 
     def wait_confirmed(self, at_s: float, age_s: float, limit_s: float) -> bool:
-        """Requests a confirmation and waits until ``is_confirmed`` holds."""
+        """Requests a confirmation; waits until ``is_confirmed`` is true."""
         ...
 
 
-class Admission(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """The result of admitting a request.
 
     Attributes:
         customer: The customer that makes it, None if it was admitted without
             one.
-        routes: The configuration that it was admitted with.
+        routes: The route table that it was admitted with; it is made from the
+            configuration.
     """
 
     customer: directory.Customer | None
@@ -61,10 +62,10 @@
     """
 
     def __init__(self, freshness: Freshness, revocation_bound_s: float | None):
-        """Creates the admission.
+        """Creates the object that admits requests.
 
         Args:
-            freshness: Confirms the configuration.
+            freshness: Confirms that the configuration is the newest.
             revocation_bound_s: Longest time that a revoked key may be used,
                 None for no bound.
         """
@@ -73,33 +74,34 @@
 
     def admit(
         self,
-        current: Callable[[], table.RouteTable],
+        routes_in_force: Callable[[], table.RouteTable],
         is_public: Callable[[table.RouteTable], bool],
         key_digests: frozenset[directory.KeyDigest],
         remaining_s: float,
-    ) -> Admission:
-        """Returns the customer of a request and the configuration used.
+    ) -> AdmittedRequest:
+        """Returns the customer of a request and the route table used.
 
         Args:
-            current: Returns the configuration in force.
-            is_public: Tells whether a configuration admits this request
-                without a key.
+            routes_in_force: Returns the route table in force.
+            is_public: Tells whether a route table admits this request without
+                a key.
             key_digests: Digests of the keys in the request.
             remaining_s: Time left until the deadline of the request.
 
         Raises:
             UnknownCustomerError: The key is missing or unknown.
-            UnconfirmedKeyError: The key may have been revoked.
+            UnconfirmedKeyError: The key may have been revoked, or added, since
+                the configuration was last confirmed.
         """
-        routes = current()
+        routes = routes_in_force()
         if routes.customers is None:
-            return Admission(None, routes)
+            return AdmittedRequest(None, routes)
         if is_public(routes):
-            return Admission(_find_customer(routes, key_digests), routes)
+            return AdmittedRequest(_find_customer(routes, key_digests), routes)
         if len(key_digests) != 1:
             raise errors.UnknownCustomerError(
                 f"the request shows {len(key_digests)} keys",
-                advice="Send the one key of a customer.",
+                advice="Send exactly one customer key.",
             )
         arrived_s = self._freshness.now_s()
         wait_s = min(WAIT_LIMIT_S, WAIT_SHARE * max(0.0, remaining_s))
@@ -108,21 +110,22 @@
             arrived_s, self._bound_s, wait_until_s
         ):
             raise _unconfirmed_key()
-        customer = _find_customer(current(), key_digests)
+        customer = _find_customer(routes_in_force(), key_digests)
         if customer is None and not self._confirm(
             arrived_s, UNKNOWN_KEY_AGE_LIMIT_S, wait_until_s
         ):
             raise _unconfirmed_key()
         # The confirmation may have loaded a newer configuration.
-        routes = current()
+        routes = routes_in_force()
         customer = _find_customer(routes, key_digests)
         if customer is None and routes.customers is not None:
             (key_digest,) = key_digests
+            # The text form of a digest begins with the word "key".
             raise errors.UnknownCustomerError(
                 f"no customer holds the {key_digest}",
-                advice="Send a key of a customer that is in force.",
+                advice="Send a key that is in force.",
             )
-        return Admission(customer, routes)
+        return AdmittedRequest(customer, routes)
 
     def _confirm(self, at_s: float, age_s: float, wait_until_s: float) -> bool:
         if self._freshness.is_confirmed(at_s, age_s):
@@ -142,6 +145,6 @@
 
 def _unconfirmed_key() -> errors.UnconfirmedKeyError:
     return errors.UnconfirmedKeyError(
-        "this node can't tell whether the key is still in force",
+        "this gateway can't tell whether the key is in force",
         retry_after_s=UNCONFIRMED_RETRY_S,
     )
--- a/src/mulberrywharf/customers/directory.py
+++ b/src/mulberrywharf/customers/directory.py
@@ -1,6 +1,7 @@
 """Maps keys to customers.
 
-Keys are stored and compared as hashes, so that logs do not contain them.
+The directory holds only digests of the keys of a configuration, and log
+messages show only the first digits of a digest.
 """
 
 import hashlib
@@ -20,17 +21,21 @@
 
 
 class KeyDigest(bytes):
-    """The hash of a key; its string form is a short fingerprint."""
+    """The digest of a key: the first bytes of its SHA-256 hash.
+
+    The text form shows only the first digits, so logs do not contain the whole
+    digest.
+    """
 
     def __repr__(self) -> str:
-        """Returns the first hexadecimal digits of the hash."""
+        """Returns ``key`` and the first hexadecimal digits of the digest."""
         return f"key {self.hex()[:_FINGERPRINT_DIGITS]}"
 
     __str__ = __repr__
 
 
 def digest(key: bytes) -> KeyDigest:
-    """Returns the hash used to look up a key."""
+    """Returns the digest by which a key is looked up."""
     return KeyDigest(hashlib.sha256(key).digest()[:_DIGEST_BYTES])
 
 
@@ -52,7 +57,7 @@
 
     Attributes:
         customer: The customer.
-        keys: Its valid keys; empty if all were revoked.
+        keys: Its valid keys in plain text; empty if all were revoked.
     """
 
     customer: Customer
--- a/src/mulberrywharf/customers/usage.py
+++ b/src/mulberrywharf/customers/usage.py
@@ -36,8 +36,9 @@
 class UsageCounts:
     """Request counts of this gateway.
 
-    Counts never decrease, so a collector can sum the latest counts of all
-    gateways without counting a request twice.
+    Each count is the total of its window so far, not an increment, and never
+    decreases. A collector replaces a gateway's earlier count by its latest one,
+    so it counts no request twice.
     """
 
     def __init__(self, window_s: float, wall_clock: WallClock):
--- a/src/mulberrywharf/duties/__init__.py
+++ b/src/mulberrywharf/duties/__init__.py
@@ -1,1 +1,5 @@
-"""Calls to the operators' platform that one gateway makes for the fleet."""
+"""The duty of calling the operators' platform.
+
+One gateway at a time makes these calls for the fleet. The other duty, ordering
+engine roles, is in ``authority.role_manager``.
+"""
--- a/src/mulberrywharf/duties/client.py
+++ b/src/mulberrywharf/duties/client.py
@@ -1,4 +1,6 @@
-"""Client for platform calls that only one gateway at a time may make.
+"""Client for the operators' platform.
+
+Only one gateway at a time may make these calls.
 
 Each call is checked against the duty's lease right before its first byte is
 sent. A ``DutyDialect`` encodes the calls.
@@ -60,7 +62,7 @@
 
 
 class DutyDialect(Protocol):
-    """Encodes calls for the platform."""
+    """Encodes calls for the operators' platform."""
 
     def encode_usage(
         self, report: UsageReport, identity: HolderIdentity
@@ -83,10 +85,10 @@
         """Creates the client.
 
         Args:
-            address: Address of the platform.
+            address: Address of the operators' platform.
             dialect: Encodes the calls.
-            user_timeout_s: Timeout for unacknowledged data and for the
-                response.
+            user_timeout_s: How long sent bytes may stay unacknowledged, in
+                seconds; also the timeout of the connect and of each read.
             before_send: Raises AuthorityLostError if the call must not be
                 sent.
         """
@@ -103,7 +105,9 @@
         Returns:
             Nothing if the platform accepted the report;
             StaleFencingNumberError if another gateway has the duty; another
-            error if the call may be retried.
+            error if the call may be retried. PlatformUnavailableError concerns
+            the operators' platform here, and the key-value service or the VM
+            list elsewhere.
         """
         return self._send("usage", self._dialect.encode_usage(report, identity))
 
--- a/src/mulberrywharf/duties/usage_reporter.py
+++ b/src/mulberrywharf/duties/usage_reporter.py
@@ -1,5 +1,8 @@
 """Reports each window's usage from the gateway that holds the duty.
 
+The gateway that holds the usage duty collects the counts of all gateways; it is
+the collector.
+
 All reports for a window must be identical, including across a takeover, and the
 platform may process an unanswered call seconds later. Each report is therefore
 recorded before it is sent, and a new holder resends the recorded report
@@ -22,8 +25,9 @@
 """Interval between checks for a window to report."""
 
 COUNTS_WAIT_SHARE = 0.6
-"""Share of the reporting deadline spent waiting for missing counts; the rest is
-reserved for recording and sending the report."""
+"""Share of the time between the end of a window and its deadline that may be
+spent waiting for missing counts. The rest is reserved for recording and sending
+the report."""
 
 RETRY_INTERVAL_S = 0.5
 """Delay before a report is retried."""
@@ -38,7 +42,7 @@
 )
 
 
-class Holder(Protocol):
+class UsageDutyHolder(Protocol):
     """Holds the usage duty."""
 
     @property
@@ -57,7 +61,7 @@
         ...
 
     def resign(self, reason: str) -> None:
-        """Releases the duty."""
+        """Steps down, so that another gateway can acquire the duty."""
         ...
 
 
@@ -66,11 +70,19 @@
 
     @property
     def reported_window(self) -> int:
-        """Highest window that a collector announced as recorded, -1 if none."""
+        """Highest window that a collector announced as recorded, -1 if none.
+
+        Its report may not have been sent yet.
+        """
         ...
 
     def announce(self, number: int, reported_window: int) -> None:
-        """Announces this gateway as the collector."""
+        """Announces this gateway as the collector.
+
+        Args:
+            number: Fencing number of the duty.
+            reported_window: Highest window whose report is recorded.
+        """
         ...
 
     def request_missing(
@@ -92,8 +104,8 @@
         ...
 
 
-class Client(Protocol):
-    """Sends reports."""
+class ReportSender(Protocol):
+    """Sends reports to the operators' platform."""
 
     def report_usage(
         self, report: client.UsageReport, identity: client.HolderIdentity
@@ -119,16 +131,16 @@
 
     def __init__(
         self,
-        holder: Holder,
+        holder: UsageDutyHolder,
         exchange: Exchange,
-        platform: Client,
+        report_sender: ReportSender,
         vm_id: str,
         timing: WindowTiming,
         wall_clock: usage.WallClock,
     ):
         self._holder = holder
         self._exchange = exchange
-        self._platform = platform
+        self._report_sender = report_sender
         self._vm_id = vm_id
         self._timing = timing
         self._clock = wall_clock
@@ -183,8 +195,8 @@
 
     @property
     def _recorded_window(self) -> int:
-        # A store restored from an older copy may lack the newest record, so the
-        # window that collectors announced is used too.
+        # A key-value service restored from an older copy may lack the newest
+        # record, so the window that collectors announced is used too.
         return max(
             self._exchange.reported_window,
             *(report.window for report in self._recorded_reports),
@@ -197,7 +209,11 @@
         return ended_s + self._timing.late_s - self._clock.unix_s()
 
     def _next_window(self) -> int | None:
-        """Returns the first window that has ended and is not recorded."""
+        """Returns the first window to record, or None.
+
+        The window has ended, is not recorded, and its report is not overdue. A
+        window whose report is overdue is not reported.
+        """
         for window in self._exchange.windows_after(self._recorded_window):
             remaining_s = self._remaining_s(window)
             if 0 < remaining_s < self._timing.late_s:
@@ -252,7 +268,7 @@
             self._finish(report, "late", remaining_s)
             return
         identity = client.HolderIdentity(self._vm_id, self._number)
-        sent = self._platform.report_usage(report, identity)
+        sent = self._report_sender.report_usage(report, identity)
         if isinstance(sent, Ok):
             self._finish(report, "ok", remaining_s)
             return
--- a/src/mulberrywharf/rules/audit_trail.py
+++ b/src/mulberrywharf/rules/audit_trail.py
@@ -47,7 +47,7 @@
     the order and not as a change of every rule after it.
 
     Args:
-        before: The active document, or None if there is none yet.
+        before: The document in force, or None if there is none yet.
         after: The new document.
     """
     old = _flat(before) if before is not None else {}
--- a/src/mulberrywharf/rules/check.py
+++ b/src/mulberrywharf/rules/check.py
@@ -21,7 +21,7 @@
     """The number of engines in a deployment.
 
     Attributes:
-        engines_count_by_zone: Number of engines by availability zone.
+        engines_count_by_zone: Number of engines of each availability zone.
     """
 
     engines_count_by_zone: Mapping[str, int]
@@ -32,8 +32,8 @@
 
     Args:
         document: The document that the operator wrote.
-        fleet_size: Number of engines by the VM list. If it is None, the
-            checks that depend on the fleet are skipped.
+        fleet_size: Number of engines according to the VM list. If it is None,
+            the checks that depend on the fleet are skipped.
 
     Returns:
         Warnings about shadowed rules, then about rules that may flap, then
@@ -116,6 +116,6 @@
     return Fault(
         path,
         f"the VM list shows no engine in {zone}",
-        f"use one of {', '.join(sorted(zones)) or 'no zone'}, unless "
-        "the zone is down",
+        f"use a zone of the VM list ({', '.join(sorted(zones)) or 'none now'}),"
+        " unless the zone is down",
     )
--- a/src/mulberrywharf/rules/consistency.py
+++ b/src/mulberrywharf/rules/consistency.py
@@ -56,8 +56,8 @@
         if other != name:
             yield Fault(
                 f"customers.{name}.key_sha256_hex",
-                f"{other} has the same key, so requests with it identify "
-                "neither customer",
+                f"{other} has the same key, so a request with this key can't "
+                "be assigned to either customer",
                 "give each customer a unique key",
             )
 
--- a/src/mulberrywharf/rules/document.py
+++ b/src/mulberrywharf/rules/document.py
@@ -2,7 +2,7 @@
 
 Operators write the document as JSON with comments; the key-value service
 stores it as plain JSON. ``ADAPTER`` rejects unknown keys, wrong types and
-values out of range. ``consistency`` checks constraints that span several
+values out of range. ``consistency`` validates constraints that span several
 fields, such as shares that add up to more than one.
 """
 
@@ -35,17 +35,17 @@
 
 @pydantic.with_config(_STRICT)
 class Conditions(TypedDict, total=False):
-    """The conditions of a rule; the rule matches when all given ones hold.
+    """The conditions of a rule; the rule matches when all given ones are true.
 
     Attributes:
         prefill_share_above: Prefill's share of the zone's work, 0 to 1, is
             above this value.
         prefill_share_below: Prefill's share of the zone's work, 0 to 1, is
             below this value.
-        queue_delay_above_s: Requests wait longer than this for an engine, in
-            seconds.
-        queue_delay_below_s: Requests wait less than this for an engine, in
-            seconds.
+        queue_delay_above_s: Prefilling the waiting prompts would take longer
+            than this, in seconds.
+        queue_delay_below_s: Prefilling the waiting prompts would take less time
+            than this, in seconds.
         engines_lost_above_count: More engines of the zone than this are lost.
         availability_zone: The rule is evaluated in this zone.
         between_utc: Start (inclusive) and end (exclusive) of a daily time
@@ -57,8 +57,8 @@
             absent as well.
         requests_below_per_s: The request rate of the customer or model is
             below this value.
-        for_s: All other conditions have held continuously for this long, in
-            seconds.
+        for_s: All other conditions have been true continuously for this long,
+            in seconds.
     """
 
     prefill_share_above: Share
@@ -193,7 +193,7 @@
 
 @pydantic.with_config(_STRICT)
 class Shed(TypedDict):
-    """Latency targets that decide when requests are rejected early."""
+    """Latency targets; requests that would miss them are refused early."""
 
     first_token_target_ms: Annotated[float, pydantic.Field(gt=0, le=600_000)]
     between_tokens_target_ms: Annotated[float, pydantic.Field(gt=0, le=600_000)]
@@ -209,7 +209,7 @@
         customers: Customers by name.
         services: Services by name.
         models: Models by name.
-        shed: Latency targets of admission control.
+        shed: Latency targets; requests that would miss them are refused early.
     """
 
     rules: Annotated[list[Rule], pydantic.Field(max_length=1000)]
--- a/src/mulberrywharf/rules/explain.py
+++ b/src/mulberrywharf/rules/explain.py
@@ -37,7 +37,11 @@
     For example ``queue_delay_above_s 1.0: seen 2, 0.5 s old, holds``.
     """
     state = {True: "holds", False: "does not hold", None: "unknown"}
-    age = "no age" if math.isinf(result.age_s) else f"{result.age_s:.1f} s old"
+    age = (
+        "age unknown"
+        if math.isinf(result.age_s)
+        else f"{result.age_s:.1f} s old"
+    )
     return (
         f"{result.condition} {result.wanted}: seen {result.value}, {age}, "
         f"{state[result.holds]}"
@@ -52,7 +56,7 @@
             f"{where}: it may match, so nothing is changed"
         )
     if match.rule_index < 0:
-        return f"no rule of {where} matches; the default counts"
+        return f"no rule of {where} matches; the default applies"
     return (
         f"rule {match.rule_name} (#{match.rule_index + 1}) of {where} matches"
     )
--- a/src/mulberrywharf/rules/flapping.py
+++ b/src/mulberrywharf/rules/flapping.py
@@ -19,8 +19,8 @@
     """An input that changes with every report.
 
     Attributes:
-        above: Name of the condition that holds above a threshold.
-        below: Name of the condition that holds below a threshold.
+        above: Name of the condition that is true above a threshold.
+        below: Name of the condition that is true below a threshold.
         dead_band: Noise alone does not cross a gap between the two
             thresholds that is wider than this.
     """
--- a/src/mulberrywharf/rules/match.py
+++ b/src/mulberrywharf/rules/match.py
@@ -1,10 +1,9 @@
 """Finds the first rule that matches; only this rule applies.
 
-Each condition holds, does not hold, or is unknown because its input is
-missing or stale. A rule whose match is unknown ends the search, since it
-determines whether a later rule applies. The result is then undecided and its
-action is ``hold``, so that a node without current readings does not change
-the fleet.
+Each condition is true, false, or unknown because its input is missing or
+stale. A rule whose match is unknown ends the search, since it determines
+whether a later rule applies. The result is then undecided and its action is
+``hold``, so that a process without current readings does not change the fleet.
 """
 
 import json
@@ -31,7 +30,7 @@
         wanted: Value of the condition in the rule, as text.
         value: Value of the input, as text; ``unknown`` if there is none.
         age_s: Age of the input, in seconds.
-        holds: Whether the condition holds; None if unknown.
+        holds: Whether the condition is true; None if unknown.
     """
 
     condition: str
@@ -71,10 +70,10 @@
     """Returns the first rule that matches, or the default.
 
     Args:
-        document: The active configuration.
+        document: The configuration in force.
         situation: State of the zone.
         sustain: Records between evaluations how long each rule's conditions
-            have held.
+            have been true.
         now_s: Monotonic time, in seconds.
         stale_after_s: Age in seconds above which readings count as unknown.
     """
@@ -130,13 +129,13 @@
     zone = situation.availability_zone
     if "availability_zone" in when:
         wanted = when["availability_zone"]
-        yield _exact_result("availability_zone", wanted, zone, zone == wanted)
+        yield _known_result("availability_zone", wanted, zone, zone == wanted)
     if "between_utc" in when:
         minute = situation.utc_minute
         time_of_day = f"{minute // 60:02}:{minute % 60:02}"
         window = when["between_utc"]
         holds = is_in_window(minute, window)
-        yield _exact_result("between_utc", "-".join(window), time_of_day, holds)
+        yield _known_result("between_utc", "-".join(window), time_of_day, holds)
 
 
 def _evaluate_thresholds(
@@ -191,8 +190,8 @@
     result: ConditionResult, situation: Situation
 ) -> ConditionResult:
     # While the rates are unknown, a rule that depends on them is undecided and
-    # holds the zone. If this lasted indefinitely, the later rules would never
-    # apply, although all of their inputs may be known.
+    # leaves the zone unchanged. If this lasted indefinitely, the later rules
+    # would never apply, although all of their inputs may be known.
     if result.holds is None and situation.rates_given_up:
         return result._replace(holds=False)
     return result
@@ -214,7 +213,8 @@
     return ConditionResult(condition, wanted, f"{value:.3g}", age_s, holds)
 
 
-def _exact_result(
+def _known_result(
     condition: str, wanted: str, value: str, holds: bool
 ) -> ConditionResult:
+    """Returns the result of a condition whose input is always known."""
     return ConditionResult(condition, wanted, value, 0.0, holds)
--- a/src/mulberrywharf/rules/shadowing.py
+++ b/src/mulberrywharf/rules/shadowing.py
@@ -35,7 +35,7 @@
 
 
 def implies(when: Conditions, other: Conditions) -> bool:
-    """Returns whether ``other`` holds whenever ``when`` holds."""
+    """Returns whether ``other`` is true whenever ``when`` is true."""
     return (
         _thresholds_imply(when, other)
         and all(
@@ -74,7 +74,7 @@
 def _rate_range(when: Conditions) -> tuple[float, float]:
     below = when.get("requests_below_per_s", float("inf"))
     # Without any bound the rate must be above 0, since the condition means
-    # that requests arrive. An upper bound alone also holds at a rate of 0, so
+    # that requests arrive. An upper bound alone is also true at a rate of 0, so
     # the lower bound is then -1.
     lowest = 0.0 if "requests_below_per_s" not in when else -1.0
     return when.get("requests_above_per_s", lowest), below
--- a/src/mulberrywharf/rules/situation.py
+++ b/src/mulberrywharf/rules/situation.py
@@ -1,4 +1,4 @@
-"""Inputs of the rules: the state of one zone as seen by one node."""
+"""Inputs of the rules: the state of one zone as seen by one process."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -32,7 +32,8 @@
         availability_zone: The zone whose engines the rules control.
         utc_minute: Minute of the UTC day, 0 to 1439.
         prefill_share: Prefill's share of the zone's work, 0 to 1.
-        queue_delay_s: How long requests wait for an engine, in seconds.
+        queue_delay_s: How long prefilling the waiting prompts would take, in
+            seconds.
         engines_lost_count: Engines of the zone that should serve but do not.
         customer_requests_per_s: Request rates by customer.
         model_requests_per_s: Request rates by model.
@@ -42,7 +43,7 @@
         rates_age_s: Age of all request rates, in seconds; infinite when they
             are unknown.
         rates_given_up: Whether the rates have been unknown for so long that
-            conditions on them count as not holding.
+            conditions on them count as false.
     """
 
     availability_zone: str
--- a/src/mulberrywharf/rules/wanted_roles.py
+++ b/src/mulberrywharf/rules/wanted_roles.py
@@ -8,7 +8,7 @@
 
 
 class WantedRoles(NamedTuple):
-    """Number of engines per role; the sum is the number of usable engines."""
+    """Number of engines per role; the sum is the number of engines to split."""
 
     prefill_count: int
     decode_count: int
@@ -25,7 +25,7 @@
 
     Args:
         actions: Actions of the rule that matches.
-        engines_count: Number of usable engines in the zone.
+        engines_count: Number of engines of the zone that are to be split.
 
     Returns:
         The number of engines per role, or None if the actions leave the
@@ -34,9 +34,9 @@
     roles = actions.get("roles")
     if roles is None or actions.get("hold"):
         return None
-    quotas = _quotas(roles, engines_count)
-    counts = largest_remainder(quotas, engines_count)
-    return _keep_both_phases(quotas, counts, engines_count)
+    weights = _requested_weights(roles, engines_count)
+    counts = largest_remainder(weights, engines_count)
+    return _keep_both_kinds_of_work(weights, counts, engines_count)
 
 
 def largest_remainder(
@@ -60,7 +60,7 @@
     return tuple(counts)
 
 
-def _quotas(roles: Roles, engines_count: int) -> tuple[float, ...]:
+def _requested_weights(roles: Roles, engines_count: int) -> tuple[float, ...]:
     if roles.keys() & {"prefill_count", "decode_count", "mixed_count"}:
         requested = (
             float(roles.get("prefill_count", 0)),
@@ -79,23 +79,23 @@
     if unassigned <= _ROUNDING_TOLERANCE * max(total, 1.0):
         unassigned = 0.0
     prefill, decode, mixed = requested
-    quotas = (prefill, decode, mixed + unassigned)
-    return quotas if sum(quotas) > 0 else (0.0, 0.0, 1.0)
+    weights = (prefill, decode, mixed + unassigned)
+    return weights if sum(weights) > 0 else (0.0, 0.0, 1.0)
 
 
-def _keep_both_phases(
-    quotas: tuple[float, ...], counts: tuple[int, ...], engines_count: int
+def _keep_both_kinds_of_work(
+    weights: tuple[float, ...], counts: tuple[int, ...], engines_count: int
 ) -> WantedRoles:
     # In a zone that has lost most engines, rounding can leave no engine for
-    # prefill or for decode. Every request of the zone would then wait for
-    # another zone: the queue grows while engines are idle. One engine is
-    # therefore made mixed and does both.
+    # prefill or for decode. Every request of the zone would then need an
+    # engine of another zone: the queue grows while engines are idle. One engine
+    # is therefore made mixed and does both.
     prefill_count, decode_count, mixed_count = counts
     wanted = WantedRoles(prefill_count, decode_count, mixed_count)
     if engines_count == 0 or mixed_count > 0:
         return wanted
-    if quotas[0] > 0 and prefill_count == 0:
+    if weights[0] > 0 and prefill_count == 0:
         return WantedRoles(0, decode_count - 1, 1)
-    if quotas[1] > 0 and decode_count == 0:
+    if weights[1] > 0 and decode_count == 0:
         return WantedRoles(prefill_count - 1, 0, 1)
     return wanted
