--- a/src/mulberrywharf/nodes/__init__.py
+++ b/src/mulberrywharf/nodes/__init__.py
@@ -1,4 +1,4 @@
-"""The peer that is our own processes on other entry VMs."""
+"""Communication between this process and the routers on other entry VMs."""
 
 from mulberrywharf.nodes.claim_client import ClaimClient
 from mulberrywharf.nodes.claim_owner import ClaimOwner
--- a/src/mulberrywharf/nodes/claim_client.py
+++ b/src/mulberrywharf/nodes/claim_client.py
@@ -1,4 +1,4 @@
-"""Asks the owners of claim shards on behalf of this node's callers."""
+"""Claims idempotency keys at the owners of claim shards."""
 
 import random
 
@@ -21,19 +21,19 @@
 
 _RELEASE_ATTEMPTS_COUNT = 10
 _LONGEST_RELEASE_DELAY_S = 30.0
-_RELEASES_LIMIT_COUNT = 1000
+_CONCURRENT_RELEASES_LIMIT_COUNT = 1000
 _COMPLETE_TIMEOUT_S = 30.0
 _WAIT_SLICE_S = 20.0
 
 ClaimError = errors.ClaimUnavailableError | errors.KeyReuseError
 
 _outcomes = metrics.counter(
-    "mulberry_claims_total", "Claims asked for, by outcome."
+    "mulberry_claims_total", "Requested idempotency claims, by outcome."
 )
 
 
 class ClaimClient:
-    """Claims, completes and releases for one node."""
+    """Makes, completes and releases the claims of one node's requests."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
             system_clock=self._clock,
             shard_count=shard_count,
         )
-        self._releases = gevent.pool.Pool(_RELEASES_LIMIT_COUNT)
+        self._release_pool = gevent.pool.Pool(_CONCURRENT_RELEASES_LIMIT_COUNT)
 
     @classmethod
     def from_config(
@@ -69,7 +69,7 @@
         owner: claim_owner.ClaimOwner,
         callers_address: fleet.Address,
     ) -> "ClaimClient":
-        """Makes the client of the node that the settings describe."""
+        """Creates the client of this node from the settings."""
         return cls(
             store,
             node_links,
@@ -80,8 +80,8 @@
         )
 
     def close(self) -> None:
-        """Gives up releases that are still being tried."""
-        self._releases.kill()
+        """Stops the releases that are still being retried."""
+        self._release_pool.kill()
 
     def claim(
         self,
@@ -93,26 +93,27 @@
         run_bound_s: float = DEFAULT_RUN_BOUND_S,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> Result[claims.ClaimGranted | claims.ClaimMet, ClaimError]:
-        """Asks for the right to run a request.
+        """Claims the right to run a request.
 
         Args:
-            customer: Who sent it.
+            customer: Customer that sent the request.
             key: The idempotency key.
             body_digest: ``claims.digest`` of method, path and body.
-            request_id: The request.
-            run_bound_s: Time after which a run without a completion counts
-                as of unknown outcome; at most the window.
-            timeout_s: For an answer.
+            request_id: Id of the request.
+            run_bound_s: Time after which the outcome of a run without a
+                completion counts as unknown; at most the claim window.
+            timeout_s: How long to wait for an owner's reply.
 
         Returns:
-            ``ClaimGranted``: run it, then ``complete`` it, or ``release`` it
-            if no byte left. ``ClaimMet``: do not run it. ``KeyReuseError``:
-            the key came with another body. ``ClaimUnavailableError``: nobody
-            could confirm; the request is not run.
+            ``ClaimGranted``: run the request and then call ``complete``, or
+            call ``release`` if no byte was sent. ``ClaimMet``: do not run the
+            request. ``KeyReuseError``: the key was used with another body.
+            ``ClaimUnavailableError``: no owner confirmed the claim; do not
+            run the request.
         """
         claim = claims.claim_id(customer, key)
         token = random.getrandbits(63)
-        question = messages.ClaimRequest(
+        request = messages.ClaimRequest(
             claim,
             body_digest,
             request_id,
@@ -121,7 +122,9 @@
             self._callers_address.port,
             run_bound_s,
         )
-        reply = self._owners.ask(claim, question, timeout_s, insist=True)
+        reply = self._owners.call(
+            claim, request, timeout_s, retry_unavailable=True
+        )
         if reply is not None and reply.kind == "granted":
             _outcomes.inc({"outcome": "granted"})
             return Ok(claims.ClaimGranted(claim, token))
@@ -134,31 +137,34 @@
                 )
             )
         if reply is None or reply.kind == "unavailable":
-            # The claim may have been committed all the same; unless it is
-            # freed, the caller's next try would meet a run that never began.
-            if self._releases.free_count():
-                self._releases.spawn(self._release_quietly, claim, token)
+            # The claim may have been committed nevertheless. Unless it is
+            # released, the caller's next attempt would find the claim of a run
+            # that never started.
+            if self._release_pool.free_count():
+                self._release_pool.spawn(
+                    self._release_with_retries, claim, token
+                )
             _outcomes.inc({"outcome": "unavailable"})
             return Err(_unavailable())
         _outcomes.inc({"outcome": f"met-{reply.kind}"})
-        return Ok(_met(reply))
+        return Ok(_existing_claim(reply))
 
     def wait(
         self, customer: str, key: str, timeout_s: float
     ) -> Result[claims.ClaimMet, errors.ClaimUnavailableError]:
-        """Waits until a run that was met has ended.
+        """Waits for the end of the run that holds a claim.
 
         Returns:
-            The claim as it is at the end of the wait, ``in-progress`` if the
-            time ran out; an error if nobody knows the claim any more, such
-            as after a release, or no owner answered.
+            The claim at the end of the wait, ``in-progress`` after a timeout;
+            an error if the claim no longer exists, for instance after a
+            release, or if no owner replied.
         """
         claim = claims.claim_id(customer, key)
         deadline_s = self._clock.monotonic_s() + timeout_s
         while True:
             left_s = max(0.0, deadline_s - self._clock.monotonic_s())
             slice_s = min(left_s, _WAIT_SLICE_S)
-            reply = self._owners.ask(
+            reply = self._owners.call(
                 claim,
                 messages.ClaimWait(claim, slice_s),
                 slice_s + claim_shard_owners.CALL_TIMEOUT_S,
@@ -166,7 +172,7 @@
             if reply is None or reply.kind in ("not-found", "unavailable"):
                 return Err(_unavailable())
             if reply.kind != "in-progress" or left_s <= slice_s:
-                return Ok(_met(reply))
+                return Ok(_existing_claim(reply))
 
     def complete(
         self,
@@ -176,17 +182,20 @@
         *,
         timeout_s: float = _COMPLETE_TIMEOUT_S,
     ) -> Result[None, errors.ClaimUnavailableError]:
-        """Records the answer of a run; may run beside its delivery.
+        """Records the answer of a run.
+
+        May run while the answer is being delivered to the caller.
 
         Args:
-            granted: What ``claim`` returned.
+            granted: The granted claim.
             status: HTTP status of the answer.
-            answer: Its body; kept only up to ``ANSWER_LIMIT_BYTES``.
+            answer: Body of the answer; stored only up to
+                ``claims.ANSWER_LIMIT_BYTES``.
             timeout_s: How long to try.
 
         Returns:
-            An error if no owner confirmed: the claim then becomes
-            ``unknown``, and is still not run again.
+            An error if no owner confirmed the completion. The claim then
+            becomes ``unknown``, and the request is still not run again.
         """
         kept = answer if len(answer) <= claims.ANSWER_LIMIT_BYTES else None
         message = messages.ClaimComplete(
@@ -196,8 +205,8 @@
             claims.digest(answer),
             kept,
         )
-        reply = self._owners.ask(
-            granted.claim_id, message, timeout_s, insist=True
+        reply = self._owners.call(
+            granted.claim_id, message, timeout_s, retry_unavailable=True
         )
         if reply is not None and reply.kind == "accepted":
             return Ok(None)
@@ -206,16 +215,19 @@
     def release(
         self, granted: claims.ClaimGranted
     ) -> Result[None, errors.ClaimUnavailableError]:
-        """Frees a claim of a request of which no byte reached a back end."""
+        """Releases the claim of a request that reached no backend server.
+
+        No byte of the request may have been sent to a backend server.
+        """
         message = messages.ClaimRelease(granted.claim_id, granted.token)
-        reply = self._owners.ask(
-            granted.claim_id, message, DEFAULT_TIMEOUT_S, insist=True
+        reply = self._owners.call(
+            granted.claim_id, message, DEFAULT_TIMEOUT_S, retry_unavailable=True
         )
         if reply is not None and reply.kind in ("accepted", "not-found"):
             return Ok(None)
         return Err(_unavailable())
 
-    def _release_quietly(self, claim: bytes, token: int) -> None:
+    def _release_with_retries(self, claim: bytes, token: int) -> None:
         granted = claims.ClaimGranted(claim, token)
         for attempt in range(_RELEASE_ATTEMPTS_COUNT):
             if isinstance(self.release(granted), Ok):
@@ -225,7 +237,7 @@
             )
 
 
-def _met(reply: messages.ClaimReply) -> claims.ClaimMet:
+def _existing_claim(reply: messages.ClaimReply) -> claims.ClaimMet:
     state: claims.ClaimState = "unknown"
     if reply.kind == "in-progress" or reply.kind == "done":
         state = reply.kind
@@ -242,7 +254,7 @@
 
 def _unavailable() -> errors.ClaimUnavailableError:
     return errors.ClaimUnavailableError(
-        "at most one run could not be secured",
+        "at-most-once execution could not be guaranteed",
         outcome="not-run",
         retry_after_s=5.0,
         advice="Send the request again with the same idempotency key.",
--- a/src/mulberrywharf/nodes/claim_owner.py
+++ b/src/mulberrywharf/nodes/claim_owner.py
@@ -1,8 +1,8 @@
-"""Owns claim shards by lease: acquires, keeps and hands them over.
+"""Acquires claim shards, keeps them by a lease and hands them over.
 
-Two tasks: one renews the lease, the other looks for shards without an owner.
-The rank of the VMs for a shard decides who looks first, so that
-few nodes spend calls on looking and the owners are spread.
+One greenlet renews the lease, another scans for shards without an owner. The
+rank of the VMs for a shard decides which node tries to acquire it first. This
+spreads the shards, and few nodes spend key-value calls on scanning.
 """
 
 from typing import Protocol
@@ -28,20 +28,20 @@
     claim_log.PURPOSE_COMMIT: call_budget.CallBudget(60.0, 120),
     claim_log.PURPOSE_READ: call_budget.CallBudget(20.0, 60),
     claim_ownership.PURPOSE_OWNER: call_budget.CallBudget(10.0, 60),
-    # Of its own: whatever is spent on looking for shards, the lease on those
-    # that are held must not lapse for want of a call.
+    # A separate budget, so that calls spent on scanning can never prevent the
+    # renewal of the lease on the shards that this process owns.
     claim_ownership.PURPOSE_LEASE: call_budget.CallBudget(4.0, 20),
 }
-"""What the key-value client of a router should allow for claims."""
+"""Call budgets of a router's key-value client for claims, by purpose."""
 
 LEASE_TTL_S = 10.0
 POLL_INTERVAL_S = 2.0
 
 _RENEWALS_PER_TTL_COUNT = 3
-_LOOKS_PER_POLL_COUNT = 4
+_MAX_SCANS_PER_POLL_COUNT = 4
 _FINISH_TIMEOUT_S = 5.0
-_HANDOVER_TIMEOUT_S = 1.0
-_GIVE_UP_TIMEOUT_S = 5.0
+_HANDOVER_CALL_TIMEOUT_S = 1.0
+_HAND_OVER_ALL_TIMEOUT_S = 5.0
 
 _shards_owned = metrics.gauge(
     "mulberry_claim_shards_owned_count",
@@ -50,10 +50,10 @@
 
 
 class VmList(Protocol):
-    """What claims need of ``VmListReader``."""
+    """The part of ``VmListReader`` that claims use."""
 
     def vms(self) -> list[fleet.VmRecord]:
-        """Returns the VM list as last read."""
+        """Returns the most recently read VM list."""
         ...
 
 
@@ -65,7 +65,7 @@
         store: claim_log.KeyValue,
         vm_list: VmList,
         node_links: links.Links,
-        own: fleet.VmRecord,
+        own_vm: fleet.VmRecord,
         deployment: str,
         *,
         system_clock: clock.Clock | None = None,
@@ -77,7 +77,7 @@
         self._store = store
         self._vm_list = vm_list
         self._links = node_links
-        self._own = own
+        self._own_vm = own_vm
         self._deployment = deployment
         self._clock = system_clock or clock.SystemClock()
         self._lease_ttl_s = lease_ttl_s
@@ -88,14 +88,14 @@
         self._revisions: dict[int, int] = {}
         self._ownerless_since_s: dict[int, float] = {}
         self._keys = claim_ownership.OwnershipKeys(
-            store, deployment, own, lease_ttl_s
+            store, deployment, own_vm, lease_ttl_s
         )
         self._is_leaving = False
         self._tasks: list[gevent.Greenlet] = []
-        self._wanted: set[int] = set()
-        self._handed: set[int] = set()
-        self._look_now = gevent.event.Event()
-        self._handover_came = gevent.event.Event()
+        self._requested: set[int] = set()
+        self._handed_over: set[int] = set()
+        self._scan_requested = gevent.event.Event()
+        self._handover_received = gevent.event.Event()
 
     @classmethod
     def from_config(
@@ -106,33 +106,34 @@
         node_links: links.Links,
         node_server: server.NodeServer,
     ) -> "ClaimOwner":
-        """Makes the owner that the settings describe.
+        """Creates the owner from the settings.
 
         Args:
             config: Settings of the process.
             store: Client of the key-value service.
             vm_list: The VM list.
             node_links: Links to other nodes.
-            node_server: Listens already, so that its port is known; gets the
-                handlers for claims.
+            node_server: Server for other nodes. It must listen already, so
+                that its port is known. The claim handlers are registered on
+                it.
         """
-        own = fleet.VmRecord(
+        own_vm = fleet.VmRecord(
             config["vm_id"],
             "entry",
             config["availability_zone"],
             fleet.Address(config["nodes"]["listen"]["ip"], node_server.port),
         )
-        owner = cls(store, vm_list, node_links, own, config["deployment"])
+        owner = cls(store, vm_list, node_links, own_vm, config["deployment"])
         owner.register(node_server)
         return owner
 
     def register(self, node_server: server.NodeServer) -> None:
-        """Lets other nodes ask this owner."""
+        """Registers the handlers for claim messages of other nodes."""
 
         def handler(
             sender_vm_id: str, message: messages.Message
         ) -> messages.Message | None:
-            return self.answer(sender_vm_id, message)
+            return self.handle_message(sender_vm_id, message)
 
         for message_type in (
             messages.ClaimRequest,
@@ -144,23 +145,26 @@
             node_server.register(message_type, handler, may_wait=True)
 
     def start(self) -> None:
-        """Begins to look for shards."""
+        """Starts to renew the lease and to scan for shards."""
         self._tasks = [
             gevent.spawn(self._keep_lease),
-            gevent.spawn(self._look_for_shards),
+            gevent.spawn(self._scan_repeatedly),
         ]
 
     def close(self) -> None:
-        """Stops at once, as a crash would; the lease then has to lapse."""
+        """Stops at once without a handover, like a crash.
+
+        Other nodes can acquire the shards only after the lease has expired.
+        """
         gevent.killall(self._tasks)
         self._tasks = []
-        self._drop_all()
+        self._close_all()
 
     def hand_over(self) -> None:
-        """Gives up every shard so that others own them within moments.
+        """Hands over all shards to other nodes.
 
-        Without it a planned stop would leave the shards without an owner
-        until the lease lapses, and every claim in them unavailable.
+        Without a handover, a planned stop would leave the shards without an
+        owner, and all their claims unavailable, until the lease expires.
         """
         self._is_leaving = True
         finishing = [
@@ -168,43 +172,46 @@
             for shard in self._shards.values()
         ]
         gevent.joinall(finishing)
-        # Side by side: with the service away each call takes its timeouts,
-        # and one after the other they would hold up the stop.
-        giving_up = [
-            gevent.spawn(self._give_up, number) for number in self._shards
+        # Runs concurrently: while the key-value service is unavailable each
+        # call runs into its timeouts, and sequential calls would delay the
+        # stop.
+        handing_over = [
+            gevent.spawn(self._hand_over_shard, number)
+            for number in self._shards
         ]
-        gevent.joinall(giving_up, timeout=_GIVE_UP_TIMEOUT_S)
+        gevent.joinall(handing_over, timeout=_HAND_OVER_ALL_TIMEOUT_S)
         self._keys.revoke()
 
     def owned_shards(self) -> list[int]:
-        """Returns the numbers of the shards that it answers for."""
+        """Returns the numbers of the shards that this process owns."""
         return sorted(n for n, s in self._shards.items() if s.is_owner)
 
     def statistics(self) -> claim_shard.ShardStatistics:
-        """Sums the counts of the shards that it owns."""
+        """Returns the sums of the owned shards' statistics."""
         each = [shard.statistics for shard in self._shards.values()]
         return claim_shard.ShardStatistics(
             sum(s.records_count for s in each),
             sum(s.commits_count for s in each),
         )
 
-    def consider(self, shard: int) -> None:
-        """Notes that somebody needs a shard that seems to have no owner.
+    def request_takeover(self, shard: int) -> None:
+        """Requests that this node acquire a shard if it has no owner.
 
-        The candidates may all be gone while the VM list still names them;
-        then whoever needs the shard takes it.
+        Called when a request needs a shard whose owner is unknown. All
+        candidates may be gone while the VM list still contains them; a node
+        that needs the shard then acquires it although it is no candidate.
         """
-        self._wanted.add(shard)
-        self._look_now.set()
+        self._requested.add(shard)
+        self._scan_requested.set()
 
-    def answer(
+    def handle_message(
         self, sender_vm_id: str, message: messages.Message
     ) -> messages.ClaimReply | None:
-        """Answers one claim message, from another node or this one."""
+        """Handles one claim message from another node or this one."""
         if isinstance(message, messages.ShardHandover):
-            self._handed.add(message.shard)
-            self._handover_came.set()
-            self._look_now.set()
+            self._handed_over.add(message.shard)
+            self._handover_received.set()
+            self._scan_requested.set()
             return messages.ClaimReply("accepted")
         if not isinstance(
             message,
@@ -229,29 +236,30 @@
     def _keep_lease(self) -> None:
         while True:
             if not self._is_leaving and not self._keys.renew():
-                self._drop_all()
+                self._close_all()
             gevent.sleep(self._lease_ttl_s / _RENEWALS_PER_TTL_COUNT)
 
-    def _look_for_shards(self) -> None:
+    def _scan_repeatedly(self) -> None:
         while True:
             if not self._is_leaving:
-                self._look()
-            # Every request that waits for a shard asks for a look, many times
-            # a second. Looking each time would spend all calls on reading and
-            # leave none to take the shards: an outage of the service would
-            # never end for claims, and only its count of reads would show it.
-            pause_s = self._poll_interval_s / _LOOKS_PER_POLL_COUNT
-            self._handover_came.wait(pause_s)
-            self._look_now.wait(self._poll_interval_s - pause_s)
-            self._handover_came.clear()
-            self._look_now.clear()
-
-    def _look(self) -> None:
-        self._forget_lost()
+                self._scan()
+            # Every request that waits for a shard requests a scan many times
+            # per second. A scan for each would spend all calls on reads and
+            # leave none to acquire the shards: claims would stay unavailable
+            # after an outage of the key-value service has ended, with the
+            # service's number of reads as the only symptom.
+            pause_s = self._poll_interval_s / _MAX_SCANS_PER_POLL_COUNT
+            self._handover_received.wait(pause_s)
+            self._scan_requested.wait(self._poll_interval_s - pause_s)
+            self._handover_received.clear()
+            self._scan_requested.clear()
+
+    def _scan(self) -> None:
+        self._remove_lost()
         ranks = claim_candidates.own_ranks(
-            self._own.vm_id, self._vm_list.vms(), self._shard_count
+            self._own_vm.vm_id, self._vm_list.vms(), self._shard_count
         )
-        if not ranks and not self._wanted and not self._handed:
+        if not ranks and not self._requested and not self._handed_over:
             return
         found = self._keys.read()
         if isinstance(found, Err):
@@ -259,48 +267,50 @@
         owned = found.ok_value
         for number in range(self._shard_count):
             if number in owned:
-                self._adopt(number, owned[number])
+                self._start_if_own(number, owned[number])
                 self._ownerless_since_s.pop(number, None)
-                self._wanted.discard(number)
-                self._handed.discard(number)
-            elif self._is_due(number, ranks):
+                self._requested.discard(number)
+                self._handed_over.discard(number)
+            elif self._should_acquire(number, ranks):
                 self._acquire(number)
 
-    def _adopt(self, number: int, owned: key_value.KeyValue) -> None:
-        """Serves a shard that is this process's own without its knowledge.
+    def _start_if_own(self, number: int, owned: key_value.KeyValue) -> None:
+        """Starts a shard that this process owns but does not serve yet.
 
-        A write that won the ownership may take effect after its answer was
-        lost and the reading back showed nothing. Nobody else could take the
-        shard for as long as this process renews its lease.
+        A write of the ownership key may take effect after its response was
+        lost and the read-back found nothing. No other process could acquire
+        the shard as long as this process renews its lease.
         """
         if self._keys.is_own(owned) and number not in self._shards:
-            self._open(number, owned.mod_revision)
+            self._start_shard(number, owned.mod_revision)
 
-    def _is_due(self, number: int, ranks: dict[int, int]) -> bool:
-        """Tells whether it is this node's turn to take an unowned shard.
+    def _should_acquire(self, number: int, ranks: dict[int, int]) -> bool:
+        """Returns whether this node should now acquire a shard without owner.
 
-        All candidates would otherwise write at once, and one node that
-        starts first would own everything.
+        A candidate waits one poll interval for each candidate that ranks
+        before it, and at most one if a request needs the shard. Without the
+        wait all candidates would write at once, and the node that starts
+        first would own all shards.
         """
-        if number in self._handed:
+        if number in self._handed_over:
             return True
         now_s = self._clock.monotonic_s()
         since_s = self._ownerless_since_s.setdefault(number, now_s)
         rank = ranks.get(number, claim_candidates.CANDIDATES_COUNT)
         is_candidate = number in ranks
-        if not is_candidate and number not in self._wanted:
+        if not is_candidate and number not in self._requested:
             return False
-        if number in self._wanted:
+        if number in self._requested:
             rank = min(rank, 1)
         return now_s - since_s >= rank * self._poll_interval_s
 
     def _acquire(self, number: int) -> None:
-        mod_revision = self._keys.take(number)
+        mod_revision = self._keys.acquire(number)
         if mod_revision is not None:
-            self._open(number, mod_revision)
+            self._start_shard(number, mod_revision)
 
-    def _open(self, number: int, mod_revision: int) -> None:
-        """Reads the log of a shard that was won and begins to answer."""
+    def _start_shard(self, number: int, mod_revision: int) -> None:
+        """Reads the log of an acquired shard and starts to serve it."""
         key = claims.owner_key(self._deployment, number)
         shard = claim_shard.ClaimShard(
             claim_log.ClaimLog(
@@ -315,36 +325,35 @@
         self._revisions[number] = mod_revision
         started = shard.start()
         if isinstance(started, Err):
-            # Owning a shard without having read its log would grant claims
-            # that were granted before.
+            # Without its log, the shard would grant claims a second time.
             self._keys.delete(number, self._revisions.pop(number))
             return
         self._shards[number] = shard
         self._ownerless_since_s.pop(number, None)
-        self._wanted.discard(number)
-        self._handed.discard(number)
+        self._requested.discard(number)
+        self._handed_over.discard(number)
         _shards_owned.set({}, len(self._shards))
 
-    def _give_up(self, number: int) -> None:
+    def _hand_over_shard(self, number: int) -> None:
         shard = self._shards.pop(number)
         shard.close()
         self._keys.delete(number, self._revisions.pop(number))
         successor = claim_candidates.successor(
-            number, self._own.vm_id, self._vm_list.vms()
+            number, self._own_vm.vm_id, self._vm_list.vms()
         )
         if successor is not None:
             self._links.to(successor).call(
-                messages.ShardHandover(number), _HANDOVER_TIMEOUT_S
+                messages.ShardHandover(number), _HANDOVER_CALL_TIMEOUT_S
             )
 
-    def _forget_lost(self) -> None:
+    def _remove_lost(self) -> None:
         for number, shard in list(self._shards.items()):
             if not shard.is_owner:
                 del self._shards[number]
                 self._revisions.pop(number, None)
         _shards_owned.set({}, len(self._shards))
 
-    def _drop_all(self) -> None:
+    def _close_all(self) -> None:
         for shard in self._shards.values():
             shard.close()
         self._shards.clear()
--- a/src/mulberrywharf/nodes/claim_ownership.py
+++ b/src/mulberrywharf/nodes/claim_ownership.py
@@ -1,4 +1,4 @@
-"""The keys that say who owns which claim shard, and the lease they hang on."""
+"""Ownership keys of claim shards and the lease that they are attached to."""
 
 import json
 
@@ -14,42 +14,43 @@
 
 
 class OwnershipKeys:
-    """One process's lease, and the ownership keys under it."""
+    """This process's lease and its ownership keys."""
 
     def __init__(
         self,
         store: claim_log.KeyValue,
         deployment: str,
-        own: fleet.VmRecord,
+        own_vm: fleet.VmRecord,
         lease_ttl_s: float,
     ):
         self._store = store
         self._deployment = deployment
-        self._own = own
+        self._own_vm = own_vm
         self._lease_ttl_s = lease_ttl_s
         self._lease_id = 0
 
     def is_own(self, owned: key_value.KeyValue) -> bool:
-        """Tells whether an ownership key is under this process's lease."""
+        """Returns whether an ownership key has this process's lease."""
         return owned.lease_id == self._lease_id
 
     def renew(self) -> bool:
-        """Renews the lease if there is one; False once it has lapsed."""
+        """Renews the lease, if any; returns False if it has expired."""
         if not self._lease_id:
             return True
         renewed = self._store.keep_alive(self._lease_id, purpose=PURPOSE_LEASE)
-        # While the service is away the shards are kept: their commits fail
-        # anyhow, and if it is back before the lease lapses nothing moved.
+        # While the key-value service is unavailable, the shards are kept:
+        # commits fail anyway, and if the service returns before the lease
+        # expires, no shard has to change its owner.
         if isinstance(renewed, Ok) or not isinstance(
             renewed.err_value, errors.AuthorityLostError
         ):
             return True
-        logger.warning("the lease on claim shards lapsed")
+        logger.warning("the lease on claim shards expired")
         self._lease_id = 0
         return False
 
     def revoke(self) -> None:
-        """Gives the lease up, and with it every key that is left."""
+        """Revokes the lease, which deletes all remaining ownership keys."""
         if self._lease_id:
             self._store.revoke(self._lease_id, purpose=PURPOSE_LEASE)
             self._lease_id = 0
@@ -57,20 +58,20 @@
     def read(
         self,
     ) -> Result[dict[int, key_value.KeyValue], errors.PlatformError]:
-        """Returns the ownership keys of all processes by shard number."""
+        """Reads the ownership keys of all processes, by shard number."""
         found = self._store.get_prefix(
             claims.owners_prefix(self._deployment), purpose=PURPOSE_OWNER
         )
         return found.map(lambda keys: {shard_number(kv.key): kv for kv in keys})
 
-    def take(self, shard: int) -> int | None:
+    def acquire(self, shard: int) -> int | None:
         """Makes this process the owner of a shard that has none.
 
         Returns:
-            The revision of the ownership key, or None if another process was
-            first or the service did not answer.
+            The revision of the ownership key, or None if another process owns
+            the shard or the key-value service did not respond.
         """
-        if not self._has_lease():
+        if not self._ensure_lease():
             return None
         key = claims.owner_key(self._deployment, shard)
         created = self._create(key)
@@ -79,14 +80,14 @@
         return created.ok_value.mod_revision
 
     def delete(self, shard: int, mod_revision: int) -> None:
-        """Gives a shard up, if the key is still as this process wrote it."""
+        """Deletes an ownership key if it is unchanged since ``acquire``."""
         self._store.delete(
             claims.owner_key(self._deployment, shard),
             expected_revision=mod_revision,
             purpose=PURPOSE_OWNER,
         )
 
-    def _has_lease(self) -> bool:
+    def _ensure_lease(self) -> bool:
         if self._lease_id:
             return True
         granted = self._store.grant_lease(
@@ -110,8 +111,9 @@
         )
         if isinstance(created, Ok):
             return created
-        # The answer may be lost though the key was written, at this attempt
-        # or one before; the value names this process's own lease.
+        # The key may have been written although the response was lost, now or
+        # in an earlier attempt. The value contains this process's lease id, so
+        # an equal value proves ownership.
         found = self._store.get(key, purpose=PURPOSE_OWNER)
         if isinstance(found, Err) or found.ok_value is None:
             return created
@@ -122,20 +124,20 @@
     def _value(self) -> bytes:
         return json.dumps(
             {
-                "vm_id": self._own.vm_id,
-                "ip": self._own.address.ip,
-                "port": self._own.address.port,
+                "vm_id": self._own_vm.vm_id,
+                "ip": self._own_vm.address.ip,
+                "port": self._own_vm.address.port,
                 "lease_id": str(self._lease_id),
             }
         ).encode()
 
 
 def shard_number(owner_key: str) -> int:
-    """Returns the shard that an ownership key is of."""
+    """Returns the shard number in an ownership key."""
     return int(owner_key.rsplit("/", 1)[1])
 
 
 def owner_address(value: bytes) -> fleet.Address:
-    """Returns the owner's listener for nodes from an ownership key's value."""
+    """Returns the owner's address for other nodes from its key's value."""
     fields = json.loads(value)
     return fleet.Address(fields["ip"], fields["port"])
--- a/src/mulberrywharf/nodes/claim_queue.py
+++ b/src/mulberrywharf/nodes/claim_queue.py
@@ -1,4 +1,4 @@
-"""The records of one claim shard that wait to be committed."""
+"""Queue of the records of one claim shard that are to be committed."""
 
 import gevent.event
 
@@ -9,12 +9,14 @@
 
 
 class QueuedRecord:
-    """A record on its way into the log.
+    """A record that is queued or being written.
 
     Attributes:
         record: The record.
-        committed: Set to True once it is in the log, False if it never will.
-        is_abandoned: Whoever asked was told ``unavailable`` meanwhile.
+        committed: Set to True once the record is in the log, to False once it
+            is certain that it will not be written.
+        is_abandoned: Whether the sender was sent ``unavailable`` or released
+            the claim before the record was committed.
     """
 
     def __init__(self, record: claims.Record):
@@ -24,7 +26,7 @@
 
     @property
     def token(self) -> int:
-        """The attempt that the record is about."""
+        """The attempt that the record belongs to."""
         record = self.record
         return (
             record.entry.token
@@ -33,26 +35,26 @@
         )
 
     def wait(self, timeout_s: float) -> bool:
-        """Waits for the record; True once it is in the log."""
+        """Waits for the commit; returns whether the record is in the log."""
         self.committed.wait(max(0.0, timeout_s))
-        # Read afresh: the record may have been settled between the end of the
-        # timeout and the moment this greenlet ran again.
+        # Reads the value again, as the record may have been committed between
+        # the timeout and the time at which this greenlet resumed.
         return bool(self.committed.value)
 
 
 class CommitQueue:
     """Records in the order in which they are to be committed.
 
-    A record stays known by its claim from ``add`` until it is settled or has
-    failed, also while it is being written.
+    Claims and releases can be looked up by claim id from ``add`` until they
+    are committed or have failed, also while they are being written.
 
     Attributes:
-        filled: Set while something waits to be cut into a batch.
-        idle: Set while nothing waits and nothing is being written.
+        has_records: Set while records wait to be taken into a batch.
+        idle: Set while no record waits or is being written.
     """
 
     def __init__(self) -> None:
-        self.filled = gevent.event.Event()
+        self.has_records = gevent.event.Event()
         self.idle = gevent.event.Event()
         self.idle.set()
         self._records: list[QueuedRecord] = []
@@ -61,15 +63,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further claim should be taken in."""
+        """Whether further claims should be refused."""
         return len(self._records) >= _QUEUE_LIMIT_COUNT
 
     def queued_claim(self, claim_id: bytes) -> QueuedRecord | None:
-        """Returns the claim's record on its way, if there is one."""
+        """Returns the uncommitted claim record of a claim, or None."""
         return self._claims.get(claim_id)
 
     def queued_release(self, claim_id: bytes) -> QueuedRecord | None:
-        """Returns the release's record on its way, if there is one."""
+        """Returns the uncommitted release record of a claim, or None."""
         return self._releases.get(claim_id)
 
     def add(self, record: claims.Record) -> QueuedRecord:
@@ -81,62 +83,62 @@
             self._releases[record.claim_id] = queued
         self._records.append(queued)
         self.idle.clear()
-        self.filled.set()
+        self.has_records.set()
         return queued
 
-    def cut_batch(self) -> list[QueuedRecord]:
-        """Takes the next records off, as many as one write may hold."""
+    def take_batch(self) -> list[QueuedRecord]:
+        """Removes and returns as many records as one write may hold."""
         batch: list[QueuedRecord] = []
         size_bytes = 0
         while self._records and size_bytes < _BATCH_LIMIT_BYTES:
             queued = self._records.pop(0)
-            # A claim that nobody waits for any more need not be written.
+            # No request waits for this claim any more.
             if queued.is_abandoned:
                 self._fail(queued)
                 continue
             batch.append(queued)
             size_bytes += len(claims.encode_record(queued.record))
         if not self._records:
-            self.filled.clear()
+            self.has_records.clear()
         if not batch:
-            self.note_idle()
+            self.update_idle()
         return batch
 
-    def put_back(self, batch: list[QueuedRecord]) -> None:
-        """Fails claims that were surely not written; keeps the rest."""
+    def fail_claims_and_requeue(self, batch: list[QueuedRecord]) -> None:
+        """Fails the claims of an unwritten batch and requeues the rest."""
         kept = [q for q in batch if not isinstance(q.record, claims.Claimed)]
         for queued in batch:
             if isinstance(queued.record, claims.Claimed):
                 self._fail(queued)
-        self.put_all_back(kept)
+        self.requeue(kept)
         if self._records:
-            self.filled.set()
-        self.note_idle()
+            self.has_records.set()
+        self.update_idle()
 
-    def put_all_back(self, batch: list[QueuedRecord]) -> None:
-        """Puts a batch in front again, to fail with the rest."""
+    def requeue(self, batch: list[QueuedRecord]) -> None:
+        """Puts a batch back in front, so that ``fail_all`` includes it."""
         self._records[:0] = batch
 
     def fail_all(self) -> None:
-        """Tells everybody who waits that their record is not committed."""
+        """Marks all queued records as not committed."""
         for queued in list(self._records):
             self._fail(queued)
 
-    def settle(self, queued: QueuedRecord) -> None:
-        """Tells who waits that the record is in the log."""
-        self._forget(queued)
+    def mark_committed(self, queued: QueuedRecord) -> None:
+        """Marks a record as committed."""
+        self._remove(queued)
         queued.committed.set(True)
 
-    def note_idle(self) -> None:
-        """Notes the end of a write."""
+    def update_idle(self) -> None:
+        """Sets ``idle`` after a write if no record waits."""
         if not self._records:
             self.idle.set()
 
     def _fail(self, queued: QueuedRecord) -> None:
-        self._forget(queued)
+        self._remove(queued)
         queued.committed.set(False)
 
-    def _forget(self, queued: QueuedRecord) -> None:
+    def _remove(self, queued: QueuedRecord) -> None:
         record = queued.record
         if isinstance(record, claims.Claimed):
             self._claims.pop(record.entry.claim_id, None)
--- a/src/mulberrywharf/nodes/claim_shard.py
+++ b/src/mulberrywharf/nodes/claim_shard.py
@@ -1,4 +1,4 @@
-"""One claim shard at its owner: answers claims, commits them in groups."""
+"""One claim shard at its owner: replies to claims, commits them in batches."""
 
 from typing import NamedTuple
 
@@ -9,20 +9,20 @@
 from mulberrywharf import clock, errors
 from mulberrywharf.nodes import claim_log, claim_queue, claims, messages
 
-GATHER_S = 0.003
-"""The first claim of a group waits so long for others."""
+BATCH_DELAY_S = 0.003
+"""How long the first record of a batch waits for further records."""
 
 COMMIT_INTERVAL_S = 0.1
-"""Least time between two commits, which bounds the writes of a shard."""
+"""Minimum time between two commits; limits the write rate of a shard."""
 
-ANSWER_WITHIN_S = 2.0
-"""A claim that is not committed by then is answered ``unavailable``."""
+REPLY_TIMEOUT_S = 2.0
+"""The reply is ``unavailable`` if the commit takes longer."""
 
 ENTRIES_LIMIT_COUNT = 20_000
-"""Claims that a shard remembers; more are refused as not run."""
+"""Claims that a shard can store; requests beyond are refused as not run."""
 
 _EXPIRY_MARGIN_S = 60.0
-_GIVEN_UP_LIMIT_COUNT = 4096
+_RELEASED_TOKENS_LIMIT_COUNT = 4096
 _EXPIRE_INTERVAL_S = 5.0
 _WAIT_LIMIT_S = 60.0
 
@@ -33,10 +33,10 @@
 
 
 class ShardStatistics(NamedTuple):
-    """Counts since the ownership began.
+    """Counts since this process became the owner.
 
     Attributes:
-        records_count: Records committed.
+        records_count: Committed records.
         commits_count: Writes that committed them.
     """
 
@@ -45,7 +45,7 @@
 
 
 class ClaimShard:
-    """The owner's side of one shard; one task commits."""
+    """The owner's side of one shard; a single greenlet commits the records."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._window_s = window_s
         self._table = claims.Table(window_s)
         self._queue = claim_queue.CommitQueue()
-        self._given_up_tokens: dict[int, None] = {}
+        self._released_tokens: dict[int, None] = {}
         self._waiters: dict[bytes, gevent.event.Event] = {}
         self._task: gevent.Greenlet | None = None
         self._next_expiry_s = 0.0
@@ -69,11 +69,11 @@
 
     @property
     def statistics(self) -> ShardStatistics:
-        """Counts since the ownership began."""
+        """Counts since this process became the owner."""
         return ShardStatistics(self._records_count, self._commits_count)
 
     def start(self) -> Result[None, errors.PlatformError]:
-        """Reads the log and begins to answer."""
+        """Reads the log and starts to serve the shard."""
         replayed = self._log.replay(self._table, self._clock.unix_s())
         if isinstance(replayed, Err):
             return replayed
@@ -82,7 +82,7 @@
         return Ok(None)
 
     def close(self) -> None:
-        """Stops at once; whoever waits is sent to the next owner."""
+        """Stops at once; waiting calls get the reply ``not-owner``."""
         self.is_owner = False
         if self._task is not None and self._task is not gevent.getcurrent():
             self._task.kill()
@@ -92,7 +92,7 @@
             event.set()
 
     def finish(self, timeout_s: float) -> None:
-        """Commits what is queued, takes nothing new, then stops."""
+        """Refuses new messages, commits the queued records and stops."""
         self.is_owner = False
         self._queue.idle.wait(timeout_s)
         self.close()
@@ -100,27 +100,27 @@
     def claim(
         self, sender_vm_id: str, request: messages.ClaimRequest
     ) -> messages.ClaimReply:
-        """Answers a claim once it is known to be committed or met."""
-        deadline_s = self._clock.monotonic_s() + ANSWER_WITHIN_S
+        """Replies once the claim is committed or an earlier one is found."""
+        deadline_s = self._clock.monotonic_s() + REPLY_TIMEOUT_S
         while self.is_owner:
-            # The question may be older than the release of the same attempt:
-            # held up in the network, or waiting here for the very commit that
-            # the release undid. Granted now, it would be run by nobody.
-            if request.token in self._given_up_tokens:
+            # This request may have been delayed, in the network or while it
+            # waited here for the commit, until after its own attempt was
+            # released. If the claim were granted now, nobody would run it.
+            if request.token in self._released_tokens:
                 return _UNAVAILABLE
             left_s = deadline_s - self._clock.monotonic_s()
-            # A claim that is being released is neither held nor free: to
-            # grant it again now would let the release free it under its
-            # new holder, and a third request would run beside it.
-            leaving = self._queue.queued_release(request.claim_id)
-            if leaving is not None:
-                if not leaving.wait(left_s):
+            # A claim whose release is not committed yet is neither held nor
+            # free. If it were granted again now, the release would free the
+            # new holder's claim, and a third request could run concurrently.
+            release_record = self._queue.queued_release(request.claim_id)
+            if release_record is not None:
+                if not release_record.wait(left_s):
                     return _UNAVAILABLE
                 continue
             entry = self._table.get(request.claim_id)
             if entry is not None:
-                return self._met(entry, request)
-            reply = self._take(sender_vm_id, request, left_s)
+                return self._reply_to_duplicate(entry, request)
+            reply = self._queue_claim(sender_vm_id, request, left_s)
             if reply is not None:
                 return reply
         return _NOT_OWNER
@@ -144,16 +144,17 @@
         return self._commit_and_reply(record)
 
     def release(self, request: messages.ClaimRelease) -> messages.ClaimReply:
-        """Frees a claim whose request was not run."""
+        """Releases a claim whose request was not run."""
         if not self.is_owner:
             return _NOT_OWNER
-        self._note_given_up(request.token)
+        self._record_released_token(request.token)
         queued = self._queue.queued_claim(request.claim_id)
         if queued is not None and queued.token == request.token:
             queued.is_abandoned = True
-            # Accepted any earlier, the release would be forgotten with this
-            # owner while the claim's write, still under way, might survive.
-            queued.committed.wait(ANSWER_WITHIN_S)
+            # Waits for the claim's write: if the release were accepted before
+            # and this owner then exited, the release would be lost while the
+            # write might still take effect.
+            queued.committed.wait(REPLY_TIMEOUT_S)
             if not queued.committed.ready():
                 return _UNAVAILABLE
             if not self.is_owner:
@@ -161,17 +162,17 @@
         entry = self._table.get(request.claim_id)
         if entry is None or entry.token != request.token or entry.is_done:
             return _NOT_FOUND
-        leaving = self._queue.queued_release(request.claim_id)
-        if leaving is None:
-            leaving = self._queue.add(
+        release_record = self._queue.queued_release(request.claim_id)
+        if release_record is None:
+            release_record = self._queue.add(
                 claims.Released(request.claim_id, request.token)
             )
-        if leaving.wait(ANSWER_WITHIN_S):
+        if release_record.wait(REPLY_TIMEOUT_S):
             return _ACCEPTED
         return _UNAVAILABLE if self.is_owner else _NOT_OWNER
 
     def wait(self, request: messages.ClaimWait) -> messages.ClaimReply:
-        """Waits until the run in progress has ended one way or another."""
+        """Waits until the run is no longer in progress or the wait is over."""
         deadline_s = self._clock.monotonic_s() + min(
             request.wait_s, _WAIT_LIMIT_S
         )
@@ -190,46 +191,49 @@
             event.wait(max(0.01, min(left_s, run_left_s)))
         return _NOT_OWNER
 
-    def _note_given_up(self, token: int) -> None:
-        self._given_up_tokens[token] = None
-        if len(self._given_up_tokens) > _GIVEN_UP_LIMIT_COUNT:
-            del self._given_up_tokens[next(iter(self._given_up_tokens))]
+    def _record_released_token(self, token: int) -> None:
+        self._released_tokens[token] = None
+        if len(self._released_tokens) > _RELEASED_TOKENS_LIMIT_COUNT:
+            del self._released_tokens[next(iter(self._released_tokens))]
 
-    def _met(
+    def _reply_to_duplicate(
         self, entry: claims.Entry, request: messages.ClaimRequest
     ) -> messages.ClaimReply:
         if entry.body_digest != request.body_digest:
             return messages.ClaimReply("key-reused")
         reply = _reply_of(entry, self._clock.unix_s())
-        # The same attempt asks again because the answer to its first question
-        # was lost, for instance with the owner that committed it.
+        # The same attempt repeats its request because the first reply was
+        # lost, for instance when the owner that committed the claim exited.
         if entry.token == request.token and reply.kind == "in-progress":
             return reply._replace(kind="granted")
         return reply
 
-    def _take(
+    def _queue_claim(
         self, sender_vm_id: str, request: messages.ClaimRequest, left_s: float
     ) -> messages.ClaimReply | None:
-        """Queues the claim and waits; None means look at the table again."""
+        """Queues the claim and waits; None means check the table again."""
         queued = self._queue.queued_claim(request.claim_id)
         if queued is None:
             if self._is_full():
                 return _UNAVAILABLE
-            queued = self._queue.add(self._claimed(sender_vm_id, request))
+            queued = self._queue.add(
+                self._claimed_record(sender_vm_id, request)
+            )
         is_own = queued.token == request.token
         if is_own:
             queued.is_abandoned = False
         if queued.wait(left_s):
             return None
         if queued.committed.ready():
-            # Not written. Another attempt's failure is not this one's.
+            # The record was not written. If it is another attempt's record,
+            # its failure says nothing about this attempt.
             surely_failed = is_own and self.is_owner
             return _UNAVAILABLE if surely_failed else None
         if is_own:
             queued.is_abandoned = True
         return _UNAVAILABLE
 
-    def _claimed(
+    def _claimed_record(
         self, sender_vm_id: str, request: messages.ClaimRequest
     ) -> claims.Claimed:
         now_unix_s = self._clock.unix_s()
@@ -255,14 +259,14 @@
 
     def _commit_and_reply(self, record: claims.Record) -> messages.ClaimReply:
         queued = self._queue.add(record)
-        if queued.wait(ANSWER_WITHIN_S):
+        if queued.wait(REPLY_TIMEOUT_S):
             return _ACCEPTED
         return _UNAVAILABLE if self.is_owner else _NOT_OWNER
 
     def _run(self) -> None:
         while True:
-            if self._queue.filled.wait(_EXPIRE_INTERVAL_S):
-                gevent.sleep(GATHER_S)
+            if self._queue.has_records.wait(_EXPIRE_INTERVAL_S):
+                gevent.sleep(BATCH_DELAY_S)
                 if not self._commit_batch():
                     self.close()
                     return
@@ -270,35 +274,35 @@
             self._expire()
 
     def _commit_batch(self) -> bool:
-        """Commits part of the queue; False if the ownership is lost."""
-        batch = self._queue.cut_batch()
+        """Commits one batch; returns False if the ownership is lost."""
+        batch = self._queue.take_batch()
         if not batch:
             return True
         appended = self._log.append(
             [queued.record for queued in batch],
             self._clock.unix_s(),
-            ANSWER_WITHIN_S,
+            REPLY_TIMEOUT_S,
         )
         if isinstance(appended, Err):
             if isinstance(appended.err_value, errors.AuthorityLostError):
-                self._queue.put_all_back(batch)
+                self._queue.requeue(batch)
                 return False
-            self._queue.put_back(batch)
+            self._queue.fail_claims_and_requeue(batch)
             return True
         self._commits_count += 1
         self._records_count += len(batch)
         for queued in batch:
-            self._settle(queued)
-        self._queue.note_idle()
+            self._apply_committed(queued)
+        self._queue.update_idle()
         return True
 
-    def _settle(self, queued: claim_queue.QueuedRecord) -> None:
+    def _apply_committed(self, queued: claim_queue.QueuedRecord) -> None:
         record = queued.record
         self._table.apply(record)
-        self._queue.settle(queued)
+        self._queue.mark_committed(queued)
         if isinstance(record, claims.Claimed):
-            # The asker was told that nothing runs, so the key must be free
-            # for his next try; committed all the same, it would block him.
+            # The caller was told that its request did not run. The committed
+            # claim is released, as it would block the caller's next attempt.
             if queued.is_abandoned:
                 self._queue.add(
                     claims.Released(record.entry.claim_id, record.entry.token)
--- a/src/mulberrywharf/nodes/claim_shard_owners.py
+++ b/src/mulberrywharf/nodes/claim_shard_owners.py
@@ -1,4 +1,4 @@
-"""Finds the owner of a claim shard and asks it, until somebody answers."""
+"""Finds the owner of a claim shard and calls it until an owner replies."""
 
 import random
 from typing import NamedTuple
@@ -17,26 +17,26 @@
 )
 
 CALL_TIMEOUT_S = 3.0
-"""For one question to one owner, beside the time that it may wait."""
+"""Timeout of one call to one owner; a ``ClaimWait`` adds its own wait."""
 
 _FIRST_LOOKUP_DELAY_S = 0.1
 _LONGEST_LOOKUP_DELAY_S = 1.0
 
 
-class _Question(NamedTuple):
+class _Call(NamedTuple):
     shard: int
     message: messages.Message
     timeout_s: float
 
 
 class ShardOwners:
-    """The owners of all claim shards, this process among them."""
+    """The owners of all claim shards, which may include this process."""
 
     def __init__(
         self,
         store: claim_log.KeyValue,
         node_links: links.Links,
-        own: claim_owner.ClaimOwner,
+        local_owner: claim_owner.ClaimOwner,
         own_vm_id: str,
         deployment: str,
         *,
@@ -45,7 +45,7 @@
     ):
         self._store = store
         self._links = node_links
-        self._own = own
+        self._local_owner = local_owner
         self._own_vm_id = own_vm_id
         self._deployment = deployment
         self._clock = system_clock
@@ -54,24 +54,24 @@
         self._next_lookup_s = 0.0
         self._lookup_delay_s = _FIRST_LOOKUP_DELAY_S
 
-    def ask(
+    def call(
         self,
         claim: bytes,
         message: messages.Message,
         timeout_s: float,
         *,
-        insist: bool = False,
+        retry_unavailable: bool = False,
     ) -> messages.ClaimReply | None:
-        """Asks whoever owns the claim's shard until somebody answers.
+        """Calls the owner of the claim's shard until an owner replies.
 
         Args:
             claim: The claim.
-            message: The question; harmless when asked twice.
-            timeout_s: In all.
-            insist: Whether ``unavailable`` is asked again.
+            message: The message to send; it must be safe to send repeatedly.
+            timeout_s: Total time for all calls.
+            retry_unavailable: Whether to call again after ``unavailable``.
 
         Returns:
-            The owner's answer, or None.
+            The owner's reply, or None.
         """
         shard = claims.shard_of(claim, self._shard_count)
         deadline_s = self._clock.monotonic_s() + timeout_s
@@ -81,45 +81,46 @@
             if left_s <= 0:
                 return reply
             call_s = min(left_s, _call_timeout_s(message))
-            reply = self._ask_once(_Question(shard, message, call_s))
-            if reply is not None and not _asks_again(reply, insist):
+            reply = self._call_once(_Call(shard, message, call_s))
+            if reply is not None and not _is_retried(reply, retry_unavailable):
                 return reply
             self._addresses.pop(shard, None)
             reply = None
             gevent.sleep(random.uniform(0.02, 0.1))
 
-    def _ask_once(self, question: _Question) -> messages.ClaimReply | None:
-        if question.shard in self._own.owned_shards():
-            return self._ask_own(question)
-        address = self._addresses.get(question.shard)
+    def _call_once(self, call: _Call) -> messages.ClaimReply | None:
+        if call.shard in self._local_owner.owned_shards():
+            return self._call_local_owner(call)
+        address = self._addresses.get(call.shard)
         if address is None:
             self._look_up()
-            address = self._addresses.get(question.shard)
+            address = self._addresses.get(call.shard)
         if address is None:
-            self._own.consider(question.shard)
+            self._local_owner.request_takeover(call.shard)
             return None
-        answered = self._links.to(address).call(
-            question.message, question.timeout_s
-        )
+        answered = self._links.to(address).call(call.message, call.timeout_s)
         if isinstance(answered, Err):
             return None
         answer = answered.ok_value
         return answer if isinstance(answer, messages.ClaimReply) else None
 
-    def _ask_own(self, question: _Question) -> messages.ClaimReply | None:
-        # In a greenlet of its own, as for other nodes: cut off in the middle
-        # by this caller's timeout, the owner would not note that nobody
-        # waits for the claim any more.
-        task = gevent.spawn(self._own.answer, self._own_vm_id, question.message)
-        task.join(question.timeout_s)
+    def _call_local_owner(self, call: _Call) -> messages.ClaimReply | None:
+        # Runs in a separate greenlet, as calls from other nodes do. If this
+        # call's timeout interrupted the owner, the owner would not mark the
+        # claim as abandoned.
+        task = gevent.spawn(
+            self._local_owner.handle_message, self._own_vm_id, call.message
+        )
+        task.join(call.timeout_s)
         reply: messages.ClaimReply | None = task.value
         return reply
 
     def _look_up(self) -> None:
-        """Reads who owns what, ever less often while it does not help.
+        """Reads the owners of all shards, with backoff if nothing changed.
 
-        During a takeover every node that holds a request would else read in
-        a tight loop, and the service's rate is shared by the whole fleet.
+        Without the backoff, every node with a pending request would read in a
+        tight loop during a takeover, and the whole fleet shares the call rate
+        of the key-value service.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._next_lookup_s:
@@ -152,5 +153,7 @@
     return CALL_TIMEOUT_S
 
 
-def _asks_again(reply: messages.ClaimReply, insist: bool) -> bool:
-    return reply.kind == "not-owner" or (insist and reply.kind == "unavailable")
+def _is_retried(reply: messages.ClaimReply, retry_unavailable: bool) -> bool:
+    return reply.kind == "not-owner" or (
+        retry_unavailable and reply.kind == "unavailable"
+    )
--- a/src/mulberrywharf/nodes/claims.py
+++ b/src/mulberrywharf/nodes/claims.py
@@ -1,9 +1,9 @@
-"""Idempotency claims: what they are and how a shard's log records them.
+"""Idempotency claims and the log records that store them.
 
-A claim is the right to run the request of one customer and idempotency key
-once. Claims are spread over shards. The log of a shard lives in the key-value
-service as segments, each a list of JSON lines that only grows; replaying the
-segments in order gives the shard's table.
+A claim is the right to run a request once for a customer and idempotency key.
+Claims are partitioned into shards. The key-value service stores the log of
+each shard as segments: append-only lists of JSON lines. Replaying the
+segments in order rebuilds the shard's table.
 """
 
 import base64
@@ -17,22 +17,22 @@
 
 SHARD_COUNT = 16
 WINDOW_S = 900.0
-"""How long a key is remembered after it was first claimed."""
+"""How long a claim is kept after it was made."""
 
 ANSWER_LIMIT_BYTES = 4096
-"""Longer answers are remembered by their digest only."""
+"""Of a longer answer only the digest is stored."""
 
 SEGMENT_LIMIT_BYTES = 16 * 1024
-"""A segment that has grown so long gets a successor.
+"""Size at which the log starts a new segment.
 
-Every commit writes its segment anew, so the bytes written grow with this; the
-keys that the next owner reads grow as it shrinks.
+Each commit rewrites the whole segment, so a larger limit writes more bytes per
+commit. A smaller limit makes the next owner read more keys.
 """
 
 DIGEST_BYTES = 16
 
 ClaimState = Literal["in-progress", "done", "unknown"]
-"""``unknown``: the runner's time passed without a completion."""
+"""``unknown``: the run's deadline passed without a completion."""
 
 
 class ClaimGranted(NamedTuple):
@@ -40,7 +40,7 @@
 
     Attributes:
         claim_id: The claim.
-        token: Proves that it was granted to this attempt.
+        token: Identifies the attempt that holds the claim.
     """
 
     claim_id: bytes
@@ -48,16 +48,16 @@
 
 
 class ClaimMet(NamedTuple):
-    """Another request with the same key came first.
+    """An earlier request with the same key holds the claim.
 
     Attributes:
-        state: Where that request is.
-        runner_vm_id: Entry VM that runs or ran it.
-        runner_address: Its listener for callers.
-        request_id: Its request id.
+        state: State of the earlier request's run.
+        runner_vm_id: Entry VM that runs or ran the earlier request.
+        runner_address: Address on which that VM listens for callers.
+        request_id: Id of the earlier request.
         status: HTTP status of its answer, 0 unless done.
         answer_digest: Digest of its answer, empty unless done.
-        answer: Its answer, None unless done and short enough to be kept.
+        answer: Its answer, None unless done and short enough to be stored.
     """
 
     state: ClaimState
@@ -75,17 +75,18 @@
     Attributes:
         claim_id: Digest of customer and key.
         body_digest: Digest of the first request's body.
-        request_id: The first request.
-        token: Its attempt.
-        runner_vm_id: Who runs it.
-        runner_ip: That node's listener for callers.
-        runner_port: Its TCP port.
-        claimed_unix_s: When the claim was taken.
-        run_until_unix_s: Without a completion by then it is ``unknown``.
+        request_id: Id of the first request.
+        token: Identifies the attempt that holds the claim.
+        runner_vm_id: Entry VM that runs the request.
+        runner_ip: IP address on which that VM listens for callers.
+        runner_port: TCP port on which that VM listens for callers.
+        claimed_unix_s: When the claim was made.
+        run_until_unix_s: Deadline of the run; a claim without a completion
+            is ``unknown`` afterwards.
         is_done: Whether a completion was recorded.
-        status: HTTP status of the answer.
-        answer_digest: Digest of the answer.
-        answer: The answer if it was short enough.
+        status: HTTP status of the answer, 0 unless done.
+        answer_digest: Digest of the answer, empty unless done.
+        answer: The answer, None unless done and short enough to be stored.
     """
 
     claim_id: bytes
@@ -103,7 +104,7 @@
     answer: bytes | None = None
 
     def state(self, now_unix_s: float) -> ClaimState:
-        """Returns where the run is as far as the shard can tell."""
+        """Returns the state of the run at a given time."""
         if self.is_done:
             return "done"
         return (
@@ -112,7 +113,7 @@
 
 
 class Claimed(NamedTuple):
-    """Log record: a claim was taken.
+    """Log record: a claim was made.
 
     Attributes:
         entry: The new entry.
@@ -128,8 +129,8 @@
         claim_id: The claim.
         token: The attempt that ran.
         status: HTTP status of the answer.
-        answer_digest: Its digest.
-        answer: The answer, or None if it is not kept.
+        answer_digest: Digest of the answer.
+        answer: The answer, or None if it is too long to be stored.
     """
 
     claim_id: bytes
@@ -140,11 +141,11 @@
 
 
 class Released(NamedTuple):
-    """Log record: the attempt was given up and nothing ran.
+    """Log record: the attempt was abandoned and nothing ran.
 
     Attributes:
         claim_id: The claim.
-        token: The attempt.
+        token: The abandoned attempt.
     """
 
     claim_id: bytes
@@ -155,7 +156,7 @@
 
 
 def claim_id(customer: str, key: str) -> bytes:
-    """Returns the digest that names the claim of a customer's key."""
+    """Returns the claim id of a customer's idempotency key."""
     text = f"{len(customer)}:{customer}{key}".encode()
     return digest(text)
 
@@ -171,49 +172,49 @@
 
 
 def owners_prefix(deployment: str) -> str:
-    """Returns the prefix of the shards' ownership keys."""
+    """Returns the key prefix of all ownership keys."""
     return f"/mulberry/{deployment}/claim-owners/"
 
 
 def owner_key(deployment: str, shard: int) -> str:
-    """Returns the key whose holder owns the shard."""
+    """Returns the ownership key of a shard."""
     return f"{owners_prefix(deployment)}{shard:04d}"
 
 
 def segments_prefix(deployment: str, shard: int) -> str:
-    """Returns the prefix of the shard's log segments."""
+    """Returns the key prefix of a shard's log segments."""
     return f"/mulberry/{deployment}/claims/{shard:04d}/"
 
 
 def segment_key(deployment: str, shard: int, number: int) -> str:
-    """Returns the key of one segment; keys sort by age."""
+    """Returns the key of one segment; keys sort from oldest to newest."""
     return f"{segments_prefix(deployment, shard)}{number:010d}"
 
 
 class Table:
-    """The claims of one shard that were committed."""
+    """The committed claims of one shard."""
 
     def __init__(self, window_s: float = WINDOW_S):
         self._window_s = window_s
         self._entries: dict[bytes, Entry] = {}
 
     def __len__(self) -> int:
-        """Returns the number of claims that are remembered."""
+        """Returns the number of stored claims."""
         return len(self._entries)
 
     def get(self, claim: bytes) -> Entry | None:
-        """Returns the claim's entry."""
+        """Returns the entry of a claim, or None."""
         return self._entries.get(claim)
 
     def apply(self, record: Record) -> None:
-        """Takes a committed record in."""
+        """Applies a committed record."""
         _apply(record, self._entries)
 
     def expire(self, now_unix_s: float) -> None:
-        """Forgets claims older than the window, oldest first.
+        """Removes claims older than the window, oldest first.
 
-        A claim whose run may still be going on is kept however old it is:
-        forgotten, a duplicate request would run beside the first.
+        A claim in progress is kept whatever its age. If it were removed, a
+        duplicate could run concurrently with the first request.
         """
         for claim, entry in list(self._entries.items()):
             if entry.claimed_unix_s + self._window_s > now_unix_s:
@@ -224,7 +225,7 @@
 
 @functools.singledispatch
 def _apply(record: object, entries: dict[bytes, Entry]) -> None:
-    raise TypeError(f"no claim record: {type(record).__name__}")
+    raise TypeError(f"not a claim record: {type(record).__name__}")
 
 
 @_apply.register
@@ -254,8 +255,8 @@
 
 @functools.singledispatch
 def encode_record(record: object) -> bytes:
-    """Returns the record as one line of a segment."""
-    raise TypeError(f"no claim record: {type(record).__name__}")
+    """Encodes a record as one line of a segment."""
+    raise TypeError(f"not a claim record: {type(record).__name__}")
 
 
 @encode_record.register
@@ -302,7 +303,7 @@
 
 
 def decode_segment(value: bytes) -> Iterator[Record]:
-    """Reads the records of a segment that this project wrote."""
+    """Yields the records of a segment."""
     for line in value.splitlines():
         yield _decode_record(json.loads(line))
 
--- a/src/mulberrywharf/nodes/ranking.py
+++ b/src/mulberrywharf/nodes/ranking.py
@@ -1,33 +1,34 @@
-"""Rendezvous hashing: every node ranks the same VMs alike without a word."""
+"""Rendezvous hashing: all nodes rank VMs alike without communicating."""
 
 from collections.abc import Iterable
 
 import xxhash
 
 
-def rank(subject: str, vm_ids: Iterable[str]) -> list[str]:
-    """Orders VMs by their rendezvous hash with a subject.
+def rank(key: str, vm_ids: Iterable[str]) -> list[str]:
+    """Sorts VMs by their rendezvous hash for a key.
 
-    When one VM goes, only the subjects that it was first for move on.
+    When a VM is removed, only the keys that ranked it first move to another
+    VM.
 
     Args:
-        subject: Such as an engine or a shard.
+        key: Identifies what is assigned, such as an engine or a shard.
         vm_ids: The candidates.
 
     Returns:
-        The candidates, the first one first.
+        The candidates, highest rank first.
     """
 
     def weight(vm_id: str) -> tuple[int, str]:
-        text = f"{subject}\n{vm_id}".encode()
+        text = f"{key}\n{vm_id}".encode()
         return xxhash.xxh64_intdigest(text), vm_id
 
     return sorted(vm_ids, key=weight, reverse=True)
 
 
-def first(subject: str, vm_ids: Iterable[str]) -> str:
-    """Returns the VM that comes first for the subject, or an empty name."""
-    seed = subject.encode() + b"\n"
+def first(key: str, vm_ids: Iterable[str]) -> str:
+    """Returns the highest-ranked VM for a key, or "" without candidates."""
+    seed = key.encode() + b"\n"
     return max(
         vm_ids,
         key=lambda vm_id: (
--- a/tests/test_claim_owner_budget.py
+++ b/tests/test_claim_owner_budget.py
@@ -45,7 +45,7 @@
         shard = 0
         while True:
             shard = (shard + 1) % claims.SHARD_COUNT
-            self.owner.consider(shard)
+            self.owner.request_takeover(shard)
             gevent.sleep(_ASK_INTERVAL_S)
 
     def _owns_all(self) -> bool:
