--- a/src/mulberrywharf/nodes/claim_candidates.py
+++ b/src/mulberrywharf/nodes/claim_candidates.py
@@ -46,7 +46,10 @@
 def successor(
     shard: int, own_vm_id: str, vms: Iterable[fleet.VmRecord]
 ) -> fleet.Address | None:
-    """Returns the address of the next candidate after this node, or None."""
+    """Returns the address of the highest-ranked other node, or None.
+
+    That node is to acquire the shard when this node releases it.
+    """
     addresses = {
         vm.vm_id: vm.address
         for vm in vms
--- a/src/mulberrywharf/nodes/claim_owner.py
+++ b/src/mulberrywharf/nodes/claim_owner.py
@@ -87,13 +87,13 @@
         self._shards: dict[int, claim_shard.ClaimShard] = {}
         self._revisions: dict[int, int] = {}
         self._ownerless_since_s: dict[int, float] = {}
-        self._keys = claim_ownership.OwnershipKeys(
+        self._ownership_keys = claim_ownership.OwnershipKeys(
             store, deployment, own_vm, lease_ttl_s
         )
         self._is_leaving = False
         self._tasks: list[gevent.Greenlet] = []
-        self._requested: set[int] = set()
-        self._handed_over: set[int] = set()
+        self._requested_shards: set[int] = set()
+        self._offered_shards: set[int] = set()
         self._scan_requested = gevent.event.Event()
         self._handover_received = gevent.event.Event()
 
@@ -158,7 +158,7 @@
         """
         gevent.killall(self._tasks)
         self._tasks = []
-        self._close_all()
+        self._close_shards()
 
     def hand_over(self) -> None:
         """Hands over all shards to other nodes.
@@ -180,7 +180,7 @@
             for number in self._shards
         ]
         gevent.joinall(handing_over, timeout=_HAND_OVER_ALL_TIMEOUT_S)
-        self._keys.revoke()
+        self._ownership_keys.revoke()
 
     def owned_shards(self) -> list[int]:
         """Returns the numbers of the shards that this process owns."""
@@ -201,7 +201,7 @@
         candidates may be gone while the VM list still contains them; a node
         that needs the shard then acquires it although it is no candidate.
         """
-        self._requested.add(shard)
+        self._requested_shards.add(shard)
         self._scan_requested.set()
 
     def handle_message(
@@ -209,7 +209,7 @@
     ) -> messages.ClaimReply | None:
         """Handles one claim message from another node or this one."""
         if isinstance(message, messages.ShardHandover):
-            self._handed_over.add(message.shard)
+            self._offered_shards.add(message.shard)
             self._handover_received.set()
             self._scan_requested.set()
             return messages.ClaimReply("accepted")
@@ -235,8 +235,8 @@
 
     def _keep_lease(self) -> None:
         while True:
-            if not self._is_leaving and not self._keys.renew():
-                self._close_all()
+            if not self._is_leaving and not self._ownership_keys.renew():
+                self._close_shards()
             gevent.sleep(self._lease_ttl_s / _RENEWALS_PER_TTL_COUNT)
 
     def _scan_repeatedly(self) -> None:
@@ -255,13 +255,17 @@
             self._scan_requested.clear()
 
     def _scan(self) -> None:
-        self._remove_lost()
+        self._remove_lost_shards()
         ranks = claim_candidates.own_ranks(
             self._own_vm.vm_id, self._vm_list.vms(), self._shard_count
         )
-        if not ranks and not self._requested and not self._handed_over:
+        if (
+            not ranks
+            and not self._requested_shards
+            and not self._offered_shards
+        ):
             return
-        found = self._keys.read()
+        found = self._ownership_keys.read()
         if isinstance(found, Err):
             return
         owned = found.ok_value
@@ -269,8 +273,8 @@
             if number in owned:
                 self._start_if_own(number, owned[number])
                 self._ownerless_since_s.pop(number, None)
-                self._requested.discard(number)
-                self._handed_over.discard(number)
+                self._requested_shards.discard(number)
+                self._offered_shards.discard(number)
             elif self._should_acquire(number, ranks):
                 self._acquire(number)
 
@@ -281,7 +285,7 @@
         lost and the read-back found nothing. No other process could acquire
         the shard as long as this process renews its lease.
         """
-        if self._keys.is_own(owned) and number not in self._shards:
+        if self._ownership_keys.is_own(owned) and number not in self._shards:
             self._start_shard(number, owned.mod_revision)
 
     def _should_acquire(self, number: int, ranks: dict[int, int]) -> bool:
@@ -292,20 +296,20 @@
         wait all candidates would write at once, and the node that starts
         first would own all shards.
         """
-        if number in self._handed_over:
+        if number in self._offered_shards:
             return True
         now_s = self._clock.monotonic_s()
         since_s = self._ownerless_since_s.setdefault(number, now_s)
         rank = ranks.get(number, claim_candidates.CANDIDATES_COUNT)
         is_candidate = number in ranks
-        if not is_candidate and number not in self._requested:
+        if not is_candidate and number not in self._requested_shards:
             return False
-        if number in self._requested:
+        if number in self._requested_shards:
             rank = min(rank, 1)
         return now_s - since_s >= rank * self._poll_interval_s
 
     def _acquire(self, number: int) -> None:
-        mod_revision = self._keys.acquire(number)
+        mod_revision = self._ownership_keys.acquire(number)
         if mod_revision is not None:
             self._start_shard(number, mod_revision)
 
@@ -326,18 +330,18 @@
         started = shard.start()
         if isinstance(started, Err):
             # Without its log, the shard would grant claims a second time.
-            self._keys.delete(number, self._revisions.pop(number))
+            self._ownership_keys.delete(number, self._revisions.pop(number))
             return
         self._shards[number] = shard
         self._ownerless_since_s.pop(number, None)
-        self._requested.discard(number)
-        self._handed_over.discard(number)
+        self._requested_shards.discard(number)
+        self._offered_shards.discard(number)
         _shards_owned.set({}, len(self._shards))
 
     def _hand_over_shard(self, number: int) -> None:
         shard = self._shards.pop(number)
         shard.close()
-        self._keys.delete(number, self._revisions.pop(number))
+        self._ownership_keys.delete(number, self._revisions.pop(number))
         successor = claim_candidates.successor(
             number, self._own_vm.vm_id, self._vm_list.vms()
         )
@@ -346,14 +350,14 @@
                 messages.ShardHandover(number), _HANDOVER_CALL_TIMEOUT_S
             )
 
-    def _remove_lost(self) -> None:
+    def _remove_lost_shards(self) -> None:
         for number, shard in list(self._shards.items()):
             if not shard.is_owner:
                 del self._shards[number]
                 self._revisions.pop(number, None)
         _shards_owned.set({}, len(self._shards))
 
-    def _close_all(self) -> None:
+    def _close_shards(self) -> None:
         for shard in self._shards.values():
             shard.close()
         self._shards.clear()
--- a/src/mulberrywharf/nodes/claim_queue.py
+++ b/src/mulberrywharf/nodes/claim_queue.py
@@ -92,7 +92,7 @@
         size_bytes = 0
         while self._records and size_bytes < _BATCH_LIMIT_BYTES:
             queued = self._records.pop(0)
-            # No request waits for this claim any more.
+            # No request waits for this claim, so it need not be written.
             if queued.is_abandoned:
                 self._fail(queued)
                 continue
--- a/src/mulberrywharf/nodes/claim_shard_owners.py
+++ b/src/mulberrywharf/nodes/claim_shard_owners.py
@@ -82,7 +82,9 @@
                 return reply
             call_s = min(left_s, _call_timeout_s(message))
             reply = self._call_once(_Call(shard, message, call_s))
-            if reply is not None and not _is_retried(reply, retry_unavailable):
+            if reply is not None and not _should_retry(
+                reply, retry_unavailable
+            ):
                 return reply
             self._addresses.pop(shard, None)
             reply = None
@@ -153,7 +155,7 @@
     return CALL_TIMEOUT_S
 
 
-def _is_retried(reply: messages.ClaimReply, retry_unavailable: bool) -> bool:
+def _should_retry(reply: messages.ClaimReply, retry_unavailable: bool) -> bool:
     return reply.kind == "not-owner" or (
         retry_unavailable and reply.kind == "unavailable"
     )
--- a/src/mulberrywharf/nodes/messages.capnp
+++ b/src/mulberrywharf/nodes/messages.capnp
@@ -1,9 +1,9 @@
 @0xd1c9a0f35be7712e;
-# What entry VMs say to each other. codec.py turns these into NamedTuples.
+# Messages between entry VMs. codec.py converts them from and to NamedTuples.
 
 struct Envelope {
   senderVmId @0 :Text;
-  correlation @1 :UInt64;  # 0: no answer is expected
+  correlation @1 :UInt64;  # 0: no reply is expected
   union {
     heartbeat @2 :Heartbeat;
     leaving @3 :Leaving;
@@ -25,7 +25,7 @@
   incarnation @1 :UInt64;
   stamp @2 :UInt16;
   configVersion @3 :UInt64;
-  listHash @4 :UInt64;  # of the lists that the four columns follow
+  listHash @4 :UInt64;  # hash of the VM lists that order the four columns
   stamps @5 :Data;      # two bytes for each entry VM of the zone
   suspicions @6 :Data;  # one bit for each entry VM of the zone
   loads @7 :Data;       # one byte for each engine of the zone
@@ -47,7 +47,7 @@
 }
 
 struct Rates {
-  customers @0 :List(Float32);  # in the order of the question
+  customers @0 :List(Float32);  # in the order of the request
   models @1 :List(Float32);
 }
 
--- a/src/mulberrywharf/nodes/messages.py
+++ b/src/mulberrywharf/nodes/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between entry VMs; messages.capnp is their wire form."""
+"""The typed messages between entry VMs; messages.capnp is the wire schema."""
 
 from typing import Literal, NamedTuple
 
@@ -13,7 +13,7 @@
     "accepted",
     "not-found",
 ]
-"""``accepted`` answers completions and releases."""
+"""``accepted`` is the reply to completions, releases and handovers."""
 
 CLAIM_REPLY_KINDS: frozenset[str] = frozenset(
     ClaimReplyKind.__args__  # type: ignore[attr-defined]
@@ -21,12 +21,12 @@
 
 
 class Demand(NamedTuple):
-    """What one node sees of one customer.
+    """One customer's load at one node.
 
     Attributes:
-        customer: The customer's name.
-        requests_per_s: Requests, refused ones too.
-        tokens_per_s: Their tokens.
+        customer: Name of the customer.
+        requests_per_s: Requests per second, including refused ones.
+        tokens_per_s: Tokens per second of these requests.
     """
 
     customer: str
@@ -35,25 +35,29 @@
 
 
 class Heartbeat(NamedTuple):
-    """A node's picture of its own availability zone, sent each interval.
+    """A node's view of its own availability zone, sent at each interval.
 
-    The columns follow the sorted lists of the zone's VMs; ``list_hash`` names
-    the lists, so that a receiver whose VM list differs ignores the columns
-    instead of reading one engine's load as another's.
+    The columns are ``stamps``, ``suspicions``, ``loads`` and ``load_ages``.
+    Their order is that of the zone's sorted lists of entry VMs and engines.
+    ``list_hash`` identifies these lists: a receiver whose lists differ ignores
+    the columns, as it would assign the loads to the wrong engines.
 
     Attributes:
         availability_zone: The zone that the columns describe.
         incarnation: Start of the sending process in Unix milliseconds.
-        stamp: The sender's own heartbeat stamp.
-        config_version: Version of the configuration that it runs.
-        list_hash: Names the two lists.
-        stamps: Two bytes for each entry VM: its newest known heartbeat stamp.
-        suspicions: One bit for each entry VM that the sender suspects.
-        loads: One quantised load for each engine.
-        load_ages: Half a byte for each engine, the age of its load.
-        round_number: Round of the demand report; 0 without one.
-        live_digest: The report's digest of the nodes held for live.
-        demands: The sender's busiest customers.
+        stamp: Sequence number of the sender's heartbeat.
+        config_version: Version of the configuration that the sender runs.
+        list_hash: Hash of the two lists.
+        stamps: Newest known heartbeat sequence number of each entry VM, two
+            bytes each.
+        suspicions: One bit for each entry VM, set if the sender suspects that
+            it has failed.
+        loads: Quantised load of each engine, one byte each.
+        load_ages: Age of each engine's load, half a byte each.
+        round_number: Round of the demand report; 0 without a report.
+        live_digest: Digest of the nodes that the demand report counts as
+            live.
+        demands: Demand of the sender's busiest customers.
     """
 
     availability_zone: str
@@ -71,24 +75,24 @@
 
 
 class Leaving(NamedTuple):
-    """The sender stops as planned and takes no new work.
+    """Announces a planned stop: the sender accepts no new work.
 
     Attributes:
-        incarnation: Start of the process that stops, Unix milliseconds.
+        incarnation: Start of the stopping process in Unix milliseconds.
     """
 
     incarnation: int
 
 
 class ConfigFetch(NamedTuple):
-    """Asks for the configuration document that the receiver runs."""
+    """Requests the configuration document that the receiver runs."""
 
 
 class ConfigDocument(NamedTuple):
-    """The configuration as the key-value service holds it.
+    """The configuration as stored in the key-value service.
 
     Attributes:
-        document: The raw value, or empty when the node has none.
+        document: The raw value, empty if the sender has none.
     """
 
     document: bytes
@@ -99,14 +103,14 @@
 
     Attributes:
         claim_id: Digest of customer and idempotency key, 16 bytes.
-        body_digest: Digest of the request's body, 16 bytes.
-        request_id: The request that would run.
-        token: Drawn for this attempt; a repeat with the same token is the
-            same attempt.
-        runner_ip: Where the runner's callers' listener answers.
-        runner_port: Its TCP port.
-        run_bound_s: How long the run may take before its outcome counts as
-            unknown.
+        body_digest: Digest of the request's method, path and body, 16 bytes.
+        request_id: Id of the request that would run.
+        token: Random number of this attempt; a message with the same token
+            repeats the same attempt.
+        runner_ip: IP address on which the sender listens for callers.
+        runner_port: TCP port on which the sender listens for callers.
+        run_bound_s: Time after which the outcome of a run without a
+            completion counts as unknown.
     """
 
     claim_id: bytes
@@ -119,14 +123,14 @@
 
 
 class ClaimComplete(NamedTuple):
-    """The run ended with an answer.
+    """Reports that the run ended with an answer.
 
     Attributes:
         claim_id: The claim.
-        token: The attempt that was granted.
+        token: The attempt that holds the claim.
         status: HTTP status of the answer.
         answer_digest: Digest of the whole answer, 16 bytes.
-        answer: The answer, or None if it exceeds the bound.
+        answer: The answer, or None if it is too long to be stored.
     """
 
     claim_id: bytes
@@ -137,11 +141,13 @@
 
 
 class ClaimRelease(NamedTuple):
-    """The attempt was given up before any byte reached a back end.
+    """Reports that the attempt was abandoned.
+
+    No byte of the request reached a backend server.
 
     Attributes:
         claim_id: The claim.
-        token: The attempt.
+        token: The abandoned attempt.
     """
 
     claim_id: bytes
@@ -149,11 +155,11 @@
 
 
 class ClaimWait(NamedTuple):
-    """Asks for the answer of a run in progress.
+    """Requests the answer of a run in progress.
 
     Attributes:
         claim_id: The claim.
-        wait_s: How long the owner may hold the question.
+        wait_s: How long the owner may wait for the end of the run.
     """
 
     claim_id: bytes
@@ -161,17 +167,17 @@
 
 
 class ClaimReply(NamedTuple):
-    """The owner's answer to any of the claim messages.
+    """The owner's reply to any of the claim messages.
 
     Attributes:
-        kind: What became of it.
-        runner_vm_id: Who runs or ran it.
-        runner_ip: That node's address for callers.
-        runner_port: Its TCP port.
-        status: HTTP status of the answer when ``done``.
-        answer_digest: Digest of the answer when ``done``.
-        answer: The answer when ``done`` and short enough to be kept.
-        request_id: The request that holds the claim.
+        kind: Result of the message, or state of the claim.
+        runner_vm_id: Entry VM that runs or ran the request.
+        runner_ip: IP address on which that VM listens for callers.
+        runner_port: TCP port on which that VM listens for callers.
+        status: HTTP status of the answer if ``done``.
+        answer_digest: Digest of the answer if ``done``.
+        answer: The answer if ``done`` and short enough to be stored.
+        request_id: Id of the request that holds the claim.
     """
 
     kind: ClaimReplyKind
@@ -185,7 +191,7 @@
 
 
 class ShardHandover(NamedTuple):
-    """The sender gave up a shard that the receiver should take now.
+    """The sender released a shard; the receiver should acquire it now.
 
     Attributes:
         shard: Number of the shard.
@@ -195,7 +201,7 @@
 
 
 class RatesFetch(NamedTuple):
-    """Asks a router for the rates of some customers and models.
+    """Requests a router's request rates of some customers and models.
 
     Attributes:
         customers: Names of customers.
@@ -207,12 +213,12 @@
 
 
 class Rates(NamedTuple):
-    """Answers ``RatesFetch``.
+    """The reply to ``RatesFetch``.
 
     Attributes:
-        customers: Requests per second at this router, refused ones too, in
-            the order of the question.
-        models: Likewise.
+        customers: Requests per second of each customer at this router,
+            including refused ones, in the order of the request.
+        models: The same for each model.
     """
 
     customers: tuple[float, ...]
@@ -239,9 +245,9 @@
     """A message with its sender.
 
     Attributes:
-        sender_vm_id: Name of the sending VM.
-        correlation: Pairs a question with its answer; 0 when none is due.
-        message: What is said.
+        sender_vm_id: VM id of the sender.
+        correlation: Matches a reply to its request; 0 if no reply is expected.
+        message: The message.
     """
 
     sender_vm_id: str
--- a/tests/builders_claims.py
+++ b/tests/builders_claims.py
@@ -1,4 +1,4 @@
-"""Nodes that own and ask for claims, in this process, on one stand-in."""
+"""Nodes that own and request claims, in this process, on one stand-in."""
 
 import gevent
 
@@ -14,7 +14,7 @@
 
 
 class ListedVms:
-    """The VM list, filled by the test."""
+    """A VM list that the test fills."""
 
     def __init__(self) -> None:
         self.records: list[fleet.VmRecord] = []
@@ -24,7 +24,7 @@
 
 
 class ClaimNode:
-    """One entry VM's part in claims, with real sockets."""
+    """The claim owner and claim client of one entry VM, with real sockets."""
 
     def __init__(self, name: str, store_port: int, vm_list: ListedVms, **extra):
         self.server = server.NodeServer(
@@ -67,7 +67,7 @@
         vm_list.records.append(self.record)
 
     def kill(self) -> None:
-        """Stops like a killed process: no handover, the lease has to lapse."""
+        """Stops like a killed process: no handover, the lease must expire."""
         self.owner.close()
         self.links.close()
         self.server.close()
@@ -87,7 +87,7 @@
 
 
 def wait_until(condition, timeout_s: float = 20.0) -> None:
-    """Waits for a condition, fails when it does not come about."""
+    """Waits until a condition holds; fails after the timeout."""
     with gevent.Timeout(timeout_s, AssertionError("condition not met")):
         while not condition():
             gevent.sleep(0.01)
--- a/tests/test_claim_owner_budget.py
+++ b/tests/test_claim_owner_budget.py
@@ -1,4 +1,4 @@
-"""Owners of claim shards under their budget of key-value calls."""
+"""Owners of claim shards with a limited budget of key-value calls."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from tests import builders_claims, builders_nodes
 
 _OUTAGE_S = 2.0
-_ASK_INTERVAL_S = 0.02
+_TAKEOVER_REQUEST_INTERVAL_S = 0.02
 
 
 class ClaimOwnerBudgetTest(unittest.TestCase):
@@ -41,36 +41,35 @@
         )
         self.addCleanup(self.owner.close)
 
-    def _ask_on(self) -> None:
+    def _request_takeovers(self) -> None:
         shard = 0
         while True:
             shard = (shard + 1) % claims.SHARD_COUNT
             self.owner.request_takeover(shard)
-            gevent.sleep(_ASK_INTERVAL_S)
+            gevent.sleep(_TAKEOVER_REQUEST_INTERVAL_S)
 
     def _owns_all(self) -> bool:
         return len(self.owner.owned_shards()) == claims.SHARD_COUNT
 
-    def test_waiting_presses_do_not_use_up_the_calls(self) -> None:
-        """Keyed payments stay refused long after an outage has ended.
+    def test_waiting_requests_do_not_exhaust_the_call_budget(self) -> None:
+        """Claims stay unavailable long after an outage of the service.
 
-        Symptom: claim shards without an owner for as long as callers press;
-        the key-value service sees ten reads a second from each router and no
-        write, and leases on shards lapse one after the other.
-        Sequence: the service is away for two seconds while presses wait for
-        their claims; each asks every few moments for a look at the owners.
-        Cause: each question led to a look at once. The looks used up the
-        budget that the taking of a shard and the renewal of the lease are
-        paid from.
+        The key-value service is down for two seconds while requests wait for
+        their claims, and each repeatedly requests a scan for owners. When
+        every such request caused a scan at once, the scans used up the budget
+        for acquiring shards and renewing the lease. Shards stayed without an
+        owner as long as callers sent requests: the service received ten reads
+        per second from each router and no write, and leases on shards expired
+        one after the other.
         """
         self.standin.set_faults(down=True)
         self.owner.start()
-        asking = gevent.spawn(self._ask_on)
-        self.addCleanup(asking.kill)
+        requesting = gevent.spawn(self._request_takeovers)
+        self.addCleanup(requesting.kill)
         gevent.sleep(_OUTAGE_S)
         self.standin.set_faults()
         builders_claims.wait_until(self._owns_all)
-        # Longer than the lease: it is renewed whatever the callers do.
+        # Longer than the lease, which must be renewed despite the requests.
         for _ in range(50):
             gevent.sleep(0.1)
             self.assertTrue(self._owns_all())
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency claims on several nodes: granted once, met ever after."""
+"""Idempotency claims on several nodes: each is granted only once."""
 
 import unittest
 
@@ -62,8 +62,8 @@
         return result.ok_value
 
 
-class TwoPressesTest(ClaimsTestCase):
-    def test_second_press_at_another_node_meets_the_first(self):
+class DuplicateRequestTest(ClaimsTestCase):
+    def test_duplicate_at_another_node_gets_the_first_answer(self):
         granted = self.assert_granted(self.claim(self.other()))
         met = self.assert_met(
             self.claim(self.owner(), request="r-2"), "in-progress"
@@ -81,16 +81,16 @@
         met = self.assert_met(self.claim(self.owner()), "done")
         self.assertEqual(met.answer, b"checked in")
 
-    def test_presses_at_the_same_instant_are_granted_once(self):
-        presses = [
+    def test_concurrent_duplicates_are_granted_once(self):
+        attempts = [
             gevent.spawn(self.claim, node, request=f"r-{i}")
             for i, node in enumerate(self.nodes * 10)
         ]
-        results = [press.get(timeout=15).ok_value for press in presses]
+        results = [attempt.get(timeout=15).ok_value for attempt in attempts]
         granted = [r for r in results if isinstance(r, claims.ClaimGranted)]
         self.assertEqual(len(granted), 1)
 
-    def test_key_with_another_body(self):
+    def test_key_reuse_with_another_body_is_refused(self):
         self.assert_granted(self.claim(self.other()))
         reused = self.claim(self.owner(), body=claims.digest(b"other"))
         self.assertIsInstance(reused.err_value, errors.KeyReuseError)
@@ -99,12 +99,12 @@
         pairs = [("a", "bc"), ("ab", "c"), ("abc", "")]
         self.assertEqual(len({claims.claim_id(*pair) for pair in pairs}), 3)
 
-    def test_a_released_claim_is_free(self):
+    def test_released_claim_can_be_granted_again(self):
         granted = self.assert_granted(self.claim(self.other()))
         self.assertIsInstance(self.other().client.release(granted), Ok)
         self.assert_granted(self.claim(self.owner(), request="r-2"))
 
-    def test_a_long_answer_is_kept_as_its_digest(self):
+    def test_long_answer_is_stored_as_digest_only(self):
         granted = self.assert_granted(self.claim(self.other()))
         answer = b"x" * (claims.ANSWER_LIMIT_BYTES + 1)
         self.other().client.complete(granted, 200, answer)
@@ -112,24 +112,23 @@
         self.assertIsNone(met.answer)
         self.assertEqual(met.answer_digest, claims.digest(answer))
 
-    def test_claims_of_one_moment_share_a_write(self):
+    def test_concurrent_claims_share_a_write(self):
         before = self.standin.calls_by_kind["txn"]
-        presses = [
+        attempts = [
             gevent.spawn(self.claim, self.owner(), f"key-{i}")
             for i in range(200)
         ]
-        for press in presses:
-            self.assert_granted(press.get(timeout=15))
+        for attempt in attempts:
+            self.assert_granted(attempt.get(timeout=15))
         self.assertLess(self.standin.calls_by_kind["txn"] - before, 20)
 
 
-class RunnerTest(ClaimsTestCase):
-    def test_a_run_without_completion_becomes_unknown(self):
-        """The node that runs a request dies in the middle.
+class RunCompletionTest(ClaimsTestCase):
+    def test_run_without_completion_becomes_unknown(self):
+        """A node exits while it runs a request.
 
-        Symptom: a second press runs the payment again. Sequence: claimed,
-        sent, the runner dies, the caller presses again elsewhere. Cause: a
-        claim that lapses with its runner frees the key.
+        If the claim expired with its runner, a duplicate request at another
+        node would run the payment again.
         """
         self.assert_granted(self.claim(self.other(), run_bound_s=0.2))
         builders_claims.wait_until(
@@ -138,7 +137,7 @@
         met = self.other().client.wait("solano", "key-1", 5.0)
         self.assert_met(met, "unknown")
 
-    def test_a_late_completion_still_counts(self):
+    def test_completion_after_the_run_bound_is_recorded(self):
         granted = self.assert_granted(
             self.claim(self.other(), run_bound_s=0.05)
         )
@@ -147,38 +146,39 @@
         self.assert_met(self.claim(self.owner()), "done")
 
 
-class OwnerLostTest(ClaimsTestCase):
-    def test_owner_killed_between_commit_and_answer(self):
-        """The owner commits a claim and dies before it answers.
+class OwnerFailureTest(ClaimsTestCase):
+    def test_claim_is_granted_if_owner_exits_between_commit_and_reply(self):
+        """The owner commits a claim and exits before it replies.
 
-        Symptom: the press is refused for ever, or runs twice. Sequence: the
-        write takes effect, the owner dies, the next owner reads the log.
-        Cause: the asker cannot tell its own committed claim from another's.
+        The requester repeats the claim at the next owner, which has read the
+        log. If the committed claim is not recognised as the requester's own,
+        the request is refused forever or runs twice.
         """
-        owner, asker = self.owner(), self.other()
+        owner, requester = self.owner(), self.other()
         commit = owner.owner._shards[0]._log._write
 
-        def commit_then_die(*arguments):
+        def commit_then_exit(*arguments):
             commit(*arguments)
             gevent.spawn(owner.kill)
             gevent.sleep(60)
 
-        owner.owner._shards[0]._log._write = commit_then_die
-        self.assert_granted(self.claim(asker))
-        self.assertEqual(asker.owner.owned_shards(), [0])
-        met = self.assert_met(self.claim(asker, request="r-2"), "in-progress")
+        owner.owner._shards[0]._log._write = commit_then_exit
+        self.assert_granted(self.claim(requester))
+        self.assertEqual(requester.owner.owned_shards(), [0])
+        met = self.assert_met(
+            self.claim(requester, request="r-2"), "in-progress"
+        )
         self.assertEqual(met.request_id, "r-1")
 
     def test_owner_paused_past_its_lease_cannot_commit(self):
-        """An owner sleeps through its lease and wakes believing in it.
+        """An owner is paused until its lease has expired, and then resumes.
 
-        Symptom: two presses are both granted. Sequence: the owner is paused,
-        its lease lapses, another owner grants the claim, the first wakes with
-        a claim in its hands. Cause: a commit that is not tied to ownership.
+        Meanwhile another owner grants the claim. If commits were not guarded
+        by the ownership key, the resumed owner would grant it a second time.
         """
         paused, second = self.owner(), self.other()
         self.assert_granted(self.claim(paused, key="key-0"))
-        woken_shard = paused.owner._shards[0]
+        resumed_shard = paused.owner._shards[0]
         gevent.killall(paused.owner._tasks)
         builders_claims.wait_until(lambda: second.owner.owned_shards())
         self.assert_granted(self.claim(second))
@@ -191,20 +191,20 @@
             80,
             10.0,
         )
-        reply = woken_shard.claim("entry-9", request)
+        reply = resumed_shard.claim("entry-9", request)
         self.assertEqual(reply.kind, "not-owner")
-        self.assertFalse(woken_shard.is_owner)
+        self.assertFalse(resumed_shard.is_owner)
 
 
 class HandoverTest(ClaimsTestCase):
     node_options = {"poll_interval_s": 30.0, "lease_ttl_s": 60.0}
 
     def test_planned_stop_hands_over_at_once(self):
-        """An owner stops as planned.
+        """An owner makes a planned stop.
 
-        Symptom: claims of its shards are refused for seconds. Sequence: it
-        gives the shard up; the next node finds out when it looks again.
-        Cause: the successor is not told, or waits its turn all the same.
+        If the successor is not notified, or waits for its turn by rank
+        nevertheless, it acquires the shards only at a later scan. Their claims
+        are refused for seconds.
         """
         owner, other = self.owner(), self.other()
         granted = self.assert_granted(self.claim(owner))
@@ -229,11 +229,11 @@
         self.addCleanup(node.close)
         return node
 
-    def test_a_node_without_a_list_takes_no_shard(self):
-        """The first node starts before the VM list is read.
+    def test_node_with_empty_vm_list_acquires_no_shard(self):
+        """The first node starts before it has read the VM list.
 
-        Symptom: it owns every shard, and its end stops all claims. Cause: a
-        node that knows of nobody else is the first candidate for everything.
+        It knows no other node then. If it therefore ranked itself first, it
+        would own every shard, and its exit would stop all claims.
         """
         node = self.add_node("entry-1", shard_count=8)
         listed = self.vm_list.records
@@ -244,23 +244,23 @@
         self.vm_list.records = listed
         builders_claims.wait_until(lambda: len(node.owner.owned_shards()) == 8)
 
-    def test_whoever_needs_a_shard_takes_it_when_all_candidates_are_gone(self):
-        """The list still names VMs that are gone.
+    def test_node_needing_a_shard_acquires_it_if_all_candidates_are_gone(self):
+        """The VM list still contains VMs that are gone.
 
-        Symptom: claims of a shard are refused until the list is corrected.
-        Cause: only the candidates that the list names look after the shard.
+        If only the listed candidates acquired the shard, its claims would be
+        refused until the list is corrected.
         """
         names = [f"entry-{number}" for number in range(7)]
         nodes = {name: self.add_node(name) for name in names}
-        # All are gone but the one that is drawn to the shard least.
-        asker = nodes[ranking.rank("claim-shard-0", names)[-1]]
-        asker.owner.start()
-        claimed = asker.client.claim(
+        # Only the node with the lowest rank for the shard runs.
+        requester = nodes[ranking.rank("claim-shard-0", names)[-1]]
+        requester.owner.start()
+        claimed = requester.client.claim(
             "solano", "key-1", _BODY, "r-1", timeout_s=15.0
         )
         self.assertIsInstance(claimed.ok(), claims.ClaimGranted)
 
-    def test_shards_are_spread(self):
+    def test_shards_are_spread_over_nodes(self):
         nodes = [self.add_node(f"entry-{n}", shard_count=16) for n in range(3)]
         for node in nodes:
             node.owner.start()
@@ -271,27 +271,27 @@
             self.assertLess(len(node.owner.owned_shards()), 16)
 
 
-class ServiceTest(ClaimsTestCase):
+class KeyValueFailureTest(ClaimsTestCase):
     nodes_count = 1
 
-    def test_lost_answer_of_the_commit(self):
-        """The commit takes effect and its answer is lost.
+    def test_claim_is_granted_if_commit_response_is_lost(self):
+        """A commit takes effect but its response is lost.
 
-        Symptom: the claim is refused as not run and the key is blocked, or
-        the request runs without a claim. Cause: the outcome of the write is
-        guessed instead of read back.
+        The outcome must be read back. If it is guessed, the claim is refused
+        as not run and its key stays blocked, or the request runs without a
+        claim.
         """
         self.standin.set_faults(lose_answers_count=1)
         self.assert_granted(self.claim(self.nodes[0]))
         self.assert_met(self.claim(self.nodes[0]), "in-progress")
         self.assert_granted(self.claim(self.nodes[0], key="key-2"))
 
-    def test_service_down(self):
-        """The key-value service is away.
+    def test_claim_is_refused_in_an_outage_and_granted_afterwards(self):
+        """The key-value service is unavailable, and then returns.
 
-        Symptom: a request runs without a claim, or its key stays blocked
-        after the outage. Sequence: press, refused as not run, the service
-        comes back, press again. Cause: a claim committed after its refusal.
+        The first attempt must be refused as not run and not run without a
+        claim. If its claim were committed after the refusal, the key would
+        stay blocked after the outage.
         """
         node = self.nodes[0]
         self.standin.set_faults(down=True)
@@ -301,12 +301,12 @@
         self.standin.set_faults()
         self.assert_granted(self.claim(node, request="r-2"))
 
-    def test_a_claim_committed_after_its_refusal_is_freed(self):
-        """A commit is slower than the asker's patience.
+    def test_claim_committed_after_its_refusal_is_released(self):
+        """A commit takes longer than the requester's timeout.
 
-        Symptom: the next press is told that the outcome is unknown though
-        nothing ran. Sequence: refused as not run, then the write succeeds.
-        Cause: the claim of the given-up attempt stays in the log.
+        The request is refused as not run, then the write succeeds. If the
+        claim of the abandoned attempt stays in the log, the next attempt gets
+        an unknown outcome although nothing ran.
         """
         node = self.nodes[0]
         self.standin.set_faults(delay_s=0.4)
@@ -314,21 +314,20 @@
         self.assertIsInstance(refused.err_value, errors.ClaimUnavailableError)
         self.standin.set_faults()
 
-        def press_again():
+        def is_granted_again():
             again = self.claim(node, request="r-2")
             return isinstance(again.ok(), claims.ClaimGranted)
 
-        builders_claims.wait_until(press_again)
+        builders_claims.wait_until(is_granted_again)
 
 
 class LogTest(unittest.TestCase):
-    def test_a_write_that_lands_after_its_answer_was_lost(self):
-        """A lost write takes effect after it was read back as absent.
+    def test_write_that_takes_effect_after_read_back_is_accepted(self):
+        """A write takes effect after a read-back that did not find it.
 
-        Symptom: the owner holds the next batch for committed while another
-        stands in the log. Sequence: the write's answer is lost, the reading
-        shows nothing, the write lands. Cause: a reading alone settles
-        nothing while the write is under way.
+        The write's response was lost. If the log trusted the read-back alone
+        while the write is still in progress, the owner could take the next
+        batch for committed although the log contains the earlier one.
         """
         store = _DelayedStore()
         ownership = claim_log.Ownership("owner", 5)
@@ -363,7 +362,7 @@
 
 
 class _DelayedStore:
-    """Applies the first write only when the second one arrives."""
+    """A store that applies the first write only when a second arrives."""
 
     def __init__(self):
         self.written = []
