--- a/src/mulberrywharf/backend_servers/client.py
+++ b/src/mulberrywharf/backend_servers/client.py
@@ -1,4 +1,8 @@
-"""HTTP client for the backend servers of plain services."""
+"""HTTP client for the backend servers of plain services.
+
+A router also uses it to fetch an answer from the router that ran a request.
+The errors are those of ``errors.EngineError``, which cover backend servers too.
+"""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -19,17 +23,22 @@
 
 
 class ServiceRequest(NamedTuple):
-    """One request to a plain service.
+    """One attempt of a ``passthrough.ServiceCall``, as it is sent.
+
+    It goes to a backend server, or to the router that already ran the call, to
+    fetch the answer.
 
     Attributes:
         method: HTTP method.
-        path: Target with its query, percent-encoded.
+        path: Request target: path and query, percent-encoded.
         headers: The caller's header fields; hop-by-hop ones are not sent.
         body: The whole body.
         request_id: Sent as ``x-request-id``; an answer that echoes another ID
-            is rejected.
+            is rejected. For a backend server it is the caller's request ID with
+            a random part, for another router the caller's request ID itself.
         idempotent: Whether the request may safely run twice.
-        timeout_s: Timeout of each wait for the server.
+        timeout_s: Timeout, in seconds, of each single wait for the server; not
+            of the whole request.
     """
 
     method: str
@@ -44,6 +53,8 @@
 class BackendAnswer:
     """The answer of a plain service, whose body has not been read yet.
 
+    ``passthrough.ServiceAnswer`` is the answer after its body has been read.
+
     Attributes:
         status: HTTP status code.
         reason: Reason phrase of the status line.
@@ -81,7 +92,7 @@
         finally:
             self.close()
 
-    def read_all(self, limit_bytes: int) -> Result[bytes, errors.EngineError]:
+    def read_body(self, limit_bytes: int) -> Result[bytes, errors.EngineError]:
         """Reads the whole body into memory.
 
         Args:
@@ -147,7 +158,7 @@
             return opened
         exchange = opened.ok_value
         try:
-            received = _receive(exchange, address, request)
+            received = _send_and_await_head(exchange, address, request)
         except BaseException:
             exchange.close()
             raise
@@ -156,15 +167,15 @@
         return received
 
 
-def _receive(
+def _send_and_await_head(
     exchange: _exchange.Exchange,
     address: fleet.Address,
     request: ServiceRequest,
 ) -> Result[BackendAnswer, errors.EngineError]:
-    sent = exchange.send(_wire_request(request), request.timeout_s)
-    if isinstance(sent, Err):
-        return sent
-    answer = sent.ok_value
+    received = exchange.send(_wire_request(request), request.timeout_s)
+    if isinstance(received, Err):
+        return received
+    answer = received.ok_value
     echoed = answer.header(REQUEST_ID_HEADER)
     if echoed is not None and echoed != request.request_id:
         _answers.count_foreign(address)
--- a/src/mulberrywharf/backend_servers/directory.py
+++ b/src/mulberrywharf/backend_servers/directory.py
@@ -1,4 +1,7 @@
-"""Selects backend servers for the requests of plain services."""
+"""Chooses backend servers for the requests of plain services.
+
+It also records which servers failed, so that they are chosen last for a while.
+"""
 
 import random
 
@@ -13,7 +16,7 @@
 class ServiceDirectory:
     """Chooses among the live backend servers of a service.
 
-    Prefers servers without a recent failure, then servers in this node's
+    Prefers servers without a recent failure, then servers in this router's
     availability zone. Uses round robin among equally good servers.
     """
 
@@ -21,9 +24,9 @@
         """Creates an empty directory.
 
         Args:
-            availability_zone: The availability zone of this node.
+            availability_zone: The availability zone of this router.
             rng: Random number generator that chooses where the round robin
-                starts. Otherwise all nodes would send their first requests to
+                starts. Otherwise all routers would send their first requests to
                 the same server.
         """
         self._availability_zone = availability_zone
@@ -65,7 +68,7 @@
         Args:
             service: Name of the service.
             now_s: Current monotonic time.
-            excluded: IDs of the VMs that this request has already tried.
+            excluded: IDs of the VMs that earlier attempts of this request used.
 
         Returns:
             The server, or ``UnknownTargetError`` if no VM offers the service,
@@ -91,7 +94,7 @@
         )
 
     def record_failure(self, vm_id: str, now_s: float) -> None:
-        """Records that an exchange with a server failed."""
+        """Records that an attempt at a server failed."""
         self._failed_at_s[vm_id] = now_s
 
     def record_success(self, vm_id: str) -> None:
--- a/src/mulberrywharf/callers/_completion_body.py
+++ b/src/mulberrywharf/callers/_completion_body.py
@@ -20,7 +20,7 @@
     they are not JSON.
     """
     try:
-        document = json.loads(body, parse_constant=_refuse_constant)
+        document = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         raise errors.BadRequestError("the body is not JSON") from error
     if not isinstance(document, dict):
@@ -28,7 +28,7 @@
     return document
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is not JSON")
 
 
@@ -89,8 +89,8 @@
 
 
 def _message_text(message: object) -> str:
-    fields = message if isinstance(message, dict) else {}
-    role, content = fields.get("role"), fields.get("content")
+    members = message if isinstance(message, dict) else {}
+    role, content = members.get("role"), members.get("content")
     if not isinstance(role, str) or not isinstance(content, str):
         raise errors.BadRequestError(
             "the role or the content of a message is missing or not a string"
--- a/src/mulberrywharf/callers/caller_watch.py
+++ b/src/mulberrywharf/callers/caller_watch.py
@@ -34,7 +34,7 @@
         self._is_disconnected = False
 
     def start(self) -> None:
-        """Starts the watch; call it once the request body has been read."""
+        """Starts the watch; call it after the request body has been read."""
         loop = gevent.hub.get_hub().loop
         self._watcher = loop.io(self._socket.fileno(), _READ_EVENT)
         self._watcher.start(self._on_readable)
@@ -65,7 +65,7 @@
         if self._watcher is None:
             return
         self._watcher.stop()
-        if not _is_closed_by_peer(self._socket):
+        if not _is_closed_by_caller(self._socket):
             # The caller pipelined its next request. A disconnect behind those
             # bytes can't be detected without reading them.
             return
@@ -78,9 +78,10 @@
     return errors.CallerGoneError("the caller closed its connection")
 
 
-def _is_closed_by_peer(sock: Any) -> bool:
+def _is_closed_by_caller(sock: Any) -> bool:
     try:
-        # The plain socket inside gevent's socket: its recv does not block.
+        # ``_sock`` is the standard library's socket that gevent's socket wraps.
+        # Its ``recv`` returns at once with this flag.
         peeked = sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
--- a/src/mulberrywharf/callers/completions.py
+++ b/src/mulberrywharf/callers/completions.py
@@ -23,8 +23,8 @@
 Batches = Iterator[streams.TokenBatch]
 
 
-class Generations(Protocol):
-    """Runs generations on engines."""
+class CompletionGenerator(Protocol):
+    """Generates the answers to completion requests on engines."""
 
     def generate(self, completion: request.CompletionRequest) -> Batches:
         """Yields the answer; only the last batch has ``is_last`` set.
@@ -32,14 +32,16 @@
         Closing the iterator cancels the generation on its engine.
 
         Raises:
-            RequestError: The request is rejected or its answer can't be
+            RequestError: The request is refused or its answer can't be
                 completed.
         """
         ...
 
 
 def respond(
-    completion: request.CompletionRequest, generations: Generations, sock: Any
+    completion: request.CompletionRequest,
+    generations: CompletionGenerator,
+    sock: Any,
 ) -> response.Response:
     """Answers one completion request, as a stream or as one JSON body.
 
@@ -109,8 +111,8 @@
 def _event_blocks(
     first: streams.TokenBatch, batches: Batches, request_id: str
 ) -> Iterator[bytes]:
-    # The default result: if the connection fails in a write, the server closes
-    # this iterator before its end.
+    # The result if the caller's connection fails in a write: the WSGI server
+    # then closes this iterator early, and no ``except`` clause below runs.
     result = errors.CallerGoneError.code
     try:
         yield first.raw
--- a/src/mulberrywharf/callers/listener.py
+++ b/src/mulberrywharf/callers/listener.py
@@ -47,11 +47,14 @@
 _NEXT_REQUEST_WAIT_S = 1.0
 """How long a stop leaves an idle connection open for its next request, counted
 from its accept or its last answer. That answer's head was sent before the stop
-and so did not announce the close; closing at once would cut a request that is
+and so did not announce the close; closing at once would abort a request that is
 already being sent. A caller short of CPU time may need 100 ms or more to send
-it. Once the listener has been closed for this long, a stop closes connections
-as soon as they are idle: a request accepted late in a stop may outlast the
-grace period and would be cut at its end."""
+it.
+
+When the listening socket has been closed for this long, a stop closes each
+connection as soon as it is idle. Otherwise a request that arrives late in the
+stop could still run at the end of the stop's grace period and would then be
+aborted."""
 _IDLE_CHECK_INTERVAL_S = 0.05
 """How often a stop checks for idle connections; a twentieth of the time that
 they are left open."""
@@ -62,7 +65,7 @@
 )
 _TARGET = re.compile(r"/[\x21-\x7e]*")
 _DIGITS = re.compile(r"[0-9]{1,15}")
-_REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
+_REJECTED_METHODS = frozenset({"CONNECT", "TRACE"})
 
 
 class _BoundedInput(pywsgi.Input):
@@ -82,18 +85,18 @@
         """Discards up to the limit; sets ``is_whole`` at the body's end."""
         left_bytes = self.rest_limit_bytes
         while left_bytes > 0:
-            part = self.read(min(_DISCARD_BLOCK_BYTES, left_bytes))
-            if not part:
+            block = self.read(min(_DISCARD_BLOCK_BYTES, left_bytes))
+            if not block:
                 self.is_whole = True
                 return
-            left_bytes -= len(part)
+            left_bytes -= len(block)
 
 
 class _CallerHandler(_wsgi._Handler):
     """Serves the connection of one caller."""
 
     def handle_one_request(self) -> Any:
-        """Serves one request and returns what gevent's method does."""
+        """Serves one request; the return value is that of gevent's method."""
         result = super().handle_one_request()
         if isinstance(result, tuple) and result[0] == _TARGET_TOO_LONG_STATUS:
             error = errors.RequestTooLargeError("the target is too long")
@@ -118,25 +121,25 @@
     def MessageClass(self, rfile: Any, *_: Any) -> Any:  # noqa: N802
         """Reads and validates the header fields of one request."""
         limit_bytes = self.server.header_limit_bytes
-        self.fields, raw = _read_fields(rfile, limit_bytes)
-        _check_framing(self.fields, self.requestline)
+        self.header_fields, raw = _read_fields(rfile, limit_bytes)
+        _check_framing(self.header_fields, self.requestline)
         return pywsgi.headers_factory(io.BytesIO(raw))
 
     def get_environ(self) -> _wsgi.Environ:
         """Returns the WSGI environ with this module's additional keys."""
         environ: _wsgi.Environ = super().get_environ()
-        plain: pywsgi.Input = environ["wsgi.input"]
+        gevent_input: pywsgi.Input = environ["wsgi.input"]
         body = _BoundedInput(
             self.rfile,
             self.content_length,
-            socket=plain.socket,
-            chunked_input=plain.chunked_input,
+            socket=gevent_input.socket,
+            chunked_input=gevent_input.chunked_input,
         )
         body.is_whole = False
         body.rest_limit_bytes = self.server.body_limit_bytes
         self.wsgi_input = body
         environ["wsgi.input"] = body
-        environ[HEADERS_KEY] = self.fields
+        environ[HEADERS_KEY] = self.header_fields
         environ[TARGET_KEY] = self.path
         environ[SOCKET_KEY] = self.socket
         return environ
@@ -147,7 +150,11 @@
         return False
 
     def handle_one_response(self) -> None:
-        """Answers one request; closes the connection late in a stop."""
+        """Answers one request.
+
+        Closes the connection if the body was not read to its end, or if a stop
+        now closes idle connections at once.
+        """
         self.server.busy_sockets.add(self.socket)
         try:
             super().handle_one_response()
@@ -166,7 +173,7 @@
             self.close_connection = True
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Closes the connection; logs a traceback only for internal faults."""
+        """Closes the connection; only internal failures log a traceback."""
         if issubclass(t, _EXPECTED_ERRORS):
             logger.debug("an answer ended early: {}", v)
             self.close_connection = True
@@ -176,13 +183,13 @@
     def _handle_client_error(self, ex: Exception) -> Any:
         if isinstance(ex, OSError):
             return super()._handle_client_error(ex)
-        error = _as_request_error(ex)
-        logger.debug("refused a request head: {}", error.message)
+        error = _head_error(ex)
+        logger.debug("rejected a request head: {}", error.message)
         return str(error.status), problems.raw_response(error, "")
 
 
 class CallerListener(_wsgi.WsgiServer):
-    """Server for callers; a stop does not cut requests in progress."""
+    """Listens for callers; a stop does not abort requests in progress."""
 
     def __init__(
         self,
@@ -212,21 +219,27 @@
         self._all_closed.set()
 
     @classmethod
-    def from_config(cls, config: settings.CallersSettings) -> "CallerListener":
-        """Binds the port in the settings; accepts nothing before ``start``."""
+    def from_config(
+        cls, caller_settings: settings.CallersSettings
+    ) -> "CallerListener":
+        """Binds the port in the settings; accepts nothing before ``start``.
+
+        Args:
+            caller_settings: The ``callers`` section of the process's settings.
+        """
         return cls(
-            config["listen"]["ip"],
-            config["listen"]["port"],
-            header_limit_bytes=config.get(
+            caller_settings["listen"]["ip"],
+            caller_settings["listen"]["port"],
+            header_limit_bytes=caller_settings.get(
                 "header_limit_bytes", DEFAULT_HEADER_LIMIT_BYTES
             ),
-            body_limit_bytes=config.get(
+            body_limit_bytes=caller_settings.get(
                 "body_limit_bytes", DEFAULT_BODY_LIMIT_BYTES
             ),
         )
 
     def serve(self, application: _wsgi.Application) -> None:
-        """Sets the WSGI application; call it before ``start``."""
+        """Stores the WSGI application; call it before ``start``."""
         self.application = application
 
     def handle(self, sock: Any, address: Any) -> None:
@@ -257,11 +270,11 @@
         self.stopping = True
 
     def finish(self) -> None:
-        """Stops accepting and returns once every connection is closed.
+        """Stops accepting and returns when every connection is closed.
 
         Connections in the kernel's accept queue are accepted and served:
-        closing the listening socket would reset them, and a planned stop would
-        cut their callers' requests.
+        closing the listening socket would reset them, and a graceful stop would
+        abort their callers' requests.
         """
         self.announce_stop()
         handshakes.drop_new_syns(self.socket)
@@ -273,14 +286,14 @@
         gevent.sleep(0)
         self._close_when_idle_from_s = time.monotonic() + _NEXT_REQUEST_WAIT_S
         while self._last_activity_s:
-            self._end_idle_connections()
+            self._close_idle_connections()
             self._all_closed.wait(_IDLE_CHECK_INTERVAL_S)
 
-    def _end_idle_connections(self) -> None:
-        idle_since_s = time.monotonic() - _NEXT_REQUEST_WAIT_S
+    def _close_idle_connections(self) -> None:
+        idle_cutoff_s = time.monotonic() - _NEXT_REQUEST_WAIT_S
         for sock, last_activity_s in self._last_activity_s.items():
             is_expired = (
-                last_activity_s <= idle_since_s or self.closes_when_idle
+                last_activity_s <= idle_cutoff_s or self.closes_when_idle
             )
             if is_expired and sock not in self.busy_sockets:
                 _shut_down_reading(sock)
@@ -303,7 +316,7 @@
         logger.debug("an idle connection was already closed by its caller")
 
 
-def _as_request_error(error: Exception) -> errors.RequestError:
+def _head_error(error: Exception) -> errors.RequestError:
     if isinstance(error, errors.RequestError):
         return error
     return errors.BadRequestError(
@@ -321,7 +334,7 @@
     method, target, version = words
     if not _TOKEN.fullmatch(method.encode("latin-1")):
         raise ValueError("the method is not an HTTP token")
-    if method in _REFUSED_METHODS:
+    if method in _REJECTED_METHODS:
         raise ValueError(f"method {method} is not supported")
     if not _TARGET.fullmatch(target):
         raise ValueError("the target is not an absolute path")
--- a/src/mulberrywharf/callers/passthrough.py
+++ b/src/mulberrywharf/callers/passthrough.py
@@ -14,8 +14,9 @@
 _PREFIX = "/services/"
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 CALLER_REQUEST_ID_HEADER = "x-mulberry-caller-request-id"
-"""Carries the caller's request ID to the service; ``x-request-id`` carries the
-run ID that the router generates."""
+"""Carries the caller's request ID to the service. ``x-request-id`` carries the
+sent request ID: the caller's ID with a random part, which the router generates
+and all attempts of the call share."""
 
 _REPLACED_HEADERS = frozenset(
     {
@@ -35,16 +36,20 @@
 
 
 class ServiceCall(NamedTuple):
-    """One call to a plain service.
+    """A caller's call to a plain service, which may need several attempts.
+
+    Each attempt is sent as a ``backend_servers.client.ServiceRequest``.
 
     Attributes:
         caller: The caller's HTTP request.
         service: Name of the service.
-        path: Origin-form target at the backend server, with its query.
-        headers: Header fields for the backend server, without the run ID,
-            which is not known yet.
+        path: Request target at the backend server: path and query,
+            percent-encoded.
+        headers: Header fields for the backend server, without the sent request
+            ID, which is not known yet.
         idempotent: Whether the call may run more than once.
-        timeout_s: Timeout that the service's configuration sets for a call.
+        timeout_s: Timeout, in seconds, that the service's configuration sets.
+            No single wait for a backend server lasts longer.
     """
 
     caller: request.CallerRequest
@@ -88,31 +93,32 @@
 
 
 def respond(
-    caller: request.CallerRequest,
+    http_request: request.CallerRequest,
     services: Mapping[str, Mapping[str, Any]],
     calls: ServiceCalls,
 ) -> response.Response:
     """Answers one call to a plain service.
 
     Raises:
-        RequestError: The call is rejected or its answer is lost.
+        RequestError: The call is rejected or refused, or its answer is lost.
     """
-    answer = calls.call(read_call(caller, services))
+    answer = calls.call(read_call(http_request, services))
     headers = [
         (name, value)
         for name, value in _headers.end_to_end(answer.headers)
         if name not in ("content-length", "x-request-id")
         and not name.startswith("x-mulberry-")
     ]
-    headers.append(("x-request-id", caller.request_id))
-    body = _response_body(answer, caller.method, headers)
+    headers.append(("x-request-id", http_request.request_id))
+    body = _response_body(answer, http_request.method, headers)
     return response.Response(
         f"{answer.status} {_reason_phrase(answer)}", headers, body
     )
 
 
 def read_call(
-    caller: request.CallerRequest, services: Mapping[str, Mapping[str, Any]]
+    http_request: request.CallerRequest,
+    services: Mapping[str, Mapping[str, Any]],
 ) -> ServiceCall:
     """Validates a call against the configured services.
 
@@ -120,7 +126,7 @@
         UnknownTargetError: The service is not configured.
         BadRequestError: The path is ambiguous.
     """
-    match = _TARGET.fullmatch(caller.target)
+    match = _TARGET.fullmatch(http_request.target)
     name = match.group(1) if match else ""
     service = services.get(name)
     if match is None or service is None:
@@ -136,38 +142,38 @@
             "character"
         )
     return ServiceCall(
-        caller=caller,
+        caller=http_request,
         service=name,
         path=path + (match.group(3) or ""),
-        headers=_forwarded_headers(caller),
-        idempotent=_is_idempotent(caller, service, path),
+        headers=_forwarded_headers(http_request),
+        idempotent=_is_idempotent(http_request, service, path),
         timeout_s=float(service["timeout_s"]),
     )
 
 
 def _is_idempotent(
-    caller: request.CallerRequest, service: Mapping[str, Any], path: str
+    http_request: request.CallerRequest, service: Mapping[str, Any], path: str
 ) -> bool:
-    if caller.idempotent is not None:
-        return caller.idempotent
+    if http_request.idempotent is not None:
+        return http_request.idempotent
     if path in service["idempotent_paths"]:
         return True
     if service["default_idempotent"]:
         return True
-    return caller.method in _SAFE_METHODS
+    return http_request.method in _SAFE_METHODS
 
 
-def _forwarded_headers(caller: request.CallerRequest) -> dict[str, str]:
+def _forwarded_headers(http_request: request.CallerRequest) -> dict[str, str]:
     headers: dict[str, str] = {}
-    for name, value in _headers.end_to_end(caller.fields):
+    for name, value in _headers.end_to_end(http_request.fields):
         if name not in _REPLACED_HEADERS:
             is_repeated = name in headers
             headers[name] = (
                 f"{headers[name]}, {value}" if is_repeated else value
             )
-    headers[CALLER_REQUEST_ID_HEADER] = caller.request_id
-    if caller.idempotency_key is not None:
-        headers["idempotency-key"] = caller.idempotency_key
+    headers[CALLER_REQUEST_ID_HEADER] = http_request.request_id
+    if http_request.idempotency_key is not None:
+        headers["idempotency-key"] = http_request.idempotency_key
     return headers
 
 
--- a/src/mulberrywharf/callers/problems.py
+++ b/src/mulberrywharf/callers/problems.py
@@ -126,15 +126,15 @@
     error: errors.RequestError, request_id: str
 ) -> list[tuple[str, str]]:
     """Returns an error's response headers, without ``Content-Length``."""
-    fields = [
+    header_fields = [
         ("content-type", CONTENT_TYPE),
         ("x-request-id", request_id),
         ("x-mulberry-outcome", error.outcome),
     ]
     if error.retry_after_s is not None:
         seconds = max(1, math.ceil(error.retry_after_s))
-        fields.append(("retry-after", str(seconds)))
-    return fields
+        header_fields.append(("retry-after", str(seconds)))
+    return header_fields
 
 
 def body(error: errors.RequestError, request_id: str) -> bytes:
--- a/src/mulberrywharf/callers/request.py
+++ b/src/mulberrywharf/callers/request.py
@@ -23,9 +23,10 @@
 )
 _INTERNAL_PREFIX = "x-mulberry-"
 _MS_PER_S = 1000.0
-_DEADLINE_LIMIT_MS = 86_400_000
+_TIME_LIMIT_MAX_MS = 86_400_000
 _LOWEST_PRIORITY = 9
 DEFAULT_DEADLINE_S = 60.0
+"""How many seconds a request without a deadline may take: a duration."""
 _INTERNAL_EXTENSION = "mulberry"
 
 
@@ -36,8 +37,8 @@
         method: HTTP method.
         path: Percent-decoded path, for routing.
         target: Path and query as received, for pass-through.
-        fields: Header fields without the internal ones, which callers may not
-            set.
+        fields: Header fields in the order received, without the internal ones,
+            which callers may not set.
         body: The whole body.
         request_id: The request ID of the caller, or a generated one.
         customer: Name of the customer whose key the request carries.
@@ -96,7 +97,7 @@
     body: dict[str, Any]
 
 
-class Customers:
+class CustomerKeys:
     """Looks up customers by their bearer keys."""
 
     def __init__(self, customers: Mapping[str, Mapping[str, Any]]):
@@ -127,7 +128,7 @@
     environ: _wsgi.Environ,
     *,
     request_id: str,
-    customers: Customers,
+    customers: CustomerKeys,
     now_s: float,
     body_limit_bytes: int = listener.DEFAULT_BODY_LIMIT_BYTES,
     default_deadline_s: float = DEFAULT_DEADLINE_S,
@@ -137,17 +138,17 @@
     Args:
         environ: WSGI environ from the callers' listener.
         request_id: See ``request_id_of``.
-        customers: Customers of the current configuration.
+        customers: Customer keys of the configuration in force.
         now_s: Current monotonic time, from which the deadline counts.
         body_limit_bytes: Maximum body size; larger bodies are rejected.
-        default_deadline_s: Time allowed for a request without a deadline.
+        default_deadline_s: Seconds that a request without a deadline may take.
 
     Returns:
         The request, or the error to return to the caller.
     """
     try:
         customer = _customer(environ, customers)
-        deadline_s = now_s + _timeout_s(environ, default_deadline_s)
+        deadline_s = now_s + _time_limit_s(environ, default_deadline_s)
         priority = _priority(environ)
         key = _idempotency_key(environ)
         idempotent = _idempotent(environ)
@@ -211,21 +212,21 @@
 
 
 def read_completion(
-    caller: CallerRequest, models: Mapping[str, Mapping[str, Any]]
+    http_request: CallerRequest, models: Mapping[str, Mapping[str, Any]]
 ) -> Result[CompletionRequest, errors.RequestError]:
     """Validates the OpenAI body of a request.
 
     Args:
-        caller: The caller's HTTP request.
+        http_request: The caller's HTTP request.
         models: Models of the configuration, with their adapters.
 
     Returns:
         The completion request, or the error to return to the caller.
     """
     try:
-        body = _completion_body.json_object(caller.body)
+        body = _completion_body.json_object(http_request.body)
         model, adapter = _completion_body.model_and_adapter(body, models)
-        chat = caller.path.endswith("/chat/completions")
+        chat = http_request.path.endswith("/chat/completions")
         read_prompt = (
             _completion_body.chat_prompt
             if chat
@@ -242,7 +243,7 @@
     body.pop(_INTERNAL_EXTENSION, None)
     return Ok(
         CompletionRequest(
-            caller=caller,
+            caller=http_request,
             model=model,
             adapter=adapter,
             prompt=prompt,
@@ -265,7 +266,7 @@
     )
 
 
-def _customer(environ: _wsgi.Environ, customers: Customers) -> str:
+def _customer(environ: _wsgi.Environ, customers: CustomerKeys) -> str:
     match = _BEARER.fullmatch(environ.get("HTTP_AUTHORIZATION", ""))
     name = customers.find(match.group(1)) if match else None
     if name is None:
@@ -276,12 +277,12 @@
     return name
 
 
-def _timeout_s(environ: _wsgi.Environ, default_s: float) -> float:
+def _time_limit_s(environ: _wsgi.Environ, default_s: float) -> float:
     text = environ.get("HTTP_X_MULBERRY_DEADLINE_MS")
     if text is None:
         return default_s
     milliseconds = _whole_number(
-        "x-mulberry-deadline-ms", text, _DEADLINE_LIMIT_MS
+        "x-mulberry-deadline-ms", text, _TIME_LIMIT_MAX_MS
     )
     return milliseconds / _MS_PER_S
 
--- a/src/mulberrywharf/callers/response.py
+++ b/src/mulberrywharf/callers/response.py
@@ -14,9 +14,9 @@
 
     Attributes:
         status_line: Status and reason phrase, such as ``200 OK``.
-        headers: Header fields. For a body of one part the WSGI server adds the
+        headers: Header fields. For a body of one block the WSGI server adds the
             ``Content-Length``.
-        body: Parts of the body. An iterator is advanced only as fast as the
+        body: Blocks of the body. An iterator is advanced only as fast as the
             caller reads, so the answer to a slow caller is not buffered.
     """
 
--- a/src/mulberrywharf/callers/routed_server.py
+++ b/src/mulberrywharf/callers/routed_server.py
@@ -1,7 +1,8 @@
 """Answers callers' requests by the routes that the operators configure.
 
-A server's answer is passed on unchanged. The status of an error response of
-this node tells the caller whether the request may have run.
+The answer of a backend server or an engine is passed on unchanged. The status
+of an error response of this gateway tells the caller whether the request may
+have run.
 """
 
 import contextlib
@@ -40,6 +41,8 @@
 _answers_total = metrics.counter(
     "mulberry_routed_answers_total", "Answers to callers by route and result."
 )
+# Observed from the end of the request's head, before its body is read, until
+# the response is ready to be sent: for a stream, until its first event.
 _answer_s = metrics.histogram(
     "mulberry_routed_answer_seconds",
     "Time from a whole request to the head of its answer, by route.",
@@ -62,11 +65,11 @@
         body: bytes,
         now_s: float,
     ) -> Result[request.RoutedRequest, errors.BadRequestError]:
-        """Parses one request."""
+        """Parses one request, whose route is not known yet."""
         ...
 
 
-class _Routed(NamedTuple):
+class _MatchedRequest(NamedTuple):
     """A request with its matching route and the service that answers it."""
 
     routed_request: request.RoutedRequest
@@ -74,8 +77,8 @@
     service: table.Service
 
 
-class _Answer(NamedTuple):
-    """An HTTP response to a caller."""
+class _Response(NamedTuple):
+    """An HTTP response to a caller, as ``response.Response``."""
 
     status_line: str
     headers: list[tuple[str, str]]
@@ -83,7 +86,7 @@
 
 
 class RoutedServer:
-    """Answers the requests that a listener accepts."""
+    """The WSGI application that answers the requests of a gateway's callers."""
 
     def __init__(
         self,
@@ -102,19 +105,19 @@
         Args:
             caller_listener: Accepts requests.
             dialect: Parses requests.
-            routes: The current routes.
-            plain_calls: Serves plain requests.
-            generations: Serves streams.
-            customers: Admits requests.
+            routes: Follows the stored routes and keeps the current ones.
+            plain_calls: Serves requests whose answer is not a stream.
+            generations: Serves requests whose answer is an event stream.
+            customers: Identifies the customer of each request and admits it.
             system_clock: Measures deadlines.
             on_request_started: Called with the customer of each request that a
-                server has started to execute.
+                backend server or an engine has started to execute.
         """
         self._on_request_started = on_request_started
         self._listener = caller_listener
-        self._customers = customers
+        self._customer_admission = customers
         self._dialect = dialect
-        self._routes = routes
+        self._route_follower = routes
         self._plain_calls = plain_calls
         self._generations = generations
         self._clock = system_clock
@@ -132,17 +135,17 @@
         start_s = self._clock.monotonic_s()
         route_name = "none"
         try:
-            routed = self._route(environ)
-            route_name = routed.route.name
-            answer = self._answer(routed, environ[listener.SOCKET_KEY])
-            result = answer.status_line[:3]
+            matched = self._route(environ)
+            route_name = matched.route.name
+            http_response = self._answer(matched, environ[listener.SOCKET_KEY])
+            result = http_response.status_line[:3]
         except errors.CallerGoneError:
             _log_request_end(request_id, route_name, "caller-gone", "")
             raise
         except errors.MulberryError as error:
             request_error = problems.as_request_error(error)
             result = request_error.code
-            answer = _error_response(request_error, request_id)
+            http_response = _error_response(request_error, request_id)
             _log_request_end(
                 request_id,
                 route_name,
@@ -150,20 +153,20 @@
                 request_error.message,
             )
         except Exception as error:
-            # After an internal fault the request may have run in part, so the
+            # After an internal failure the request may have run in part, so the
             # caller gets the outcome "unknown"; the log has the traceback.
             logger.bind(request_id=request_id).exception("a request failed")
             request_error = problems.as_request_error(error)
             result = request_error.code
-            answer = _error_response(request_error, request_id)
+            http_response = _error_response(request_error, request_id)
         _answers_total.inc({"route": route_name, "result": result})
         duration_s = self._clock.monotonic_s() - start_s
         _answer_s.observe({"route": route_name}, duration_s)
-        start_response(answer.status_line, answer.headers)
-        return answer.body
+        start_response(http_response.status_line, http_response.headers)
+        return http_response.body
 
-    def _route(self, environ: _wsgi.Environ) -> _Routed:
-        routes = self._routes.current()
+    def _route(self, environ: _wsgi.Environ) -> _MatchedRequest:
+        routes = self._route_follower.current()
         if routes is None:
             routed_request = self._read(
                 environ, self._listener.body_limit_bytes
@@ -184,7 +187,7 @@
             )
         name = split.service_of(route, routed_request.request_id)
         service = routes.services.get(name) or table.Service(name, 1)
-        return _Routed(routed_request, route, service)
+        return _MatchedRequest(routed_request, route, service)
 
     def _admit(
         self,
@@ -204,8 +207,8 @@
             CallerGoneError: The caller disconnected.
         """
         with _abort_on_disconnect(environ[listener.SOCKET_KEY]):
-            admitted = self._customers.admit(
-                lambda: self._routes.current() or routes,
+            admitted = self._customer_admission.admit(
+                lambda: self._route_follower.current() or routes,
                 lambda current: _match(current, environ).is_public,
                 routed_request.key_digests,
                 routed_request.deadline_s - self._clock.monotonic_s(),
@@ -222,12 +225,12 @@
     def _wait_for_routes(
         self, routed_request: request.RoutedRequest, sock: Any
     ) -> table.RouteTable:
-        """Waits until the routes are loaded after the start of this node.
+        """Waits until the routes are loaded after the start of this gateway.
 
         When all gateways start at once, the load balancer also sends requests
-        to gateways that are not ready. Rejecting these at once made most of
-        them fail with ``not-ready`` in the first second of a start, although
-        the routes were loaded shortly after.
+        to gateways that are not ready. If these requests were refused at once,
+        most of them would fail with ``not-ready`` in the first second of a
+        start, although the routes are loaded shortly after.
 
         Raises:
             NotReadyError: The routes were not loaded in the time that the
@@ -237,10 +240,10 @@
         left_s = routed_request.deadline_s - self._clock.monotonic_s()
         wait_s = min(ROUTES_WAIT_LIMIT_S, ROUTES_WAIT_SHARE * left_s)
         with _abort_on_disconnect(sock):
-            routes = self._routes.wait_first(max(0.0, wait_s))
+            routes = self._route_follower.wait_first(max(0.0, wait_s))
         if routes is None:
             raise errors.NotReadyError(
-                "this node has no routes yet",
+                "this gateway has no routes yet",
                 retry_after_s=NOT_READY_RETRY_S,
                 advice="Try again; another entry VM may have them already.",
             )
@@ -265,60 +268,62 @@
             raise read.err_value
         return read.ok_value
 
-    def _answer(self, routed: _Routed, sock: Any) -> _Answer:
+    def _answer(self, matched: _MatchedRequest, sock: Any) -> _Response:
         # Until the watch is closed, a disconnect of the caller cancels the
-        # request, which frees the server.
+        # request, which frees the backend server or the engine.
         watch = caller_watch.CallerWatch(sock)
         watch.start()
         try:
             watch.enable()
-            answer = _answer_by_kind(routed.route.kind, self, routed, watch)
+            http_response = _answer_by_kind(
+                matched.route.kind, self, matched, watch
+            )
             watch.disable()
         except BaseException:
             watch.close()
             raise
-        return answer
+        return http_response
 
-    def answer_plain(
-        self, routed: _Routed, watch: caller_watch.CallerWatch
-    ) -> _Answer:
-        """Answers a plain request once the whole answer has been received."""
+    def answer_non_streaming(
+        self, matched: _MatchedRequest, watch: caller_watch.CallerWatch
+    ) -> _Response:
+        """Answers a request after its complete answer has been received."""
         answer = self._plain_calls.call(
-            routed.routed_request, routed.route, routed.service.name
+            matched.routed_request, matched.route, matched.service.name
         )
         watch.close()
         if not answer.head.not_executed:
-            self._notify_started(routed)
+            self._notify_started(matched)
         headers = _headers_without_length(answer.head)
         headers.append(("content-length", str(len(answer.body))))
-        if routed.routed_request.method == "HEAD":
-            return _Answer(_status_line(answer.head), headers, [])
-        return _Answer(
+        if matched.routed_request.method == "HEAD":
+            return _Response(_status_line(answer.head), headers, [])
+        return _Response(
             _status_line(answer.head), headers, response.blocks(answer.body)
         )
 
     def answer_stream(
-        self, routed: _Routed, watch: caller_watch.CallerWatch
-    ) -> _Answer:
+        self, matched: _MatchedRequest, watch: caller_watch.CallerWatch
+    ) -> _Response:
         """Answers a streaming request; relays events as they arrive."""
         answer = self._generations.open(
-            routed.routed_request, routed.route, routed.service
+            matched.routed_request, matched.route, matched.service
         )
         # Nothing is written before the first event arrives, so that an earlier
         # failure still gets an error response. A later one can only be
         # signaled by closing the connection.
         first = next(answer.blocks, b"")
         if first:
-            self._notify_started(routed)
-        return _Answer(
+            self._notify_started(matched)
+        return _Response(
             _status_line(answer.head),
             _headers_without_length(answer.head),
-            _relayed_blocks(first, answer.blocks, watch, routed),
+            _relayed_events(first, answer.blocks, watch, matched),
         )
 
-    def _notify_started(self, routed: _Routed) -> None:
-        if routed.routed_request.customer:
-            self._on_request_started(routed.routed_request.customer)
+    def _notify_started(self, matched: _MatchedRequest) -> None:
+        if matched.routed_request.customer:
+            self._on_request_started(matched.routed_request.customer)
 
 
 @contextlib.contextmanager
@@ -350,43 +355,43 @@
 def _answer_by_kind(
     kind: kinds.RequestKind,
     server: RoutedServer,
-    routed: _Routed,
+    matched: _MatchedRequest,
     watch: caller_watch.CallerWatch,
-) -> _Answer:
-    return server.answer_plain(routed, watch)
+) -> _Response:
+    return server.answer_non_streaming(matched, watch)
 
 
 @_answer_by_kind.register
 def _(
     kind: kinds.EventStream,
     server: RoutedServer,
-    routed: _Routed,
+    matched: _MatchedRequest,
     watch: caller_watch.CallerWatch,
-) -> _Answer:
-    return server.answer_stream(routed, watch)
+) -> _Response:
+    return server.answer_stream(matched, watch)
 
 
-def _relayed_blocks(
+def _relayed_events(
     first: bytes,
-    blocks: Iterator[bytes],
+    events: Iterator[bytes],
     watch: caller_watch.CallerWatch,
-    routed: _Routed,
+    matched: _MatchedRequest,
 ) -> Iterator[bytes]:
-    """Yields the first block and then the others until the caller disconnects.
+    """Yields the first event and then the others until the caller disconnects.
 
-    When this iterator ends, is closed or raises, ``blocks`` is closed, which
-    frees the engine. For an answer that can't be completed an exception is
-    raised, so that the connection closes without the last chunk that would
-    mark a complete answer.
+    When this iterator ends, is closed or raises, ``events`` is closed, which
+    cancels the request and so frees the engine. For an answer that can't be
+    completed an exception is raised, so that the connection closes without the
+    last chunk that would mark a complete answer.
     """
     result = errors.CallerGoneError.code
     message = ""
     try:
         yield first
         watch.enable()
-        for block in blocks:
+        for event in events:
             watch.disable()
-            yield block
+            yield event
             watch.enable()
         result = "whole"
     except errors.MulberryError as error:
@@ -394,15 +399,15 @@
         raise
     finally:
         watch.close()
-        close = getattr(blocks, "close", None)
+        close = getattr(events, "close", None)
         if close is not None:
             close()
         _log_request_end(
-            routed.routed_request.request_id,
-            routed.route.name,
+            matched.routed_request.request_id,
+            matched.route.name,
             result,
             message,
-            routed.routed_request.customer,
+            matched.routed_request.customer,
         )
 
 
@@ -427,17 +432,18 @@
     return f"{head.status} {head.reason or 'Answered'}"
 
 
-def _error_response(error: errors.RequestError, request_id: str) -> _Answer:
+def _error_response(error: errors.RequestError, request_id: str) -> _Response:
     headers = [
         (name, value)
         for name, value in problems.headers(error, request_id)
         if name != "retry-after"
     ]
     if error.retry_after_s is not None:
-        # Written with milliseconds: rounded up to a second, it would delay
-        # callers where the queue is only some tenths of a second long.
+        # Written in seconds with three decimals. Rounded up to a whole second,
+        # it would delay callers although the queue is only some tenths of a
+        # second long.
         headers.append(("retry-after", f"{error.retry_after_s:.3f}"))
-    return _Answer(
+    return _Response(
         problems.status_line(error.status),
         headers,
         [problems.body(error, request_id)],
--- a/src/mulberrywharf/callers/server.py
+++ b/src/mulberrywharf/callers/server.py
@@ -30,40 +30,61 @@
     """The customers, models and services of a configuration.
 
     Attributes:
-        customers: Looks up customers by key.
+        customers: Looks up customers by their keys.
         models: Models by name.
         services: Plain services by name.
     """
 
-    customers: request.Customers
+    customers: request.CustomerKeys
     models: Mapping[str, Mapping[str, Any]]
     services: Mapping[str, Mapping[str, Any]]
 
     @classmethod
     def from_config(cls, document: Mapping[str, Any]) -> "Catalogue":
-        """Reads them from a validated configuration document."""
+        """Reads them from a validated configuration document.
+
+        Args:
+            document: The fleet's configuration document, not the settings of
+                the process.
+        """
         return cls(
-            request.Customers(document.get("customers", {})),
+            request.CustomerKeys(document.get("customers", {})),
             document.get("models", {}),
             document.get("services", {}),
         )
 
 
 class CallerServer:
-    """Answers callers' requests: completions, models and plain services."""
+    """The WSGI application that answers the requests of a router's callers.
+
+    It answers completion requests and requests for the list of models, and
+    passes on calls to plain services.
+    """
 
     def __init__(
         self,
         caller_listener: listener.CallerListener,
         *,
         catalogue: Callable[[], Catalogue | None],
-        generations: completions.Generations,
+        generations: completions.CompletionGenerator,
         service_calls: passthrough.ServiceCalls,
         default_deadline_s: float = request.DEFAULT_DEADLINE_S,
         system_clock: clock.Clock | None = None,
     ):
+        """Creates the server and registers it with the listener.
+
+        Args:
+            caller_listener: Accepts requests.
+            catalogue: Returns the customers, models and services of the
+                configuration in force, or None before there is one.
+            generations: Generates the answers to completion requests.
+            service_calls: Runs calls to plain services.
+            default_deadline_s: Seconds that a request without a deadline may
+                take.
+            system_clock: Measures deadlines.
+        """
         self._listener = caller_listener
-        self._catalogue = catalogue
+        self._current_configuration = catalogue
         self._generations = generations
         self._service_calls = service_calls
         self._default_deadline_s = default_deadline_s
@@ -89,7 +110,10 @@
         self._listener.announce_stop()
 
     def close(self) -> None:
-        """Stops accepting; returns once all requests have been answered."""
+        """Stops accepting; returns when all requests have been answered.
+
+        By then every connection of a caller is closed.
+        """
         self._listener.finish()
 
     def application(
@@ -97,37 +121,37 @@
     ) -> Iterable[bytes]:
         """Answers one request; every failure becomes an error response."""
         request_id = request.request_id_of(environ)
-        answer = self._answer_or_error(environ, request_id)
-        start_response(answer.status_line, answer.headers)
-        return answer.body
+        http_response = self._answer_or_error(environ, request_id)
+        start_response(http_response.status_line, http_response.headers)
+        return http_response.body
 
     def _answer_or_error(
         self, environ: _wsgi.Environ, request_id: str
     ) -> response.Response:
         kind = _path_kind(environ["PATH_INFO"])
         try:
-            answer = self._answer(environ, request_id)
+            http_response = self._answer(environ, request_id)
         except errors.MulberryError as error:
             return _error_response(
                 problems.as_request_error(error), kind, request_id
             )
         except Exception as error:
-            # After an internal fault the request may have run in part, so the
+            # After an internal failure the request may have run in part, so the
             # caller gets the outcome "unknown"; the log has the traceback.
             logger.bind(request_id=request_id).exception("a request failed")
             return _error_response(
                 problems.as_request_error(error), kind, request_id
             )
         _requests_total.inc({"kind": kind, "result": "answered"})
-        return answer
+        return http_response
 
     def _answer(
         self, environ: _wsgi.Environ, request_id: str
     ) -> response.Response:
-        catalogue = self._catalogue()
+        catalogue = self._current_configuration()
         if catalogue is None:
             raise errors.NotReadyError(
-                "this node has no accepted configuration yet",
+                "this router has no accepted configuration yet",
                 retry_after_s=_NOT_READY_RETRY_S,
                 advice="Try again; another entry VM may have it already.",
             )
@@ -145,13 +169,13 @@
 
     def _dispatch(
         self,
-        caller: request.CallerRequest,
+        http_request: request.CallerRequest,
         catalogue: Catalogue,
         environ: _wsgi.Environ,
     ) -> response.Response:
-        if caller.path in _COMPLETION_PATHS:
-            _require_method(caller, "POST")
-            completion = request.read_completion(caller, catalogue.models)
+        if http_request.path in _COMPLETION_PATHS:
+            _require_method(http_request, "POST")
+            completion = request.read_completion(http_request, catalogue.models)
             if isinstance(completion, Err):
                 raise completion.err_value
             return completions.respond(
@@ -159,12 +183,12 @@
                 self._generations,
                 environ[listener.SOCKET_KEY],
             )
-        if caller.path == _MODELS_PATH:
-            _require_method(caller, "GET")
-            return models.respond(catalogue.models, caller.request_id)
-        if passthrough.is_service_path(caller.path):
+        if http_request.path == _MODELS_PATH:
+            _require_method(http_request, "GET")
+            return models.respond(catalogue.models, http_request.request_id)
+        if passthrough.is_service_path(http_request.path):
             return passthrough.respond(
-                caller, catalogue.services, self._service_calls
+                http_request, catalogue.services, self._service_calls
             )
         raise errors.UnknownTargetError(
             "no such path", advice="See docs/operators/routers.md for paths."
@@ -192,9 +216,9 @@
     return "service" if passthrough.is_service_path(path) else "other"
 
 
-def _require_method(caller: request.CallerRequest, method: str) -> None:
-    if caller.method != method:
+def _require_method(http_request: request.CallerRequest, method: str) -> None:
+    if http_request.method != method:
         raise errors.UnknownTargetError(
-            f"method {caller.method} is not allowed for this path",
+            f"method {http_request.method} is not allowed for this path",
             advice=f"Use {method}.",
         )
--- a/src/mulberrywharf/operators/audit.py
+++ b/src/mulberrywharf/operators/audit.py
@@ -1,4 +1,4 @@
-"""Audit trail: records each state change as a log line and for /status.
+"""Audit trail: writes each state change to the log and keeps it for /status.
 
 The VMs have no disks, so the trail is kept in memory, is bounded, and is lost
 when the process ends. Permanent records are kept elsewhere: configuration
@@ -18,7 +18,7 @@
 DEFAULT_LIMIT_COUNT = 200
 
 
-class AuditLine(TypedDict):
+class AuditRecord(TypedDict):
     """One state change as /status shows it.
 
     Attributes:
@@ -96,31 +96,35 @@
 
 
 class AuditLog:
-    """Writes each event as a structured log line and keeps the latest ones."""
+    """The audit trail of one process.
+
+    Writes each event to the process's log, as a structured log line, and keeps
+    the latest ones in memory.
+    """
 
     def __init__(self, clock: Clock, *, limit_count: int = DEFAULT_LIMIT_COUNT):
         self._clock = clock
-        self._lines: deque[AuditLine] = deque(maxlen=limit_count)
+        self._latest_records: deque[AuditRecord] = deque(maxlen=limit_count)
 
     def record(self, event: AuditEvent) -> None:
         """Logs an event and adds it to the trail."""
-        kind, subject, detail, reason = _line_parts(event)
-        line = AuditLine(
+        kind, subject, detail, reason = _record_parts(event)
+        audit_record = AuditRecord(
             at_unix_s=self._clock.unix_s(),
             kind=kind,
             subject=subject,
             detail=detail,
             reason=reason,
         )
-        self._lines.append(line)
-        logger.bind(audit=line).info("{}: {} {}", kind, subject, detail)
+        self._latest_records.append(audit_record)
+        logger.bind(audit=audit_record).info("{}: {} {}", kind, subject, detail)
 
-    def lines(self) -> list[AuditLine]:
-        """Returns the latest lines, oldest first."""
-        return list(self._lines)
+    def latest_records(self) -> list[AuditRecord]:
+        """Returns the latest records, oldest first."""
+        return list(self._latest_records)
 
 
-class _LineParts(NamedTuple):
+class _RecordParts(NamedTuple):
     kind: str
     subject: str
     detail: str
@@ -128,13 +132,13 @@
 
 
 @singledispatch
-def _line_parts(event: object) -> _LineParts:
+def _record_parts(event: object) -> _RecordParts:
     raise TypeError(f"{type(event).__name__} is not an audit event")
 
 
-@_line_parts.register
-def _(event: ConfigurationActivated) -> _LineParts:
-    return _LineParts(
+@_record_parts.register
+def _(event: ConfigurationActivated) -> _RecordParts:
+    return _RecordParts(
         "configuration",
         f"version {event.version}",
         f"change {event.change_id}",
@@ -142,9 +146,9 @@
     )
 
 
-@_line_parts.register
-def _(event: OrderChanged) -> _LineParts:
-    return _LineParts(
+@_record_parts.register
+def _(event: OrderChanged) -> _RecordParts:
+    return _RecordParts(
         "order",
         event.engine_id,
         f"{event.action} {event.phase}, order {event.order_id}, "
@@ -153,9 +157,9 @@
     )
 
 
-@_line_parts.register
-def _(event: RoleChanged) -> _LineParts:
-    return _LineParts(
+@_record_parts.register
+def _(event: RoleChanged) -> _RecordParts:
+    return _RecordParts(
         "role-change",
         event.engine_id,
         f"{event.before} to {event.after}",
@@ -163,14 +167,14 @@
     )
 
 
-@_line_parts.register
-def _(event: DrainStarted) -> _LineParts:
-    return _LineParts("drain", event.subject, "no new work", event.reason)
+@_record_parts.register
+def _(event: DrainStarted) -> _RecordParts:
+    return _RecordParts("drain", event.subject, "no new work", event.reason)
 
 
-@_line_parts.register
-def _(event: LeaseAcquired) -> _LineParts:
-    return _LineParts(
+@_record_parts.register
+def _(event: LeaseAcquired) -> _RecordParts:
+    return _RecordParts(
         "lease-taken",
         event.lease,
         f"fencing number {event.fencing_number}",
@@ -178,9 +182,9 @@
     )
 
 
-@_line_parts.register
-def _(event: LeaseLost) -> _LineParts:
-    return _LineParts(
+@_record_parts.register
+def _(event: LeaseLost) -> _RecordParts:
+    return _RecordParts(
         "lease-lost",
         event.lease,
         f"fencing number {event.fencing_number}",
--- a/src/mulberrywharf/operators/client.py
+++ b/src/mulberrywharf/operators/client.py
@@ -1,4 +1,7 @@
-"""Reads status reports from the admin listeners of nodes, for mulberryctl."""
+"""Reads status reports from the admin listeners of nodes, for mulberryctl.
+
+A node here is a router or a controller process.
+"""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -25,7 +28,9 @@
 
 
 class NodeAnswer(NamedTuple):
-    """The status report of one node, or the error of reading it.
+    """The result of reading the status report of one node.
+
+    Also stands for a node that did not answer.
 
     Attributes:
         address: Address of the node's admin listener.
@@ -46,7 +51,8 @@
     Args:
         address: Address of the node's admin listener.
         token: Token of the operator.
-        timeout_s: Timeout for the whole exchange, including the connect.
+        timeout_s: Timeout, in seconds, for the whole read, including the
+            connect.
     """
     if not _is_valid_in_a_header(token):
         message = "the token holds characters that no header can carry"
@@ -69,14 +75,14 @@
     """Reads the status reports of several nodes concurrently.
 
     Returns:
-        One answer for each address, in the order of the addresses.
+        One result for each address, in the order of the addresses.
     """
 
     def read(address: Address) -> NodeAnswer:
-        found = read_status(address, token, timeout_s)
-        if isinstance(found, Err):
-            return NodeAnswer(address, None, found.err_value)
-        return NodeAnswer(address, found.ok_value, None)
+        read_report = read_status(address, token, timeout_s)
+        if isinstance(read_report, Err):
+            return NodeAnswer(address, None, read_report.err_value)
+        return NodeAnswer(address, read_report.ok_value, None)
 
     pool = gevent.pool.Pool(_CONCURRENT_READS_LIMIT_COUNT)
     return list(pool.map(read, addresses))
@@ -84,7 +90,7 @@
 
 def _is_valid_in_a_header(token: str) -> bool:
     # With a line break in the token, the HTTP client would fail as if the node
-    # did not answer, and the operator would look for a node that is down.
+    # did not answer, and the operator would wrongly take the node to be down.
     return token.isascii() and (token.isprintable() or not token)
 
 
@@ -104,14 +110,16 @@
         body = bytes(response.read(_BODY_LIMIT_BYTES))
     finally:
         client.close()
-    status = response.status_code
-    if status == 401:
+    http_status = response.status_code
+    if http_status == 401:
         return Err(NotAuthorisedError(f"{address} refuses the token"))
-    if status != 200:
-        return Err(AdminListenerError(f"{address} answered {status}"))
+    if http_status != 200:
+        return Err(AdminListenerError(f"{address} answered {http_status}"))
     try:
         return Ok(REPORT_ADAPTER.validate_json(body))
     except pydantic.ValidationError as error:
-        found = error.errors()[0]
-        where = ".".join(map(str, found["loc"]))
-        return Err(AdminListenerError(f"{address}: {where}: {found['msg']}"))
+        first_error = error.errors()[0]
+        where = ".".join(map(str, first_error["loc"]))
+        return Err(
+            AdminListenerError(f"{address}: {where}: {first_error['msg']}")
+        )
--- a/src/mulberrywharf/operators/server.py
+++ b/src/mulberrywharf/operators/server.py
@@ -34,16 +34,18 @@
 )
 
 
-class _Reply(NamedTuple):
+class _Response(NamedTuple):
     """An HTTP response that has not been written yet."""
 
-    status: HTTPStatus
+    http_status: HTTPStatus
     body: bytes
     content_type: str = _JSON
 
 
 class OperatorsServer:
-    """Answers operators and the platform's load balancer and collectors.
+    """The admin listener of one process.
+
+    Answers operators, the platform's load balancer and metrics collectors.
 
     Attributes:
         ready: Whether ``/readyz`` answers that the process is ready.
@@ -55,19 +57,19 @@
         port: int,
         *,
         tokens: Tokens,
-        status: Callable[[], StatusReport],
+        build_report: Callable[[], StatusReport],
         on_drain: Callable[[], object],
         audit: AuditLog | None = None,
     ):
         self.ready = False
         self._tokens = tokens
-        self._status = status
+        self._build_report = build_report
         self._on_drain = on_drain
         self._audit = audit
         self._draining = False
         self._server = WsgiServer(ip, port, self._answer)
-        self._answer_by_path: dict[
-            tuple[str, str], Callable[[Environ], _Reply]
+        self._handlers: dict[
+            tuple[str, str], Callable[[Environ], _Response]
         ] = {
             ("GET", "/healthz"): self._health,
             ("GET", "/readyz"): self._readiness,
@@ -80,7 +82,7 @@
     def from_config(
         cls,
         settings: Settings,
-        status: Callable[[], StatusReport],
+        build_report: Callable[[], StatusReport],
         on_drain: Callable[[], object],
         *,
         audit: AuditLog | None = None,
@@ -89,10 +91,10 @@
 
         Args:
             settings: Settings of the process.
-            status: Builds the body of ``/status``; must not block.
+            build_report: Builds the body of ``/status``; must not block.
             on_drain: Starts a graceful stop, as SIGTERM does. Called once, in
                 its own greenlet, however often operators request it.
-            audit: Audit trail of the process, shown in ``/status``.
+            audit: Audit trail of the process, included in ``/status``.
         """
         operators = settings["operators"]
         listen = operators["listen"]
@@ -100,7 +102,7 @@
             listen["ip"],
             listen["port"],
             tokens=Tokens.from_config(operators),
-            status=status,
+            build_report=build_report,
             on_drain=on_drain,
             audit=audit,
         )
@@ -125,31 +127,33 @@
     def _answer(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        reply = self._reply(environ)
+        response = self._respond(environ)
         path = str(environ["PATH_INFO"])
-        known = any(path == known for _, known in self._answer_by_path)
+        is_known = any(path == known_path for _, known_path in self._handlers)
         # Unknown paths share one label, so that a scanner cannot add an
         # unbounded number of time series.
-        label = path if known else "other"
-        _requests_total.inc({"path": label, "status": str(int(reply.status))})
+        label = path if is_known else "other"
+        _requests_total.inc(
+            {"path": label, "status": str(int(response.http_status))}
+        )
         start_response(
-            f"{int(reply.status)} {reply.status.phrase}",
+            f"{int(response.http_status)} {response.http_status.phrase}",
             [
-                ("Content-Type", reply.content_type),
-                ("Content-Length", str(len(reply.body))),
+                ("Content-Type", response.content_type),
+                ("Content-Length", str(len(response.body))),
             ],
         )
-        return [reply.body]
+        return [response.body]
 
-    def _reply(self, environ: Environ) -> _Reply:
+    def _respond(self, environ: Environ) -> _Response:
         key = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         try:
-            answer = self._answer_by_path.get(key)
-            if answer is None:
+            handler = self._handlers.get(key)
+            if handler is None:
                 raise OperatorRequestError(
                     f"the admin listener has no {key[0]} {key[1]}"
                 )
-            return answer(environ)
+            return handler(environ)
         except NotAuthorisedError as error:
             return _problem(HTTPStatus.UNAUTHORIZED, error)
         except OperatorRequestError as error:
@@ -160,26 +164,26 @@
                 HTTPStatus.INTERNAL_SERVER_ERROR, MulberryError(repr(error))
             )
 
-    def _health(self, environ: Environ) -> _Reply:
+    def _health(self, environ: Environ) -> _Response:
         return _json({"healthy": True})
 
-    def _readiness(self, environ: Environ) -> _Reply:
+    def _readiness(self, environ: Environ) -> _Response:
         if self.ready:
             return _json({"ready": True})
         return _json({"ready": False}, HTTPStatus.SERVICE_UNAVAILABLE)
 
-    def _metrics(self, environ: Environ) -> _Reply:
+    def _metrics(self, environ: Environ) -> _Response:
         body, headers = metrics.render_text()
-        return _Reply(HTTPStatus.OK, body, headers["Content-Type"])
+        return _Response(HTTPStatus.OK, body, headers["Content-Type"])
 
-    def _report(self, environ: Environ) -> _Reply:
+    def _report(self, environ: Environ) -> _Response:
         self._authorise(environ)
-        report = self._status()
+        report = self._build_report()
         if self._audit is not None:
-            report["audit"] = self._audit.lines()
+            report["audit"] = self._audit.latest_records()
         return _json(report)
 
-    def _drain(self, environ: Environ) -> _Reply:
+    def _drain(self, environ: Environ) -> _Response:
         operator = self._authorise(environ)
         if not self._draining:
             self._draining = True
@@ -199,16 +203,18 @@
         return operator
 
 
-def _json(value: Any, status: HTTPStatus = HTTPStatus.OK) -> _Reply:
-    return _Reply(status, json.dumps(value).encode())
+def _json(value: Any, http_status: HTTPStatus = HTTPStatus.OK) -> _Response:
+    return _Response(http_status, json.dumps(value).encode())
 
 
-def _problem(status: HTTPStatus, error: MulberryError) -> _Reply:
+def _problem(http_status: HTTPStatus, error: MulberryError) -> _Response:
     body = {
         "type": f"urn:mulberrywharf:{error.code}",
-        "title": status.phrase,
-        "status": int(status),
+        "title": http_status.phrase,
+        "status": int(http_status),
         "detail": error.message,
         "advice": error.advice,
     }
-    return _Reply(status, json.dumps(body).encode(), "application/problem+json")
+    return _Response(
+        http_status, json.dumps(body).encode(), "application/problem+json"
+    )
--- a/src/mulberrywharf/operators/status.py
+++ b/src/mulberrywharf/operators/status.py
@@ -1,11 +1,14 @@
-"""The status report of a process: the body of ``GET /status``."""
+"""The status report of a process: the body of ``GET /status``.
+
+The process, also called a node, is a router or a controller.
+"""
 
 from typing import NotRequired
 
 import pydantic
 from typing_extensions import TypedDict
 
-from mulberrywharf.operators.audit import AuditLine
+from mulberrywharf.operators.audit import AuditRecord
 
 # Nodes and mulberryctl are upgraded one by one. An older mulberryctl must be
 # able to read the fields that it knows in the report of a newer node. A field
@@ -104,9 +107,10 @@
     """The result of the last evaluation of the rules.
 
     Attributes:
-        rule_name: Name of the rule that applies, or ``default``.
-        undecided: Whether it is unknown if the rule matches; if so, nothing is
-            changed.
+        rule_name: Name of the first rule that matches or may match, or
+            ``default``.
+        undecided: Whether it is unknown if that rule matches, such as for a
+            missing or stale input; if so, nothing is changed.
         explanation: Readable text with the rule, the configuration version, the
             inputs and their age.
     """
@@ -118,7 +122,9 @@
 
 @pydantic.with_config(_IGNORE_UNKNOWN_FIELDS)
 class SituationStatus(TypedDict):
-    """The inputs of the last evaluation, for dry runs of other rules.
+    """The inputs of the last evaluation of the rules.
+
+    mulberryctl uses them for dry runs of rules that are not in force yet.
 
     Attributes:
         availability_zone: Zone that the rules were evaluated for.
@@ -133,7 +139,7 @@
             not listed; None if unknown.
         rates_age_s: Age of both kinds of rates; None if unknown.
         rates_given_up: Whether too few routers have reported rates for so long
-            that no condition on rates holds.
+            that no condition on rates is true.
     """
 
     availability_zone: str
@@ -179,7 +185,7 @@
     rule: NotRequired[RuleStatus]
     situation: NotRequired[SituationStatus]
     counts: NotRequired[dict[str, float]]
-    audit: NotRequired[list[AuditLine]]
+    audit: NotRequired[list[AuditRecord]]
 
 
 REPORT_ADAPTER: pydantic.TypeAdapter[StatusReport] = pydantic.TypeAdapter(
--- a/src/mulberrywharf/operators/status_conversion.py
+++ b/src/mulberrywharf/operators/status_conversion.py
@@ -1,6 +1,7 @@
 """Converts the rules' inputs for a controller's status report and back.
 
-mulberryctl evaluates other rules on the inputs in a report as a dry run.
+As a dry run, mulberryctl evaluates rules that are not in force yet on the
+inputs in a report.
 """
 
 import math
--- a/src/mulberrywharf/operators/tokens.py
+++ b/src/mulberrywharf/operators/tokens.py
@@ -16,7 +16,11 @@
 
     @classmethod
     def from_config(cls, settings: OperatorsSettings) -> "Tokens":
-        """Reads the tokens from the settings; without any, none is accepted."""
+        """Reads the tokens from the settings; without any, none is accepted.
+
+        Args:
+            settings: The ``operators`` section of the process's settings.
+        """
         return cls(
             {
                 token["token_sha256_hex"]: token["operator"]
--- a/tests/test_caller_request.py
+++ b/tests/test_caller_request.py
@@ -216,7 +216,7 @@
         self,
     ) -> None:
         server = fixture.caller_server()
-        server._catalogue = lambda: None
+        server._current_configuration = lambda: None
         server.start()
         self.addCleanup(server.close)
         data = fixture.request_bytes("GET", "/v1/models")
--- a/tests/test_listener_stop.py
+++ b/tests/test_listener_stop.py
@@ -58,7 +58,7 @@
 
         On a busy machine a caller may connect just before the listener closes
         and send its request some 300 ms later. A stop that closed connections
-        without a request at once would cut it.
+        without a request at once would abort it.
         """
         self.may_complete.set()
         sock = self.connect()
@@ -71,11 +71,11 @@
     def test_connection_of_a_stream_started_before_the_stop_stays_open(
         self,
     ) -> None:
-        """Guards against a stop that cuts the request after a stream.
+        """Guards against a stop that aborts the request after a stream.
 
         The head of a stream is sent before the stop and so does not announce
         that the connection will close. The caller may send its next request on
-        it; closing the connection at the end of the stream would cut it.
+        it; closing the connection at the end of the stream would abort it.
         """
         self.listener.serve(self._answer_as_stream)
         sock = self.connect()
@@ -99,11 +99,11 @@
     def test_stream_that_ends_late_in_a_stop_closes_its_connection(
         self,
     ) -> None:
-        """Guards against an answer cut at the end of the grace period.
+        """Guards against an answer aborted at the end of the grace period.
 
         Without a limit on how late a stop accepts requests, the caller of a
         stream that ended five seconds into the stop could send another request,
-        and its answer was cut eight seconds after the stop began.
+        and its answer was aborted eight seconds after the stop began.
         """
         self.listener.serve(self._answer_as_stream)
         sock = self.connect()
--- a/tests/test_operators_server.py
+++ b/tests/test_operators_server.py
@@ -96,9 +96,9 @@
             self.assertEqual(self.send("POST", "/drain", build.TOKEN)[0], 202)
         self.assertTrue(self.drained.wait(TIMEOUT_S))
         self.assertEqual(self.drained_count, 1)
-        lines = self.audit.lines()
-        self.assertEqual([line["kind"] for line in lines], ["drain"])
-        self.assertIn("luis", lines[0]["reason"])
+        records = self.audit.latest_records()
+        self.assertEqual([record["kind"] for record in records], ["drain"])
+        self.assertIn("luis", records[0]["reason"])
 
 
 class AuditLogTest(unittest.TestCase):
@@ -115,7 +115,7 @@
         for event in events:
             log.record(event)
         self.assertEqual(
-            [line["kind"] for line in log.lines()],
+            [record["kind"] for record in log.latest_records()],
             [
                 "configuration",
                 "order",
