--- a/src/mulberrywharf/nodes/codec.py
+++ b/src/mulberrywharf/nodes/codec.py
@@ -1,12 +1,12 @@
-"""Messages to bytes and back: Cap'n Proto in authenticated frames.
+"""Encodes and decodes messages: Cap'n Proto in authenticated frames.
 
-A payload is a flat Cap'n Proto message, deflated by zlib.
+A payload is a flat Cap'n Proto message, compressed by zlib (deflate).
 
 A frame is ``length:uint32 sequence:uint64 mac:16 bytes payload``, big endian.
 The MAC is keyed BLAKE2b over the sequence number and the payload. Its key is
 derived for each connection and direction from the shared key and a nonce of
-either side, so that a frame recorded on one connection is worthless on any
-other; the rising sequence number makes it worthless a second time on its own.
+each side, so a frame recorded on one connection cannot be replayed on another.
+The increasing sequence number prevents replay on the same connection.
 """
 
 import hashlib
@@ -29,10 +29,10 @@
 
 _SEQUENCE = struct.Struct(">Q")
 _DEFLATE_LEVEL = 1
-# A few deflated bytes can inflate to gigabytes and exhaust the memory.
+# A small compressed payload can inflate to gigabytes and exhaust the memory.
 _INFLATED_LIMIT_BYTES = FRAME_LIMIT_BYTES
-# A message can point many times at the same bytes; the reader refuses one
-# whose traversal exceeds this many 8-byte words.
+# A message can contain many pointers to the same bytes. The reader rejects a
+# message whose traversal exceeds this many 8-byte words.
 _TRAVERSAL_LIMIT_WORDS = 2 * FRAME_LIMIT_BYTES // 8
 _NESTING_LIMIT = 8
 
@@ -44,8 +44,8 @@
     """The keys of one connection.
 
     Attributes:
-        client_to_server: Authenticates what the connecting side sends.
-        server_to_client: Authenticates the other direction.
+        client_to_server: Authenticates frames of the connecting side.
+        server_to_client: Authenticates frames of the accepting side.
     """
 
     client_to_server: bytes
@@ -65,7 +65,7 @@
 
 
 class FrameSealer:
-    """Makes the frames of one direction of one connection."""
+    """Creates the authenticated frames of one direction of a connection."""
 
     def __init__(self, key: bytes):
         self._key = key
@@ -74,14 +74,15 @@
     def seal(
         self, envelope: messages.Envelope
     ) -> Result[bytes, errors.BadFrameError]:
-        """Returns the next frame, or an error if it exceeds the bound."""
-        flat = _flat(envelope)
-        # The bound holds before deflation, as for whoever inflates it again:
-        # a frame that fits on the wire but not there would be sent for ever.
+        """Returns the next frame, or an error if the message is too long."""
+        flat = _serialize(envelope)
+        # The limit applies before compression, because the receiver applies it
+        # after decompression: a message that is only small enough when
+        # compressed would be rejected and sent again forever.
         if len(flat) > FRAME_LIMIT_BYTES:
             return Err(
                 errors.BadFrameError(
-                    f"a message of {len(flat)} bytes exceeds the bound"
+                    f"a message of {len(flat)} bytes exceeds the size limit"
                 )
             )
         payload = zlib.compress(flat, _DEFLATE_LEVEL)
@@ -91,21 +92,21 @@
 
 
 class FrameOpener:
-    """Checks the frames of one direction of one connection."""
+    """Verifies the frames of one direction of a connection."""
 
     def __init__(self, key: bytes):
         self._key = key
         self._last_sequence = 0
 
     def payload_bytes(self, header: bytes) -> Result[int, errors.BadFrameError]:
-        """Returns the payload's length, checked before anything is read."""
+        """Returns the payload's length, checked before the payload is read."""
         if len(header) != HEADER.size:
-            return Err(errors.BadFrameError("a frame header is cut short"))
+            return Err(errors.BadFrameError("a frame header is truncated"))
         length_bytes, _, _ = HEADER.unpack(header)
         if length_bytes > FRAME_LIMIT_BYTES:
             return Err(
                 errors.BadFrameError(
-                    f"a frame of {length_bytes} bytes exceeds the bound"
+                    f"a frame of {length_bytes} bytes exceeds the size limit"
                 )
             )
         return Ok(length_bytes)
@@ -113,7 +114,7 @@
     def open(
         self, header: bytes, payload: bytes
     ) -> Result[messages.Envelope, errors.BadFrameError]:
-        """Returns the envelope of a frame that is genuine and new."""
+        """Returns the envelope of a frame that is authentic and no replay."""
         length = self.payload_bytes(header)
         if isinstance(length, Err):
             return length
@@ -121,20 +122,20 @@
         expected = _mac(self._key, sequence, payload)
         if not hmac.compare_digest(mac, expected):
             return Err(errors.BadFrameError("a frame fails authentication"))
-        # A frame that is sent again by whoever recorded it carries a genuine
-        # MAC; only the sequence number shows that it was read before.
+        # A replayed frame has a valid MAC; only its sequence number shows that
+        # it was received before.
         if sequence <= self._last_sequence:
-            return Err(errors.BadFrameError("a frame arrived a second time"))
+            return Err(errors.BadFrameError("a frame was replayed"))
         self._last_sequence = sequence
         return decode(payload)
 
 
 def encode(envelope: messages.Envelope) -> bytes:
     """Returns the payload of an envelope."""
-    return zlib.compress(_flat(envelope), _DEFLATE_LEVEL)
+    return zlib.compress(_serialize(envelope), _DEFLATE_LEVEL)
 
 
-def _flat(envelope: messages.Envelope) -> bytes:
+def _serialize(envelope: messages.Envelope) -> bytes:
     builder = _SCHEMA.Envelope.new_message()
     builder.senderVmId = envelope.sender_vm_id
     builder.correlation = envelope.correlation
@@ -143,9 +144,9 @@
 
 
 def decode(payload: bytes) -> Result[messages.Envelope, errors.BadFrameError]:
-    """Reads a payload; whatever the bytes, the error is a BadFrameError."""
+    """Decodes a payload; any malformed payload gives a BadFrameError."""
     try:
-        return Ok(_read(_inflated(payload)))
+        return Ok(_read(_inflate(payload)))
     except (
         capnp.KjException,
         errors.BadFrameError,
@@ -158,19 +159,19 @@
         return Err(errors.BadFrameError(f"a payload is malformed: {error}"))
 
 
-def _inflated(payload: bytes) -> bytes:
+def _inflate(payload: bytes) -> bytes:
     inflater = zlib.decompressobj()
     flat = inflater.decompress(payload, _INFLATED_LIMIT_BYTES)
     if not inflater.eof:
-        raise errors.BadFrameError("a payload is cut short or too large")
+        raise errors.BadFrameError("a payload is truncated or too large")
     return flat
 
 
 def _read(flat: bytes) -> messages.Envelope:
-    # Not ``from_bytes_packed``: its reader throws from a C++ destructor when
-    # the packed bytes end early, which no Python handler can catch. The
-    # process would abort with "Premature EOF". A flat message is checked
-    # against its length before it is read.
+    # ``from_bytes_packed`` must not be used: if the packed bytes are truncated,
+    # its reader throws from a C++ destructor, which Python cannot catch, and
+    # the process aborts with "Premature EOF". The length of a flat message is
+    # checked before it is read.
     with _SCHEMA.Envelope.from_bytes(
         flat,
         traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS,
--- a/src/mulberrywharf/nodes/config_exchange.py
+++ b/src/mulberrywharf/nodes/config_exchange.py
@@ -1,4 +1,4 @@
-"""Gets a newer configuration from a neighbour that has one."""
+"""Fetches a newer configuration from another router that has one."""
 
 import random
 from collections.abc import Mapping
@@ -13,24 +13,24 @@
 
 _FETCH_GRACE_S = 1.5
 
-_FRESH_GRACE_S = 3.0
-"""Grace of a node that has no configuration yet.
+_FIRST_FETCH_GRACE_S = 3.0
+"""Delay before the first fetch of a router without a configuration.
 
-With the first answer that came, a node that starts while the key-value
-service is away could serve by rules that were replaced before it began: one
-neighbour may have been paused and not have caught up yet. The VM list lets
-the others know of this node within a second or two; then each answers at
-once.
+Without the delay, a router that starts while the key-value service is
+unavailable could take the first version that it receives and serve by rules
+that were replaced before it started: the sender may have been paused and not
+be up to date yet. The other routers learn of the new router from the VM list
+within one or two seconds; then each of them replies at once.
 """
 
 _FETCH_TIMEOUT_S = 5.0
 
 
 class ConfigurationSource(Protocol):
-    """What the exchange needs of ``ConfigFollower``."""
+    """The part of ``ConfigFollower`` that the exchange uses."""
 
     def version(self) -> int:
-        """Returns the version in force, 0 without one."""
+        """Returns the version in force, or 0 if there is none."""
         ...
 
     def current(self) -> Any:
@@ -40,12 +40,12 @@
     def apply_if_newer(
         self, configuration_bytes: bytes
     ) -> Result[bool, errors.DocumentError]:
-        """Takes a neighbour's configuration if it is newer."""
+        """Applies another router's configuration if it is newer."""
         ...
 
 
-class _Ahead(NamedTuple):
-    """The node with the highest version that was heard since a fetch."""
+class _FetchTarget(NamedTuple):
+    """The router with the highest version received since the last fetch."""
 
     version: int
     vm_id: str
@@ -53,7 +53,7 @@
 
 
 class ConfigExchange:
-    """The versions that other nodes run, and at most one fetch."""
+    """Tracks the versions of other routers; runs at most one fetch."""
 
     def __init__(
         self, configuration: ConfigurationSource, node_links: links.Links
@@ -61,70 +61,71 @@
         self._configuration = configuration
         self._links = node_links
         self._versions: dict[str, int] = {}
-        self._best = _Ahead(0, "", None)
-        self._fetching: gevent.Greenlet | None = None
+        self._fetch_target = _FetchTarget(0, "", None)
+        self._fetch_task: gevent.Greenlet | None = None
 
     def version(self) -> int:
         """Returns the version in force here."""
         return self._configuration.version()
 
     def versions(self) -> Mapping[str, int]:
-        """Returns the version last heard from each other node."""
+        """Returns the last version received from each other router."""
         return dict(self._versions)
 
     def close(self) -> None:
-        """Gives up a fetch that is under way."""
-        if self._fetching is not None:
-            self._fetching.kill()
+        """Cancels a running fetch."""
+        if self._fetch_task is not None:
+            self._fetch_task.kill()
 
     def keep_only(self, vm_ids: set[str]) -> None:
-        """Forgets nodes that left the VM list."""
+        """Removes the routers that are no longer in the VM list."""
         for vm_id in self._versions.keys() - vm_ids:
             del self._versions[vm_id]
 
     def note(
         self, vm_id: str, version: int, address: fleet.Address | None
     ) -> None:
-        """Notes a node's version, and fetches it if it is newer."""
+        """Records a router's version; fetches it if it is newer."""
         self._versions[vm_id] = version
         if version <= self._configuration.version() or address is None:
             return
-        if self._fetching is None or self._fetching.ready():
-            self._best = _Ahead(version, vm_id, address)
-            self._fetching = gevent.spawn(self._fetch)
-        elif version > self._best.version:
-            self._best = _Ahead(version, vm_id, address)
+        if self._fetch_task is None or self._fetch_task.ready():
+            self._fetch_target = _FetchTarget(version, vm_id, address)
+            self._fetch_task = gevent.spawn(self._fetch)
+        elif version > self._fetch_target.version:
+            self._fetch_target = _FetchTarget(version, vm_id, address)
 
-    def answer(
+    def handle_fetch(
         self, sender_vm_id: str, question: messages.ConfigFetch
     ) -> messages.ConfigDocument:
-        """Answers a node that fetches."""
+        """Returns the configuration in force, or empty if there is none."""
         del sender_vm_id, question
         current = self._configuration.current()
         return messages.ConfigDocument(current.raw if current else b"")
 
     def _fetch(self) -> None:
-        """Gets the document from the neighbour that is furthest ahead.
+        """Fetches the document from the router with the highest version.
 
-        Normally the watch brings it within the grace time and nothing is
-        fetched; when the key-value service is away this is the only way.
+        Normally the watch delivers the document within the grace time, and
+        nothing is fetched. While the key-value service is unavailable, the
+        fetch is the only way to get it.
         """
-        is_fresh = self._configuration.version() == 0
-        grace_s = _FRESH_GRACE_S if is_fresh else _FETCH_GRACE_S
+        is_first = self._configuration.version() == 0
+        grace_s = _FIRST_FETCH_GRACE_S if is_first else _FETCH_GRACE_S
         gevent.sleep(grace_s * random.uniform(0.5, 1.0))
-        ahead = self._best
-        if ahead.address is None:
+        target = self._fetch_target
+        if target.address is None:
             return
-        if ahead.version <= self._configuration.version():
+        if target.version <= self._configuration.version():
             return
-        answered = self._links.to(ahead.address).call(
+        received = self._links.to(target.address).call(
             messages.ConfigFetch(), _FETCH_TIMEOUT_S
         )
-        if isinstance(answered, Err):
+        if isinstance(received, Err):
             return
-        answer = answered.ok_value
-        if not isinstance(answer, messages.ConfigDocument):
+        reply = received.ok_value
+        if not isinstance(reply, messages.ConfigDocument):
             return
-        offered = self._configuration.apply_if_newer(answer.document)
-        if isinstance(offered, Ok) and offered.ok_value:
-            logger.info("took a newer configuration from {}", ahead.vm_id)
+        applied = self._configuration.apply_if_newer(reply.document)
+        if isinstance(applied, Ok) and applied.ok_value:
+            logger.info("applied a newer configuration from {}", target.vm_id)
--- a/src/mulberrywharf/nodes/demands.py
+++ b/src/mulberrywharf/nodes/demands.py
@@ -1,4 +1,4 @@
-"""The demand reports of a zone's nodes, as heartbeats carry them."""
+"""The demand reports of a zone's routers, which heartbeats carry."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -9,35 +9,35 @@
 from mulberrywharf.policy import shares
 
 DEMAND_LIMIT_BYTES = 128
-"""Room for the demand report in a heartbeat; the busiest come first."""
+"""Maximum size of the demands in a heartbeat; the busiest customers fit."""
 
 _DEMAND_OVERHEAD_BYTES = 14
 _ROUNDS_KEPT_COUNT = 3
 
 
-class DemandBook:
-    """Own and others' reports, and who has had the own one."""
+class DemandReports:
+    """This router's report, the reports received, and to whom it was sent."""
 
     def __init__(self) -> None:
         self._own: shares.DemandReport | None = None
         self._reports: dict[str, dict[int, shares.DemandReport]] = {}
-        self._told: dict[fleet.Address, int] = {}
+        self._sent_rounds: dict[fleet.Address, int] = {}
 
     def publish(self, report: shares.DemandReport) -> None:
-        """Sets the own report.
+        """Sets this router's report.
 
-        Customers that find no room in a heartbeat are left out of the own
-        report as well: counted here and nowhere else, they would give this
-        node more than its part.
+        Customers that do not fit into a heartbeat are left out of the report
+        here too. If only this router counted their demand, it would get more
+        than its share of their limits.
         """
         self._own = report._replace(demands=_busiest(report.demands))
-        self._keep(self._own)
+        self._store(self._own)
 
     def note(self, sender_vm_id: str, heartbeat: messages.Heartbeat) -> None:
-        """Notes the report that a heartbeat carries, if it carries one."""
+        """Stores the report that a heartbeat carries, if any."""
         if not heartbeat.round_number:
             return
-        self._keep(
+        self._store(
             shares.DemandReport(
                 sender_vm_id,
                 heartbeat.round_number,
@@ -52,7 +52,7 @@
     def reports(
         self, round_number: int | None
     ) -> Mapping[str, shares.DemandReport]:
-        """Returns each node's report of a round, or its last one."""
+        """Returns each router's report of a round; None for its last one."""
         found = {}
         for vm_id, reports in self._reports.items():
             wanted = max(reports) if round_number is None else round_number
@@ -63,21 +63,23 @@
     def keep_only(
         self, vm_ids: Collection[str], addresses: Collection[fleet.Address]
     ) -> None:
-        """Forgets nodes that left the VM list."""
+        """Removes the routers that are no longer in the VM list."""
         for vm_id in self._reports.keys() - set(vm_ids):
             del self._reports[vm_id]
-        for address in self._told.keys() - set(addresses):
-            del self._told[address]
+        for address in self._sent_rounds.keys() - set(addresses):
+            del self._sent_rounds[address]
 
-    def tell(self, neighbour: link.Link, heartbeat: messages.Heartbeat) -> None:
-        """Sends a heartbeat, with the own report if it is new there.
+    def send_heartbeat(
+        self, neighbour: link.Link, heartbeat: messages.Heartbeat
+    ) -> None:
+        """Sends a heartbeat, with the report only once in each round.
 
-        The report is a third of a heartbeat and stays the same for a round,
-        in which each neighbour is told more than once.
+        The report takes a third of a heartbeat and does not change during a
+        round, in which each neighbour gets several heartbeats.
         """
         report = self._own
-        told_round_number = self._told.get(neighbour.address)
-        if report is None or told_round_number == report.round_number:
+        sent_round_number = self._sent_rounds.get(neighbour.address)
+        if report is None or sent_round_number == report.round_number:
             neighbour.send(heartbeat)
             return
         sent = neighbour.send(
@@ -90,9 +92,9 @@
             )
         )
         if isinstance(sent, Ok):
-            self._told[neighbour.address] = report.round_number
+            self._sent_rounds[neighbour.address] = report.round_number
 
-    def _keep(self, report: shares.DemandReport) -> None:
+    def _store(self, report: shares.DemandReport) -> None:
         reports = self._reports.setdefault(report.node_id, {})
         reports[report.round_number] = report
         while len(reports) > _ROUNDS_KEPT_COUNT:
--- a/src/mulberrywharf/nodes/frames.py
+++ b/src/mulberrywharf/nodes/frames.py
@@ -1,4 +1,4 @@
-"""Reads and writes frames on one connected socket."""
+"""Reads and writes authenticated frames on a connected socket."""
 
 import contextlib
 import socket
@@ -16,7 +16,7 @@
 
 
 class Traffic:
-    """Counts the bytes and frames of a process for metrics and benches."""
+    """Counters of bytes and frames, for metrics and benchmarks."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
@@ -27,7 +27,7 @@
 
 
 class FrameSocket:
-    """One authenticated connection; greenlets may share its writing side."""
+    """An authenticated connection; several greenlets may write to it."""
 
     def __init__(
         self, sock: Any, send_key: bytes, receive_key: bytes, traffic: Traffic
@@ -41,19 +41,20 @@
     def write(
         self, envelope: messages.Envelope, timeout_s: float
     ) -> Result[None, errors.NodeError]:
-        """Sends one message, whole frames in order of their sequence.
+        """Sends one message; frames are written whole and in sequence order.
 
-        A peer that is paused stops reading; once the buffers are full a
-        write would wait for as long as the pause, and with it the task that
-        tells all the others. After ``timeout_s`` the connection is closed.
+        A paused peer does not read. Once the buffers are full, a write without
+        a timeout would block for as long as the pause, and so would the task
+        that sends the heartbeats to all other peers. The connection is closed
+        after ``timeout_s``.
         """
         try:
             with gevent.Timeout(timeout_s, TimeoutError()), self._write_lock:
                 return self._write_frame(envelope)
         except OSError as error:
-            # Half a frame may be out; nothing more may follow it.
+            # Part of a frame may have been sent, so no other may follow.
             self.close()
-            return Err(errors.NodeUnreachableError(f"no write: {error!r}"))
+            return Err(errors.NodeUnreachableError(f"write failed: {error!r}"))
 
     def _write_frame(
         self, envelope: messages.Envelope
@@ -67,7 +68,7 @@
         return Ok(None)
 
     def read(self) -> Result[messages.Envelope, errors.NodeError]:
-        """Waits for one message; any error ends the connection's use."""
+        """Waits for one message; after an error the connection is unusable."""
         try:
             header = _receive_exactly(self._sock, codec.HEADER.size)
             length = self._opener.payload_bytes(header)
@@ -85,37 +86,39 @@
         return opened
 
     def close(self) -> None:
-        """Closes the socket and wakes whoever reads from it."""
+        """Closes the socket, which also ends a blocked ``read``."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
 
-def greet_as_client(
+def handshake_as_client(
     sock: Any, shared_key: bytes, nonce: bytes, traffic: Traffic
 ) -> FrameSocket:
     """Exchanges nonces on a new outgoing connection.
 
     Raises:
-        OSError: The peer closed, timed out or speaks something else.
+        OSError: The peer closed the connection, timed out or uses another
+            protocol.
     """
     sock.sendall(_PREAMBLE + nonce)
-    server_nonce = _read_greeting(sock)
+    server_nonce = _read_handshake(sock)
     keys = codec.session_keys(shared_key, nonce, server_nonce)
     return FrameSocket(
         sock, keys.client_to_server, keys.server_to_client, traffic
     )
 
 
-def greet_as_server(
+def handshake_as_server(
     sock: Any, shared_key: bytes, nonce: bytes, traffic: Traffic
 ) -> FrameSocket:
     """Exchanges nonces on an accepted connection.
 
     Raises:
-        OSError: The peer closed, timed out or speaks something else.
+        OSError: The peer closed the connection, timed out or uses another
+            protocol.
     """
-    client_nonce = _read_greeting(sock)
+    client_nonce = _read_handshake(sock)
     sock.sendall(_PREAMBLE + nonce)
     keys = codec.session_keys(shared_key, client_nonce, nonce)
     return FrameSocket(
@@ -123,11 +126,11 @@
     )
 
 
-def _read_greeting(sock: Any) -> bytes:
-    greeting = _receive_exactly(sock, HANDSHAKE_BYTES)
-    if not greeting.startswith(_PREAMBLE):
-        _refuse("the peer speaks another protocol")
-    return greeting[len(_PREAMBLE) :]
+def _read_handshake(sock: Any) -> bytes:
+    handshake = _receive_exactly(sock, HANDSHAKE_BYTES)
+    if not handshake.startswith(_PREAMBLE):
+        _raise_connection_error("the peer uses another protocol")
+    return handshake[len(_PREAMBLE) :]
 
 
 def _receive_exactly(sock: Any, count: int) -> bytes:
@@ -136,11 +139,11 @@
     while missing:
         chunk = sock.recv(missing)
         if not chunk:
-            _refuse("the peer closed the connection")
+            _raise_connection_error("the peer closed the connection")
         chunks.append(chunk)
         missing -= len(chunk)
     return b"".join(chunks)
 
 
-def _refuse(reason: str) -> NoReturn:
+def _raise_connection_error(reason: str) -> NoReturn:
     raise ConnectionError(reason)
--- a/src/mulberrywharf/nodes/link.py
+++ b/src/mulberrywharf/nodes/link.py
@@ -1,8 +1,8 @@
-"""The outgoing connection to one other entry VM, one task for each.
+"""An outgoing connection to another entry VM, kept open by a task.
 
-The task connects, reads answers until the connection ends, and connects again
-after a jittered delay. Callers write from their own greenlets and wait for the
-answer that carries their correlation number.
+The task connects, reads replies until the connection ends, and connects again
+after a delay with jitter. Callers write from their own greenlets and wait for
+the reply with the correlation number of their message.
 """
 
 import os
@@ -22,12 +22,12 @@
 _CONNECT_WAIT_S = 1.0
 _WRITE_TIMEOUT_S = 10.0
 _SEND_TIMEOUT_S = 0.2
-_FIRST_DELAY_S = 0.1
-_LONGEST_DELAY_S = 5.0
+_RECONNECT_DELAY_S = 0.1
+_MAX_RECONNECT_DELAY_S = 5.0
 
 
 class Link:
-    """Talks to one node; reconnects until it is closed."""
+    """Connection to one router that reconnects until it is closed."""
 
     def __init__(
         self,
@@ -48,30 +48,30 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a connection stands at this instant."""
+        """Whether the connection is established."""
         return self._connected.is_set()
 
     @property
     def is_busy(self) -> bool:
-        """Whether somebody waits for an answer."""
+        """Whether any call waits for a reply."""
         return bool(self._pending)
 
     def start(self) -> None:
-        """Starts the task that keeps the connection."""
+        """Starts the task that keeps the connection open."""
         self._task = gevent.spawn(self._run)
 
     def close(self) -> None:
-        """Ends the connection and fails whoever waits for an answer."""
+        """Closes the connection and fails the pending calls."""
         if self._task is not None:
             self._task.kill()
             self._task = None
-        self._drop()
+        self._disconnect()
 
     def send(self, message: messages.Message) -> Result[None, errors.NodeError]:
-        """Sends a message that has no answer.
+        """Sends a message that has no reply.
 
-        It is not sent if there is no connection now, and hardly waits for a
-        peer that does not read.
+        Does not wait for a connection: without one, the message is not sent.
+        The write times out after a short time if the peer does not read.
         """
         envelope = messages.Envelope(self._own_vm_id, 0, message)
         return self._write(envelope, _SEND_TIMEOUT_S)
@@ -79,19 +79,20 @@
     def call(
         self, message: messages.Message, timeout_s: float
     ) -> Result[messages.Message, errors.NodeError]:
-        """Sends a question and waits for its answer.
+        """Sends a message and waits for its reply.
 
         Args:
-            message: The question.
-            timeout_s: For connecting and the answer together.
+            message: The message.
+            timeout_s: Timeout for connecting and the reply together.
 
         Returns:
-            The answer. After an error the question may have been handled.
+            The reply. After an error, the peer may still have handled the
+            message.
         """
         self._last_correlation += 1
         correlation = self._last_correlation
-        answer = gevent.event.AsyncResult()
-        self._pending[correlation] = answer
+        reply = gevent.event.AsyncResult()
+        self._pending[correlation] = reply
         try:
             with gevent.Timeout(timeout_s, False):
                 self._connected.wait(_CONNECT_WAIT_S)
@@ -102,14 +103,14 @@
                 if isinstance(written, Err):
                     return written
                 received: Result[messages.Message, errors.NodeError] = (
-                    answer.get()
+                    reply.get()
                 )
                 return received
         finally:
             self._pending.pop(correlation, None)
         return Err(
             errors.NodeUnreachableError(
-                f"{self.address} gave no answer within {timeout_s} s"
+                f"{self.address} sent no reply within {timeout_s} s"
             )
         )
 
@@ -123,20 +124,20 @@
         return self._frames.write(envelope, timeout_s)
 
     def _run(self) -> None:
-        delay_s = _FIRST_DELAY_S
+        delay_s = _RECONNECT_DELAY_S
         while True:
             try:
                 self._frames = self._connect()
                 self._connected.set()
-                if self._read_answers():
-                    delay_s = _FIRST_DELAY_S
+                if self._read_replies():
+                    delay_s = _RECONNECT_DELAY_S
             except OSError:
                 pass
-            self._drop()
-            # Without jitter all neighbours of a restarted node would come
-            # back in the same instant and delay its first heartbeats.
+            self._disconnect()
+            # Without jitter, all neighbours of a restarted router would
+            # reconnect at the same time and delay its first heartbeats.
             gevent.sleep(delay_s * random.uniform(0.5, 1.5))
-            delay_s = min(2 * delay_s, _LONGEST_DELAY_S)
+            delay_s = min(2 * delay_s, _MAX_RECONNECT_DELAY_S)
 
     def _connect(self) -> frames.FrameSocket:
         sock: Any = gevent_socket.create_connection(
@@ -144,7 +145,7 @@
         )
         try:
             configure_socket(sock)
-            connected = frames.greet_as_client(
+            connected = frames.handshake_as_client(
                 sock,
                 self._shared_key,
                 os.urandom(codec.NONCE_BYTES),
@@ -156,36 +157,43 @@
         sock.settimeout(None)
         return connected
 
-    def _read_answers(self) -> bool:
-        """Reads until the connection ends; returns whether any frame came."""
+    def _read_replies(self) -> bool:
+        """Reads until the connection ends.
+
+        Returns:
+            Whether any frame was received.
+        """
         connection = self._frames
         assert connection is not None
-        any_came = False
+        any_received = False
         while True:
             envelope = connection.read()
             if isinstance(envelope, Err):
-                return any_came
-            any_came = True
-            waiting = self._pending.get(envelope.ok_value.correlation)
-            if waiting is not None:
-                waiting.set(Ok(envelope.ok_value.message))
+                return any_received
+            any_received = True
+            reply = self._pending.get(envelope.ok_value.correlation)
+            if reply is not None:
+                reply.set(Ok(envelope.ok_value.message))
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         self._connected.clear()
         if self._frames is not None:
             self._frames.close()
             self._frames = None
-        lost = errors.NodeUnreachableError(f"lost {self.address}")
-        for waiting in list(self._pending.values()):
-            waiting.set(Err(lost))
+        lost = errors.NodeUnreachableError(
+            f"lost the connection to {self.address}"
+        )
+        for reply in list(self._pending.values()):
+            reply.set(Err(lost))
 
 
 def configure_socket(sock: Any) -> None:
-    """Sets the options that every connection between nodes carries.
+    """Sets the socket options of every connection between entry VMs.
 
-    Without TCP_NODELAY a small frame waits for the other side's delayed ACK,
-    some 40 ms. Without TCP_USER_TIMEOUT a link into a partition keeps
-    accepting heartbeats for many minutes and delivers them when it heals.
+    Without TCP_NODELAY, a small frame waits about 40 ms for the peer's
+    delayed ACK. Without TCP_USER_TIMEOUT, a connection across a network
+    partition accepts heartbeats for many minutes and delivers them when the
+    partition ends.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(
--- a/src/mulberrywharf/nodes/links.py
+++ b/src/mulberrywharf/nodes/links.py
@@ -1,14 +1,14 @@
-"""The links of a process, one for each address it speaks to."""
+"""The links of a process, one for each address that it connects to."""
 
 from mulberrywharf import fleet, settings
 from mulberrywharf.nodes import frames, link
 
 
 class Links:
-    """Opens links on first use and keeps them until they are dropped.
+    """Opens links on first use and keeps them until they are closed.
 
     Attributes:
-        traffic: Bytes and frames of all links.
+        traffic: Counters of the bytes and frames of all links.
     """
 
     def __init__(self, own_vm_id: str, shared_key: bytes):
@@ -19,11 +19,11 @@
 
     @classmethod
     def from_config(cls, config: settings.Settings) -> "Links":
-        """Makes the links of the node that the settings describe."""
+        """Creates the links of the process from its settings."""
         return cls(config["vm_id"], bytes.fromhex(config["nodes"]["key_hex"]))
 
     def to(self, address: fleet.Address) -> link.Link:
-        """Returns the running link to an address."""
+        """Returns the link to an address, started on first use."""
         existing = self._links.get(address)
         if existing is not None:
             return existing
@@ -37,7 +37,8 @@
     def keep_only(self, addresses: set[fleet.Address]) -> None:
         """Closes the links to all other addresses, unless they are in use.
 
-        A VM that left the list would else be dialled for ever.
+        Otherwise the process would never stop trying to connect to a VM that
+        was removed from the VM list.
         """
         for address in self._links.keys() - addresses:
             if not self._links[address].is_busy:
--- a/src/mulberrywharf/nodes/membership.py
+++ b/src/mulberrywharf/nodes/membership.py
@@ -1,8 +1,9 @@
-"""Which of the zone's entry VMs are alive, as heartbeats tell it.
+"""Determines from heartbeats which of the zone's entry VMs are alive.
 
-Each node stamps its heartbeats with a counter of its own and passes on the
-newest stamp that it knows of everybody. Whose stamp stands still is silent;
-``policy.suspicion`` judges what several observers say about silence.
+Each router numbers its heartbeats with a stamp that increases, and passes on
+the newest stamp that it knows of each other router. A VM whose stamp no longer
+increases is silent. ``policy.suspicion`` combines the observations of several
+routers into a membership.
 """
 
 from collections.abc import Collection, Iterable, Iterator
@@ -19,21 +20,21 @@
 _LIFETIME_INTERVALS_COUNT = 3
 
 
-class _Heard(NamedTuple):
+class _LastStamp(NamedTuple):
     stamp: int
-    risen_s: float
+    received_s: float
 
 
-class _Word(NamedTuple):
-    """What one observer said last."""
+class _ObserverReport(NamedTuple):
+    """The last suspicions received from one observer."""
 
     vm_ids: tuple[str, ...]
     suspected: frozenset[str]
-    said_s: float
+    reported_s: float
 
 
 class MembershipTable:
-    """Stamps and suspicions of one zone, as seen by one node."""
+    """The stamps and suspicions of one zone that one router knows."""
 
     def __init__(
         self,
@@ -49,73 +50,73 @@
             _LIFETIME_INTERVALS_COUNT * interval_s,
         )
         self._settings = suspicion.SuspicionSettings(lifetime_s)
-        self._heard: dict[str, _Heard] = {}
-        self._words: dict[str, _Word] = {}
+        self._last_stamps: dict[str, _LastStamp] = {}
+        self._observer_reports: dict[str, _ObserverReport] = {}
 
     def expect(self, vm_ids: Collection[str], now_s: float) -> None:
-        """Sets whose heartbeats are awaited; newcomers count as just heard."""
-        for vm_id in self._heard.keys() - set(vm_ids):
-            del self._heard[vm_id]
-            self._words.pop(vm_id, None)
+        """Sets the VMs to monitor; a new VM counts as heard from just now."""
+        for vm_id in self._last_stamps.keys() - set(vm_ids):
+            del self._last_stamps[vm_id]
+            self._observer_reports.pop(vm_id, None)
         for vm_id in vm_ids:
-            if vm_id not in self._heard:
-                self._heard[vm_id] = _Heard(-1, now_s)
+            if vm_id not in self._last_stamps:
+                self._last_stamps[vm_id] = _LastStamp(-1, now_s)
 
     def note_stamp(self, vm_id: str, stamp: int, now_s: float) -> bool:
-        """Notes a stamp, heard directly or passed on.
+        """Records a stamp, received from the VM itself or passed on.
 
         Returns:
-            Whether it is newer than any before. A node that was paused reads
-            frames minutes old when it wakes; their stamps are not new, so
-            they make nobody look alive.
+            Whether it is newer than the last one. A router that resumes after
+            a pause reads frames that are minutes old; a VM must not count as
+            alive because of the old stamps in them.
         """
-        heard = self._heard.get(vm_id)
-        if heard is None:
+        last = self._last_stamps.get(vm_id)
+        if last is None:
             return False
-        if heard.stamp >= 0 and not _is_newer(stamp, heard.stamp):
+        if last.stamp >= 0 and not _is_newer(stamp, last.stamp):
             return False
-        self._heard[vm_id] = _Heard(stamp, now_s)
+        self._last_stamps[vm_id] = _LastStamp(stamp, now_s)
         return True
 
-    def note_word(
+    def note_suspicions(
         self,
         observer_id: str,
         vm_ids: Iterable[str],
         suspected: Iterable[str],
         now_s: float,
     ) -> None:
-        """Notes which VMs an observer suspects."""
-        self._words[observer_id] = _Word(
+        """Records which VMs an observer suspects."""
+        self._observer_reports[observer_id] = _ObserverReport(
             tuple(vm_ids), frozenset(suspected), now_s
         )
 
-    def restart(self, vm_id: str, now_s: float) -> None:
-        """Forgets the stamp of a VM whose process started afresh."""
-        if vm_id in self._heard:
-            self._heard[vm_id] = _Heard(-1, now_s)
+    def reset_stamp(self, vm_id: str, now_s: float) -> None:
+        """Discards the stamp of a VM whose process was restarted."""
+        if vm_id in self._last_stamps:
+            self._last_stamps[vm_id] = _LastStamp(-1, now_s)
 
     def silent(self, now_s: float) -> frozenset[str]:
-        """Returns the VMs that this node itself no longer hears."""
+        """Returns the VMs whose stamp did not increase for too long."""
         return frozenset(
             vm_id
-            for vm_id, heard in self._heard.items()
+            for vm_id, last in self._last_stamps.items()
             if vm_id != self._own_vm_id
-            and now_s - heard.risen_s > self._suspect_after_s
+            and now_s - last.received_s > self._suspect_after_s
         )
 
     def stamps(self, vm_ids: Iterable[str]) -> bytes:
-        """Returns the column of newest stamps; 0 where none is known."""
+        """Returns the newest stamp of each VM, 2 bytes each; 0 if unknown."""
         column = bytearray()
         for vm_id in vm_ids:
-            heard = self._heard.get(vm_id)
-            stamp = heard.stamp if heard and heard.stamp >= 0 else 0
+            last = self._last_stamps.get(vm_id)
+            stamp = last.stamp if last and last.stamp >= 0 else 0
             column += stamp.to_bytes(STAMP_BYTES, "big")
         return bytes(column)
 
     def merge_stamps(
         self, vm_ids: Collection[str], column: bytes, now_s: float
     ) -> None:
-        """Takes in the stamps that another node passes on."""
+        """Merges the stamps that another router passes on."""
         if len(column) != STAMP_BYTES * len(vm_ids):
             return
         for index, vm_id in enumerate(vm_ids):
@@ -124,44 +125,48 @@
             if stamp and vm_id != self._own_vm_id:
                 self.note_stamp(vm_id, stamp, now_s)
 
-    def judge(
+    def evaluate(
         self, vms: list[fleet.VmRecord], now_s: float
     ) -> suspicion.Membership:
-        """Judges who of the zone's entry VMs is alive."""
+        """Determines which of the zone's entry VMs are alive."""
         return suspicion.evaluate(
             self._observations(now_s), vms, now_s, self._settings
         )
 
     def _observations(self, now_s: float) -> Iterator[suspicion.Observation]:
         silent = self.silent(now_s)
-        for vm_id in self._heard:
+        for vm_id in self._last_stamps:
             yield suspicion.Observation(
                 self._own_vm_id, vm_id, vm_id in silent, now_s
             )
-        for observer_id, word in self._words.items():
+        for observer_id, report in self._observer_reports.items():
             if observer_id in silent:
                 continue
-            for vm_id in word.vm_ids:
+            for vm_id in report.vm_ids:
                 yield suspicion.Observation(
-                    observer_id, vm_id, vm_id in word.suspected, word.said_s
+                    observer_id,
+                    vm_id,
+                    vm_id in report.suspected,
+                    report.reported_s,
                 )
 
 
 def next_stamp(previous: int, unix_s: float, interval_s: float) -> int:
-    """Returns the stamp of a node's next heartbeat.
+    """Returns the stamp of a router's next heartbeat.
 
-    It follows the wall clock, so that a restarted process goes on above its
-    predecessor, and rises in any case, so that a clock set back does not
-    silence the node. 0 is left out: it stands for "not known".
+    The stamp is derived from the wall clock, so that a restarted process
+    continues above the stamps of the previous one. It increases even if the
+    clock is set back; otherwise the router would look silent. 0 is never
+    used, because it means "unknown".
     """
-    wanted = int(unix_s / interval_s) % _STAMP_MODULUS
-    if not _is_newer(wanted, previous):
-        wanted = (previous + 1) % _STAMP_MODULUS
-    return wanted or 1
+    stamp = int(unix_s / interval_s) % _STAMP_MODULUS
+    if not _is_newer(stamp, previous):
+        stamp = (previous + 1) % _STAMP_MODULUS
+    return stamp or 1
 
 
 def suspicion_bits(vm_ids: list[str], suspected: Collection[str]) -> bytes:
-    """Returns one bit for each VM, set for the suspected."""
+    """Returns a bitmap with one bit for each VM, set if it is suspected."""
     bits = bytearray((len(vm_ids) + 7) // 8)
     for index, vm_id in enumerate(vm_ids):
         if vm_id in suspected:
@@ -170,7 +175,7 @@
 
 
 def suspected_in(vm_ids: list[str], bits: bytes) -> frozenset[str]:
-    """Returns the VMs whose bit is set; a short column sets none."""
+    """Returns the VMs whose bit is set; missing bits count as not set."""
     return frozenset(
         vm_id
         for index, vm_id in enumerate(vm_ids)
--- a/src/mulberrywharf/nodes/neighbours.py
+++ b/src/mulberrywharf/nodes/neighbours.py
@@ -1,4 +1,4 @@
-"""The VM list as the mesh uses it: columns of a zone and whom to tell next."""
+"""The VM list by zone, and the choice of the next routers to send to."""
 
 import random
 from collections.abc import Iterable
@@ -13,7 +13,9 @@
 
 
 class ZoneLists(NamedTuple):
-    """The sorted lists that the columns of a heartbeat follow.
+    """The entry VMs and engines of a zone, sorted by vm_id.
+
+    The columns of a heartbeat have one entry for each VM, in this order.
 
     Attributes:
         availability_zone: The zone.
@@ -21,7 +23,7 @@
         engines: Its engines by vm_id.
         entry_vm_ids: Names of the entry VMs.
         engine_ids: Names of the engines.
-        list_hash: Names the two lists.
+        list_hash: Hash that identifies the two lists.
     """
 
     availability_zone: str
@@ -34,12 +36,12 @@
 
 def zone_lists(zone: str, vms: Iterable[fleet.VmRecord]) -> ZoneLists:
     """Returns the lists of one zone."""
-    own = sorted(
+    in_zone = sorted(
         (vm for vm in vms if vm.availability_zone == zone),
         key=lambda vm: vm.vm_id,
     )
-    entry_vms = tuple(vm for vm in own if vm.kind == "entry")
-    engines = tuple(vm for vm in own if vm.kind == "engine")
+    entry_vms = tuple(vm for vm in in_zone if vm.kind == "entry")
+    engines = tuple(vm for vm in in_zone if vm.kind == "engine")
     entry_vm_ids = [vm.vm_id for vm in entry_vms]
     engine_ids = [vm.vm_id for vm in engines]
     text = "\n".join([*entry_vm_ids, "", *engine_ids])
@@ -53,12 +55,12 @@
     )
 
 
-class ListBook:
-    """The lists of all zones, with a few earlier ones of each.
+class ZoneListTable:
+    """The current lists of all zones and a few earlier ones of each.
 
-    Nodes read the VM list at different moments. For some seconds after a
-    change neighbours send columns that follow the list before; they are read
-    by that list instead of being lost.
+    Routers read the VM list at different times. For some seconds after a
+    change, neighbours still send columns in the order of the previous list.
+    Keeping that list allows these columns to be read instead of dropped.
     """
 
     def __init__(self) -> None:
@@ -67,7 +69,7 @@
         self._current: dict[str, ZoneLists] = {}
 
     def update(self, vms: list[fleet.VmRecord]) -> bool:
-        """Takes the VM list; returns whether it changed."""
+        """Applies the VM list; returns whether it changed."""
         if vms == self._vms and self._current:
             return False
         self._vms = vms
@@ -82,11 +84,11 @@
         return True
 
     def current(self, zone: str) -> ZoneLists:
-        """Returns the zone's lists of now, empty if it has none."""
+        """Returns the zone's current lists, empty for an unknown zone."""
         return self._current.get(zone) or zone_lists(zone, ())
 
     def find(self, list_hash: int) -> ZoneLists | None:
-        """Returns the lists that a heartbeat's columns follow."""
+        """Returns the lists with this hash, or None if they are unknown."""
         return self._by_hash.get(list_hash)
 
     def zones(self) -> list[str]:
@@ -99,22 +101,22 @@
 
 
 def partners(
-    own_vm_id: str, own_zone: str, book: ListBook, epoch: int
+    own_vm_id: str, own_zone: str, lists: ZoneListTable, epoch: int
 ) -> list[fleet.VmRecord]:
-    """Returns one entry VM of each other zone, another one each epoch.
+    """Returns one entry VM of each other zone, a different one each epoch.
 
-    With links to all of them, a node would dial hundreds of addresses over
-    and over while the regions are cut off from each other.
+    A router with links to all entry VMs would keep trying to connect to
+    hundreds of addresses during a network partition between regions.
 
     Args:
-        own_vm_id: This node.
+        own_vm_id: This VM.
         own_zone: Its zone.
-        book: The VM list.
-        epoch: Number of the present period.
+        lists: The VM list.
+        epoch: Number of the current epoch.
     """
     chosen = []
-    for zone in book.zones():
-        entry_vms = book.current(zone).entry_vms
+    for zone in lists.zones():
+        entry_vms = lists.current(zone).entry_vms
         if zone == own_zone or not entry_vms:
             continue
         by_id = {vm.vm_id: vm for vm in entry_vms}
@@ -123,32 +125,33 @@
 
 
 class Rotation:
-    """Gives each neighbour its turn, in an order shuffled every round.
+    """Selects neighbours in rounds, each in a new random order.
 
-    Drawn anew each time instead, some neighbour would by chance wait several
-    times as long as the others and look silent.
+    With an independent random choice each time, some neighbour would by chance
+    wait several times as long as the others, and this router would look
+    silent to it.
     """
 
     def __init__(self, rng: random.Random | None = None):
         self._rng = rng or random.Random()
-        self._left: list[fleet.Address] = []
+        self._remaining: list[fleet.Address] = []
 
-    def take(
+    def next_addresses(
         self, neighbours: list[fleet.VmRecord], count: int
     ) -> list[fleet.Address]:
-        """Returns the next neighbours to be told.
+        """Returns the addresses of the next neighbours to send to.
 
         Args:
-            neighbours: All that may be told now.
-            count: How many to tell at most.
+            neighbours: All current neighbours.
+            count: Maximum number of addresses.
         """
         present = {vm.address for vm in neighbours}
         taken: list[fleet.Address] = []
         while len(taken) < min(count, len(present)):
-            if not self._left:
-                self._left = sorted(present - set(taken))
-                self._rng.shuffle(self._left)
-            address = self._left.pop()
+            if not self._remaining:
+                self._remaining = sorted(present - set(taken))
+                self._rng.shuffle(self._remaining)
+            address = self._remaining.pop()
             if address in present and address not in taken:
                 taken.append(address)
         return taken
--- a/src/mulberrywharf/nodes/rates.py
+++ b/src/mulberrywharf/nodes/rates.py
@@ -1,8 +1,8 @@
-"""Rates of customers and models, asked by a controller of its zone's routers.
+"""Request rates that a controller fetches from the routers of its zone.
 
-Routers count the requests; the controller, which has the roles and loads to
-decide, meets none. It asks each router of its zone for the rates of just
-those customers and models that the rules in force name, and adds them up.
+Only routers see requests and count them. The controller, which decides by
+roles and loads, fetches from each router of its zone the rates of those
+customers and models that the rules in force name, and adds them up.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -14,32 +14,40 @@
 from mulberrywharf.nodes import link, messages, server
 
 NAMES_LIMIT_COUNT = 32
-"""Customers, and models, that are asked for; any more are unknown."""
+"""Maximum number of customers, and of models, whose rates are fetched.
 
-KEPT_S = 15.0
-"""Age up to which an answer counts; the rules take 20 s for stale."""
+The rates of any further ones are unknown.
+"""
 
-ENOUGH_SHARE = 2 / 3
-"""Share of the zone's routers whose answers make the sum known.
+REPLY_LIFETIME_S = 15.0
+"""Maximum age of a reply that is used.
 
-The sum of those that answered is a lower bound. It is nearly the whole when
-the others are gone, since the balancer sends their requests elsewhere; with
-fewer answers it may miss most of the load and no rule may act on it.
+The rules treat rates that are older than 20 s as stale.
+"""
+
+QUORUM_SHARE = 2 / 3
+"""Minimum share of the zone's routers that must reply.
+
+The sum over the routers that replied is a lower bound of the zone's rate. If
+the other routers are gone, it is nearly complete, because the load balancer
+sends their requests to the rest. With fewer replies, it may miss most of the
+load, so no rule may act on it.
 """
 
 GIVE_UP_S = 60.0
-"""After so long without enough answers, conditions on rates do not hold.
+"""After this time without enough replies, conditions on rates are false.
 
-Undecided rules hold the zone. That is right for a restart or a short
-partition; if it lasted, no rule behind them would act on the loss of engines
-or a shift of the mix, though the controller sees both.
+Until then, rules with such conditions are undecided, and the zone keeps its
+roles. That is right during a restart or a short network partition. If it
+lasted, no later rule could act on the loss of engines or a change of the
+request mix, although the controller sees both.
 """
 
-_GAP_LIMIT_S = 15.0
+_READ_GAP_LIMIT_S = 15.0
 
 
 class WantedRates(NamedTuple):
-    """Whose rates the rules in force name, in the rules' order.
+    """The names whose rates the rules in force need, in the rules' order.
 
     Attributes:
         customers: Names of customers, each once.
@@ -51,14 +59,14 @@
 
 
 class SeenRates(NamedTuple):
-    """What a controller knows of the rates of its zone.
+    """The rates of a zone as a controller knows them.
 
     Attributes:
-        customers: Requests per second by customer, of those asked for.
-        models: Likewise by model.
-        age_s: Age of the oldest answer that counts; infinite when too few
-            routers answered.
-        given_up: Too few have answered for ``GIVE_UP_S``.
+        customers: Requests per second by customer, for the wanted customers.
+        models: Requests per second by model, for the wanted models.
+        age_s: Age of the oldest reply that is used; infinite if too few
+            routers replied.
+        given_up: Whether too few routers have replied for ``GIVE_UP_S``.
     """
 
     customers: Mapping[str, float]
@@ -70,113 +78,117 @@
 NO_RATES = SeenRates({}, {})
 
 
-class _Answer(NamedTuple):
+class _RouterReply(NamedTuple):
     asked_s: float
     customers: dict[str, float]
     models: dict[str, float]
 
     def covers(self, wanted: WantedRates) -> bool:
-        """Whether it tells all that is wanted now."""
+        """Whether the reply has the rates of all wanted names."""
         return self.customers.keys() >= set(
             wanted.customers
         ) and self.models.keys() >= set(wanted.models)
 
 
 class RouterRates:
-    """The latest answer of each router, and since when they are too few."""
+    """The latest reply of each router, and since when too few replied."""
 
     def __init__(self, give_up_s: float = GIVE_UP_S):
         self._give_up_s = give_up_s
-        self._answers: dict[str, _Answer] = {}
+        self._replies: dict[str, _RouterReply] = {}
         self._wanted = WantedRates()
-        self._short_since_s = 0.0
+        self._insufficient_since_s = 0.0
         self._read_s = float("-inf")
 
     def note(
         self,
         vm_id: str,
         asked: WantedRates,
-        answer: messages.Rates,
+        reply: messages.Rates,
         asked_s: float,
     ) -> None:
-        """Notes a router's answer.
+        """Stores a router's reply.
 
         Args:
-            vm_id: Who answered.
-            asked: What it was asked.
-            answer: As many rates as names were asked.
-            asked_s: Monotonic time of the question.
+            vm_id: The router.
+            asked: The names whose rates were requested.
+            reply: One rate for each name.
+            asked_s: Monotonic time at which the rates were requested.
         """
-        self._answers[vm_id] = _Answer(
+        self._replies[vm_id] = _RouterReply(
             asked_s,
-            dict(zip(asked.customers, answer.customers, strict=True)),
-            dict(zip(asked.models, answer.models, strict=True)),
+            dict(zip(asked.customers, reply.customers, strict=True)),
+            dict(zip(asked.models, reply.models, strict=True)),
         )
 
     def read(
         self, wanted: WantedRates, vm_ids: Collection[str], now_s: float
     ) -> SeenRates:
-        """Adds up what the zone's routers answered.
+        """Adds up the rates of the zone's routers.
 
         Args:
-            wanted: What the rules name.
-            vm_ids: The zone's routers by the VM list.
-            now_s: Monotonic time.
+            wanted: The names that the rules need.
+            vm_ids: The zone's routers in the VM list.
+            now_s: Current monotonic time.
         """
-        self._note_reading(wanted, now_s)
-        self._answers = {
-            vm_id: answer
-            for vm_id, answer in self._answers.items()
-            if vm_id in vm_ids and now_s - answer.asked_s <= KEPT_S
+        self._note_read(wanted, now_s)
+        self._replies = {
+            vm_id: reply
+            for vm_id, reply in self._replies.items()
+            if vm_id in vm_ids and now_s - reply.asked_s <= REPLY_LIFETIME_S
         }
-        counted = [a for a in self._answers.values() if a.covers(wanted)]
-        if not counted or len(counted) < ENOUGH_SHARE * len(vm_ids):
-            given_up = now_s - self._short_since_s >= self._give_up_s
+        counted = [r for r in self._replies.values() if r.covers(wanted)]
+        if not counted or len(counted) < QUORUM_SHARE * len(vm_ids):
+            given_up = now_s - self._insufficient_since_s >= self._give_up_s
             return NO_RATES._replace(given_up=given_up)
-        self._short_since_s = now_s
+        self._insufficient_since_s = now_s
         return SeenRates(
-            _sums(wanted.customers, [a.customers for a in counted]),
-            _sums(wanted.models, [a.models for a in counted]),
-            now_s - min(answer.asked_s for answer in counted),
+            _sums(wanted.customers, [r.customers for r in counted]),
+            _sums(wanted.models, [r.models for r in counted]),
+            now_s - min(reply.asked_s for reply in counted),
         )
 
-    def _note_reading(self, wanted: WantedRates, now_s: float) -> None:
-        # A process that slept, or held no lease, did not ask meanwhile. That
-        # nobody answered it says nothing about the routers.
-        slept = now_s - self._read_s > _GAP_LIMIT_S
-        if slept or wanted != self._wanted:
-            self._short_since_s = now_s
+    def _note_read(self, wanted: WantedRates, now_s: float) -> None:
+        # A controller that was paused, or held no lease, sent no requests in
+        # that time, so the missing replies say nothing about the routers.
+        was_paused = now_s - self._read_s > _READ_GAP_LIMIT_S
+        if was_paused or wanted != self._wanted:
+            self._insufficient_since_s = now_s
         self._wanted = wanted
         self._read_s = now_s
 
 
 def _sums(
-    names: Collection[str], answers: Collection[Mapping[str, float]]
+    names: Collection[str], replies: Collection[Mapping[str, float]]
 ) -> dict[str, float]:
-    return {name: sum(answer[name] for answer in answers) for name in names}
+    return {name: sum(reply[name] for reply in replies) for name in names}
 
 
 def ask(
     router: link.Link, wanted: WantedRates, timeout_s: float
 ) -> Result[messages.Rates, errors.NodeError]:
-    """Asks one router.
+    """Fetches the rates of one router.
 
     Args:
-        router: The link to it.
-        wanted: Whose rates.
-        timeout_s: For connecting and the answer together.
+        router: The link to the router.
+        wanted: The names whose rates are fetched.
+        timeout_s: Timeout for connecting and the reply together.
     """
-    answered = router.call(messages.RatesFetch(*wanted), timeout_s)
-    if isinstance(answered, Err):
-        return answered
-    answer = answered.ok_value
-    if not isinstance(answer, messages.Rates) or not _fits(answer, wanted):
-        return Err(errors.BadFrameError("rates that were not asked for"))
-    return Ok(answer)
+    received = router.call(messages.RatesFetch(*wanted), timeout_s)
+    if isinstance(received, Err):
+        return received
+    reply = received.ok_value
+    if not isinstance(reply, messages.Rates) or not _matches_query(
+        reply, wanted
+    ):
+        return Err(
+            errors.BadFrameError("the reply has another number of rates")
+        )
+    return Ok(reply)
 
 
-def _fits(answer: messages.Rates, wanted: WantedRates) -> bool:
-    counts = (len(answer.customers), len(answer.models))
+def _matches_query(reply: messages.Rates, wanted: WantedRates) -> bool:
+    counts = (len(reply.customers), len(reply.models))
     return counts == (len(wanted.customers), len(wanted.models))
 
 
@@ -184,15 +196,15 @@
     node_server: server.NodeServer,
     read: Callable[[], tuple[Mapping[str, float], Mapping[str, float]]],
 ) -> None:
-    """Lets a router's server answer controllers.
+    """Registers the handler with which a router sends its rates.
 
     Args:
-        node_server: The server.
-        read: Returns the router's rates by customer and by model; who is
-            absent sends none.
+        node_server: The router's server.
+        read: Returns the router's rates by customer and by model. The rate of
+            a name that is missing is 0.
     """
 
-    def answer(
+    def handle_fetch(
         sender_vm_id: str, question: messages.RatesFetch
     ) -> messages.Rates:
         del sender_vm_id
@@ -202,4 +214,4 @@
             tuple(models.get(name, 0.0) for name in question.models),
         )
 
-    node_server.register(messages.RatesFetch, answer)
+    node_server.register(messages.RatesFetch, handle_fetch)
--- a/src/mulberrywharf/nodes/server.py
+++ b/src/mulberrywharf/nodes/server.py
@@ -1,4 +1,4 @@
-"""Listens for other entry VMs, one task for each connection."""
+"""Accepts connections from other VMs, with one task for each connection."""
 
 import os
 from collections.abc import Callable
@@ -14,21 +14,22 @@
 from mulberrywharf.nodes import codec, frames, link, messages
 
 Handler = Callable[[str, Any], messages.Message | None]
-"""Takes the sender's vm_id and the message; returns the answer, if any."""
+"""Takes the sender's vm_id and the message; returns the reply, if any."""
 
 IDLE_TIMEOUT_S = 120.0
-"""A connection that brings nothing for so long is closed.
+"""A connection on which nothing is received for this time is closed.
 
-A VM that vanishes says no farewell. Its connections, and those of a stranger
-who never sends a genuine frame, would else stay until the limit is reached
-and no node can connect any more. A live node connects again at once.
+A VM that fails does not close its connections. Without the timeout, these
+connections, and those of clients that never send an authenticated frame, would
+stay open until the connection limit is reached and no router can connect any
+more. A live router reconnects at once.
 """
 
 _WRITE_TIMEOUT_S = 10.0
 _CONNECTION_LIMIT_COUNT = 2048
 _BACKLOG_COUNT = 256
 _HANDSHAKE_TIMEOUT_S = 5.0
-_QUESTIONS_LIMIT_COUNT = 4096
+_WAITING_HANDLERS_LIMIT_COUNT = 4096
 
 
 class _Registration(NamedTuple):
@@ -37,11 +38,11 @@
 
 
 class NodeServer:
-    """Hands each authenticated message to the handler of its type.
+    """Passes each authenticated message to the handler of its type.
 
     Attributes:
-        traffic: Bytes and frames of all its connections.
-        port: The TCP port, known after ``start``.
+        traffic: Counters of the bytes and frames of all connections.
+        port: The TCP port; the actual one after ``start``.
     """
 
     def __init__(
@@ -60,13 +61,13 @@
         self._shared_key = shared_key
         self._idle_timeout_s = idle_timeout_s
         self._handlers: dict[type, _Registration] = {}
-        self._questions = gevent.pool.Pool(_QUESTIONS_LIMIT_COUNT)
+        self._handler_pool = gevent.pool.Pool(_WAITING_HANDLERS_LIMIT_COUNT)
         self._connections: set[frames.FrameSocket] = set()
         self._server: gevent.server.StreamServer | None = None
 
     @classmethod
     def from_config(cls, config: settings.Settings) -> "NodeServer":
-        """Makes the server that the settings describe."""
+        """Creates the server from the settings."""
         nodes = config["nodes"]
         return cls(
             nodes["listen"]["ip"],
@@ -78,21 +79,22 @@
     def register(
         self, message_type: type, handler: Handler, *, may_wait: bool = False
     ) -> None:
-        """Sets who answers a type of message.
+        """Sets the handler of a type of message.
 
         Args:
-            message_type: One of the messages.
-            handler: Called for each.
-            may_wait: True for handlers that wait for something; they run in
-                a greenlet of their own so that the connection is read on.
+            message_type: One of the message classes.
+            handler: Called for each message of this type.
+            may_wait: Whether the handler may block. Such a handler runs in a
+                greenlet of its own, so that the next message of the
+                connection can be read meanwhile.
         """
         self._handlers[message_type] = _Registration(handler, may_wait)
 
     def start(self) -> None:
-        """Binds and begins to accept.
+        """Binds the port and starts accepting connections.
 
         Raises:
-            ListenError: The port cannot be listened on.
+            ListenError: The server cannot listen on the port.
         """
         listener = _listening.listening_socket(
             self._ip, self.port, backlog_count=_BACKLOG_COUNT
@@ -112,13 +114,13 @@
             self._server = None
         for connection in list(self._connections):
             connection.close()
-        self._questions.kill()
+        self._handler_pool.kill()
 
     def _serve(self, sock: Any, peer: Any) -> None:
         try:
             link.configure_socket(sock)
             sock.settimeout(_HANDSHAKE_TIMEOUT_S)
-            connection = frames.greet_as_server(
+            connection = frames.handshake_as_server(
                 sock,
                 self._shared_key,
                 os.urandom(codec.NONCE_BYTES),
@@ -147,7 +149,9 @@
                 return
             envelope = received.ok_value
             if sender_vm_id and envelope.sender_vm_id != sender_vm_id:
-                logger.warning("{} changed its name", peer)
+                logger.warning(
+                    "{} sent frames with different vm_ids; closing it", peer
+                )
                 return
             sender_vm_id = envelope.sender_vm_id
             self._dispatch(connection, envelope)
@@ -159,21 +163,21 @@
         if registration is None:
             return
         if registration.may_wait:
-            self._questions.spawn(
-                self._answer, connection, envelope, registration.handler
+            self._handler_pool.spawn(
+                self._handle, connection, envelope, registration.handler
             )
         else:
-            self._answer(connection, envelope, registration.handler)
+            self._handle(connection, envelope, registration.handler)
 
-    def _answer(
+    def _handle(
         self,
         connection: frames.FrameSocket,
         envelope: messages.Envelope,
         handler: Handler,
     ) -> None:
-        answer = handler(envelope.sender_vm_id, envelope.message)
-        if answer is not None and envelope.correlation:
+        reply = handler(envelope.sender_vm_id, envelope.message)
+        if reply is not None and envelope.correlation:
             connection.write(
-                messages.Envelope(self._vm_id, envelope.correlation, answer),
+                messages.Envelope(self._vm_id, envelope.correlation, reply),
                 _WRITE_TIMEOUT_S,
             )
--- a/src/mulberrywharf/nodes/slices.py
+++ b/src/mulberrywharf/nodes/slices.py
@@ -1,9 +1,9 @@
-"""Who reads which engine's full load, and the coarse loads that all share.
+"""Assigns engines to readers, and quantises the loads that heartbeats carry.
 
-Every engine has one reader among its zone's live entry VMs, the first by
-rendezvous hashing. The reader's picture travels in heartbeats as one byte an
-engine, the wait in one half and the requests in the other, with half a byte
-of age.
+Every engine has one reader among the live entry VMs of its zone, the first by
+rendezvous hashing. The reader gets the engine's full load report and shares it
+in heartbeats as one byte: the wait in the high half and the number of requests
+in the low half. The age of the load takes another half byte.
 """
 
 import bisect
@@ -36,18 +36,21 @@
 AGE_STEP_S = 0.5
 _AGE_UNKNOWN = 15
 LONGEST_AGE_S = AGE_STEP_S * (_AGE_UNKNOWN - 1)
-"""A load older than this is not passed on."""
+"""Loads older than this are not sent in heartbeats."""
 
 _DEFAULT_PREFILL_TOKENS_PER_S = 8_000.0
 
 
 class CoarseLoad(NamedTuple):
-    """What one byte tells of an engine.
+    """The load of an engine, decoded from one byte.
 
     Attributes:
-        wait_s: Time to prefill what waits, to the nearest step.
-        request_count: Requests that wait or run, to the nearest step.
-        is_serving: False while it drains, changes or has failed.
+        wait_s: Time to prefill the waiting prompts, rounded to the nearest
+            step.
+        request_count: Waiting and running requests, rounded to the nearest
+            step.
+        is_serving: False while the engine drains or changes its role, or
+            after it failed.
     """
 
     wait_s: float
@@ -60,7 +63,7 @@
 
     Attributes:
         load: The load.
-        age_s: How old it is, rounded up on its way.
+        age_s: Its age, rounded up each time that it is passed on.
     """
 
     load: CoarseLoad
@@ -83,7 +86,7 @@
 
 
 def quantise(report: fleet.LoadReport) -> int:
-    """Returns the byte that stands for a load report."""
+    """Returns a load report quantised to one byte."""
     if report.state != "ready":
         return _NOT_SERVING_NIBBLE << 4
     rate = report.prefill_tokens_per_s or _DEFAULT_PREFILL_TOKENS_PER_S
@@ -93,7 +96,7 @@
 
 
 def dequantise(byte: int) -> CoarseLoad:
-    """Returns the load that a byte stands for."""
+    """Returns the load that a byte represents."""
     wait, count = byte >> 4, byte & 15
     if wait == _NOT_SERVING_NIBBLE:
         return CoarseLoad(0.0, 0, is_serving=False)
@@ -101,10 +104,10 @@
 
 
 def refresh(report: fleet.LoadReport, load: CoarseLoad) -> fleet.LoadReport:
-    """Returns an older full report with its queue as a coarse load has it.
+    """Returns an older full report, updated with a newer coarse load.
 
-    Role, models and speeds change seldom and are kept; only the queue, which
-    changes from second to second, is replaced.
+    The role, the models and the speeds change rarely and are kept. Only the
+    queue, which changes every second, and the state are replaced.
     """
     rate = report.prefill_tokens_per_s or _DEFAULT_PREFILL_TOKENS_PER_S
     state: fleet.EngineState = "ready"
@@ -118,48 +121,48 @@
     )
 
 
-class _Known(NamedTuple):
+class _LoadSample(NamedTuple):
     byte: int
     taken_s: float
 
 
 class LoadTable:
-    """The newest byte known of each engine."""
+    """The newest known quantised load of each engine."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._samples: dict[str, _LoadSample] = {}
 
     def put(self, engine_id: str, byte: int, taken_s: float) -> None:
-        """Notes a load unless a newer one is known.
+        """Stores a load unless a newer one is known.
 
         Args:
             engine_id: The engine.
             byte: Its quantised load.
-            taken_s: When it was taken, on this node's monotonic clock.
+            taken_s: Time of the load, on this router's monotonic clock.
         """
-        known = self._known.get(engine_id)
-        if known is None or known.taken_s < taken_s:
-            self._known[engine_id] = _Known(byte, taken_s)
+        sample = self._samples.get(engine_id)
+        if sample is None or sample.taken_s < taken_s:
+            self._samples[engine_id] = _LoadSample(byte, taken_s)
 
     def columns(
         self, engine_ids: list[str], now_s: float
     ) -> tuple[bytes, bytes]:
-        """Returns the loads and their ages in the order of the engines."""
+        """Returns the loads, and their packed ages, in the engines' order."""
         loads = bytearray(len(engine_ids))
         ages = []
         for index, engine_id in enumerate(engine_ids):
-            known = self._known.get(engine_id)
-            if known is None:
+            sample = self._samples.get(engine_id)
+            if sample is None:
                 ages.append(_AGE_UNKNOWN)
                 continue
-            loads[index] = known.byte
-            ages.append(_age_nibble(now_s - known.taken_s))
+            loads[index] = sample.byte
+            ages.append(_age_nibble(now_s - sample.taken_s))
         return bytes(loads), _pack(ages)
 
     def merge(
         self, engine_ids: list[str], loads: bytes, ages: bytes, now_s: float
     ) -> None:
-        """Takes in the columns of another node; a short column is ignored."""
+        """Merges another router's loads; ignores columns of a wrong length."""
         if len(loads) != len(engine_ids) or len(ages) * 2 < len(engine_ids):
             return
         for index, engine_id in enumerate(engine_ids):
@@ -170,14 +173,14 @@
     def read(self, now_s: float) -> Mapping[str, AgedLoad]:
         """Returns every engine's coarse load with its age."""
         return {
-            engine_id: AgedLoad(dequantise(known.byte), now_s - known.taken_s)
-            for engine_id, known in self._known.items()
+            engine_id: AgedLoad(dequantise(sample.byte), now_s - sample.taken_s)
+            for engine_id, sample in self._samples.items()
         }
 
     def keep_only(self, engine_ids: Collection[str]) -> None:
-        """Forgets engines that left the VM list."""
-        for engine_id in self._known.keys() - set(engine_ids):
-            del self._known[engine_id]
+        """Removes the engines that are no longer in the VM list."""
+        for engine_id in self._samples.keys() - set(engine_ids):
+            del self._samples[engine_id]
 
 
 def _nearest(steps: tuple[float, ...], value: float) -> int:
@@ -191,7 +194,11 @@
 
 
 def _age_nibble(age_s: float) -> int:
-    """Rounds up: rounded down at every hop, a load would never grow old."""
+    """Returns the age in steps, rounded up.
+
+    If each router that passes a load on rounded the age down, the load would
+    never expire.
+    """
     steps = -int(-age_s // AGE_STEP_S)
     return max(0, steps) if steps < _AGE_UNKNOWN else _AGE_UNKNOWN
 
--- a/src/mulberrywharf/nodes/wire_forms.py
+++ b/src/mulberrywharf/nodes/wire_forms.py
@@ -1,7 +1,7 @@
-"""How each message between entry VMs stands in the Cap'n Proto schema.
+"""Converts the messages between entry VMs to and from Cap'n Proto.
 
-One writer and one reader for each class of ``nodes.messages``. The schema is
-``messages.capnp``; ``nodes.codec`` makes bytes and frames of what is written.
+There is a writer and a reader for each class of ``nodes.messages``. The schema
+is ``messages.capnp``; ``nodes.codec`` converts the result to bytes and frames.
 """
 
 import functools
@@ -23,7 +23,7 @@
         message: One of ``messages.Message``.
         builder: A Cap'n Proto builder of the schema's ``Envelope``.
     """
-    raise TypeError(f"no wire form for {type(message).__name__}")
+    raise TypeError(f"no writer for messages of {type(message).__name__}")
 
 
 @write.register
@@ -41,10 +41,10 @@
     body.roundNumber = message.round_number
     body.liveDigest = message.live_digest
     demands = body.init("demands", len(message.demands))
-    for slot, demand in zip(demands, message.demands, strict=True):
-        slot.customer = demand.customer
-        slot.requestsPerS = demand.requests_per_s
-        slot.tokensPerS = demand.tokens_per_s
+    for entry, demand in zip(demands, message.demands, strict=True):
+        entry.customer = demand.customer
+        entry.requestsPerS = demand.requests_per_s
+        entry.tokensPerS = demand.tokens_per_s
 
 
 @write.register
@@ -140,13 +140,13 @@
         reader: A Cap'n Proto reader of the schema's ``Envelope``.
 
     Raises:
-        BadFrameError: A field is out of its bounds.
-        KeyError: The schema has a member that no class stands for.
+        BadFrameError: A field has an invalid value.
+        KeyError: The schema has a message type without a reader here.
     """
     return _READERS[str(reader.which())](reader)
 
 
-def _digest(value: bytes) -> bytes:
+def _checked_digest(value: bytes) -> bytes:
     if len(value) != _DIGEST_BYTES:
         raise errors.BadFrameError("a digest has the wrong length")
     return bytes(value)
@@ -189,8 +189,8 @@
 def _read_claim_request(reader: Any) -> messages.Message:
     body = reader.claimRequest
     return messages.ClaimRequest(
-        _digest(body.claimId),
-        _digest(body.bodyDigest),
+        _checked_digest(body.claimId),
+        _checked_digest(body.bodyDigest),
         body.requestId,
         body.token,
         body.runnerIp,
@@ -202,29 +202,29 @@
 def _read_claim_complete(reader: Any) -> messages.Message:
     body = reader.claimComplete
     return messages.ClaimComplete(
-        _digest(body.claimId),
+        _checked_digest(body.claimId),
         body.token,
         body.status,
-        _digest(body.answerDigest),
+        _checked_digest(body.answerDigest),
         bytes(body.answer) if body.hasAnswer else None,
     )
 
 
 def _read_claim_release(reader: Any) -> messages.Message:
     body = reader.claimRelease
-    return messages.ClaimRelease(_digest(body.claimId), body.token)
+    return messages.ClaimRelease(_checked_digest(body.claimId), body.token)
 
 
 def _read_claim_wait(reader: Any) -> messages.Message:
     body = reader.claimWait
-    return messages.ClaimWait(_digest(body.claimId), body.waitS)
+    return messages.ClaimWait(_checked_digest(body.claimId), body.waitS)
 
 
 def _read_claim_reply(reader: Any) -> messages.Message:
     body = reader.claimReply
     kind = body.kind
     if kind not in messages.CLAIM_REPLY_KINDS:
-        raise errors.BadFrameError("a claim reply of an unknown kind")
+        raise errors.BadFrameError("a claim reply has an unknown kind")
     return messages.ClaimReply(
         kind,
         body.runnerVmId,
@@ -248,14 +248,17 @@
 
 def _read_rates(reader: Any) -> messages.Message:
     body = reader.rates
-    return messages.Rates(_rates(body.customers), _rates(body.models))
+    return messages.Rates(
+        _checked_rates(body.customers), _checked_rates(body.models)
+    )
 
 
-def _rates(values: Any) -> tuple[float, ...]:
+def _checked_rates(values: Any) -> tuple[float, ...]:
     rates = tuple(values)
-    # One NaN would make a sum compare as neither above nor below anything.
+    # A single NaN would make the sum of the rates NaN, and a NaN is neither
+    # above nor below any threshold.
     if not all(math.isfinite(rate) and rate >= 0 for rate in rates):
-        raise errors.BadFrameError("a rate is no rate")
+        raise errors.BadFrameError("a rate is negative or not finite")
     return rates
 
 
--- a/tests/builders_mesh.py
+++ b/tests/builders_mesh.py
@@ -1,4 +1,4 @@
-"""Nodes of a mesh in this process, with real sockets on loopback."""
+"""Starts nodes of a mesh in the test process, with sockets on loopback."""
 
 from typing import NamedTuple
 
@@ -12,33 +12,33 @@
 SUSPECT_AFTER_S = 1.0
 
 
-class HeldConfiguration(NamedTuple):
+class ConfigurationInForce(NamedTuple):
     version: int
     raw: bytes
 
 
-class ConfigurationHolder:
-    """A configuration follower without a service behind it."""
+class FakeConfiguration:
+    """A configuration follower without a key-value service."""
 
     def __init__(self, version: int = 1):
-        self.held = HeldConfiguration(version, str(version).encode())
+        self.in_force = ConfigurationInForce(version, str(version).encode())
 
     def version(self):
-        return self.held.version
+        return self.in_force.version
 
     def current(self):
-        return self.held
+        return self.in_force
 
     def apply_if_newer(self, raw):
-        offered = HeldConfiguration(int(raw), raw)
-        if offered.version <= self.held.version:
+        offered = ConfigurationInForce(int(raw), raw)
+        if offered.version <= self.in_force.version:
             return Ok(False)
-        self.held = offered
+        self.in_force = offered
         return Ok(True)
 
 
 class MeshNode:
-    """One entry VM's part in the mesh."""
+    """One node of the mesh, with its server and links."""
 
     def __init__(self, number: int, vm_list, zone="regina-hall", **options):
         name = f"{zone}-entry-{number}"
@@ -54,7 +54,7 @@
         )
         self.vm_id = name
         self.links = links.Links(name, builders_nodes.KEY)
-        self.configuration = ConfigurationHolder()
+        self.configuration = FakeConfiguration()
         options.setdefault("interval_s", INTERVAL_S)
         options.setdefault("suspect_after_s", SUSPECT_AFTER_S)
         self.mesh = mesh.NodeMesh(
@@ -64,14 +64,14 @@
         vm_list.records.append(self.record)
 
     def close(self):
-        """Stops like a killed process."""
+        """Stops without a leaving notice, like a killed process."""
         self.mesh.close()
         self.links.close()
         self.server.close()
 
 
 def start_zone(count: int, vm_list=None, **options):
-    """Starts a zone of nodes that know each other from the start."""
+    """Starts a zone of nodes, all of which are in the VM list already."""
     vm_list = vm_list or builders_claims.ListedVms()
     nodes = [MeshNode(n, vm_list, **options) for n in range(count)]
     for node in nodes:
--- a/tests/builders_nodes.py
+++ b/tests/builders_nodes.py
@@ -1,4 +1,4 @@
-"""Test data for the traffic between entry VMs."""
+"""Test data for messages between entry VMs."""
 
 from mulberrywharf import fleet
 from mulberrywharf.nodes import messages
@@ -8,7 +8,7 @@
 
 
 def one_of_each_message() -> list[messages.Message]:
-    """Returns one message of each type, no field at its default."""
+    """Returns messages of every type, with values other than the defaults."""
     return [
         messages.Heartbeat(
             "nave-heredia",
@@ -46,7 +46,7 @@
 def entry_vm(
     number: int, port: int = 1, availability_zone: str = "regina-hall"
 ) -> fleet.VmRecord:
-    """Returns an entry VM's line of the VM list."""
+    """Returns an entry VM's record in the VM list."""
     return fleet.VmRecord(
         f"{availability_zone}-entry-{number}",
         "entry",
@@ -58,7 +58,7 @@
 def engine_vm(
     number: int, availability_zone: str = "regina-hall"
 ) -> fleet.VmRecord:
-    """Returns an engine's line of the VM list."""
+    """Returns an engine's record in the VM list."""
     return fleet.VmRecord(
         f"{availability_zone}-engine-{number}",
         "engine",
--- a/tests/test_config_exchange.py
+++ b/tests/test_config_exchange.py
@@ -1,4 +1,4 @@
-"""How a node learns from its neighbours which configuration is the newest."""
+"""Tests of how a node gets the newest configuration from other nodes."""
 
 import unittest
 from typing import Any
@@ -27,12 +27,12 @@
         return Ok(None)
 
     def call(self, *_: Any) -> Any:
-        """Answers with the version that is the node's port."""
+        """Replies with a configuration whose version is the node's port."""
         return Ok(messages.ConfigDocument(str(self._number).encode()))
 
 
 class _Links:
-    """Links to nodes that each run the version that is their port."""
+    """Links to nodes; the version that each node runs is its port."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, Any]] = []
@@ -41,7 +41,7 @@
         return _Link(address.port, self.sent)
 
 
-class _Holder(builders_mesh.ConfigurationHolder):
+class _RecordingConfiguration(builders_mesh.FakeConfiguration):
     def __init__(self, version: int):
         super().__init__(version)
         self.offered: list[int] = []
@@ -52,26 +52,25 @@
 
 
 class FetchTest(unittest.TestCase):
-    def test_the_highest_version_heard_is_fetched_first(self):
-        """A node that was paused is heard before the others.
+    def test_the_highest_version_received_is_fetched_first(self):
+        """A new router must not apply rules that were replaced before it began.
 
-        Symptom: a router that replaces another while the service is down
-        serves by rules that were replaced before it began.
-        Sequence: it hears a node at 3, then one at 7; it fetches.
-        Cause: it fetched from whom it had heard first.
+        While the service is unavailable, the router receives the version of a
+        node that was paused first (3), and then that of another node (7). It
+        must fetch the configuration from the second one.
         """
-        holder = _Holder(0)
-        exchange = config_exchange.ConfigExchange(holder, _Links())
+        configuration = _RecordingConfiguration(0)
+        exchange = config_exchange.ConfigExchange(configuration, _Links())
         self.addCleanup(exchange.close)
         exchange.note("paused", 3, _address(3))
         gevent.sleep(0)
         exchange.note("ahead", 7, _address(7))
-        wait_until(lambda: holder.version() == 7)
-        self.assertEqual(holder.offered, [7])
+        wait_until(lambda: configuration.version() == 7)
+        self.assertEqual(configuration.offered, [7])
 
 
-class TellTest(unittest.TestCase):
-    """Three zones of one node each, whose intervals the test begins."""
+class VersionNoticeTest(unittest.TestCase):
+    """Three zones of one node each; the test runs their intervals."""
 
     def setUp(self):
         vm_list = builders_claims.ListedVms()
@@ -91,43 +90,42 @@
     def _link(self, address: fleet.Address) -> Any:
         return _Link(address.port, self.sent)
 
-    def told(self) -> set[int]:
-        """Begins one interval; returns the ports of those who were told."""
+    def notified(self) -> set[int]:
+        """Runs one interval; returns the ports that were sent to."""
         self.sent.clear()
         self.mesh.tick()
         return {port for port, _ in self.sent}
 
-    def test_a_new_version_is_told_to_every_zone_at_once(self):
-        """A zone that is cut from the service has one node only.
+    def test_a_new_version_is_sent_to_every_zone_at_once(self):
+        """A partitioned zone must not wait for its turn to get a change.
 
-        Symptom: a change comes into force there after 8 s and more.
-        Sequence: the change is accepted; each other zone's node tells one
-        zone each fourth interval, and another zone first.
-        Cause: news waited for the turn of the zone that lacked it.
+        A zone of one node is partitioned from the service. Each other node
+        sends to only one zone in every fourth interval, so a notice that
+        waited for the zone's turn would take more than 8 s.
         """
-        self.told()
+        self.notified()
         self.nodes[0].configuration.apply_if_newer(b"7")
-        self.assertEqual(self.told(), self.others)
-        self.assertNotEqual(self.told(), self.others)
+        self.assertEqual(self.notified(), self.others)
+        self.assertNotEqual(self.notified(), self.others)
 
-    def test_a_node_without_configuration_asks_each_interval(self):
-        self.nodes[0].configuration.held = builders_mesh.HeldConfiguration(
-            0, b"0"
-        )
+    def test_a_node_without_configuration_sends_in_each_interval(self):
+        self.nodes[
+            0
+        ].configuration.in_force = builders_mesh.ConfigurationInForce(0, b"0")
         for _ in range(3):
-            self.assertEqual(self.told(), self.others)
+            self.assertEqual(self.notified(), self.others)
 
-    def test_a_node_that_is_behind_is_answered(self):
+    def test_a_node_with_an_older_version_gets_a_notice(self):
         self.nodes[0].configuration.apply_if_newer(b"7")
         sender = self.nodes[1]
-        for version, answers_count in ((3, 1), (7, 0), (9, 0)):
+        for version, replies_count in ((3, 1), (7, 0), (9, 0)):
             with self.subTest(version=version):
                 self.sent.clear()
                 heartbeat = messages.Heartbeat("hall-b", 1, 1, version)
                 self.mesh._on_heartbeat(sender.vm_id, heartbeat)
                 self.assertEqual(
                     [(port, sent.config_version) for port, sent in self.sent],
-                    [(sender.record.address.port, 7)] * answers_count,
+                    [(sender.record.address.port, 7)] * replies_count,
                 )
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Connections between entry VMs: peers that pause, vanish or lie."""
+"""Tests of connections to peers that are paused, lost or unauthenticated."""
 
 import os
 import unittest
@@ -38,14 +38,16 @@
 
 
 class CallTest(LinkTestCase):
-    def test_answers_find_their_questions(self):
+    def test_replies_reach_the_calls_that_wait_for_them(self):
         node_server = self.start_server()
 
-        def answer_slowly(sender, question):
-            gevent.sleep(question.wait_s)
-            return messages.ConfigDocument(str(question.wait_s).encode())
+        def reply_after_wait(sender, message):
+            gevent.sleep(message.wait_s)
+            return messages.ConfigDocument(str(message.wait_s).encode())
 
-        node_server.register(messages.ClaimWait, answer_slowly, may_wait=True)
+        node_server.register(
+            messages.ClaimWait, reply_after_wait, may_wait=True
+        )
         connected = self.start_link(node_server.port)
         waits = [0.3, 0.0, 0.2, 0.1]
         calls = [
@@ -59,7 +61,7 @@
         documents = [c.get(timeout=15).unwrap().document for c in calls]
         self.assertEqual(documents, [str(w).encode() for w in waits])
 
-    def test_a_lost_connection_fails_the_call_and_comes_back(self):
+    def test_a_lost_connection_fails_the_call_and_is_reestablished(self):
         node_server = self.start_server()
         connected = self.start_link(node_server.port)
         builders_claims.wait_until(lambda: connected.connected)
@@ -78,15 +80,15 @@
             lambda: isinstance(self.fetch(connected), Ok)
         )
 
-    def test_another_key_is_refused(self):
+    def test_a_peer_with_another_key_is_rejected(self):
         node_server = self.start_server()
         handled = []
         node_server.register(
             messages.Leaving, lambda *message: handled.append(message)
         )
-        stranger = self.start_link(node_server.port, key=b"x" * 32)
-        builders_claims.wait_until(lambda: stranger.connected)
-        stranger.send(messages.Leaving(1))
+        peer = self.start_link(node_server.port, key=b"x" * 32)
+        builders_claims.wait_until(lambda: peer.connected)
+        peer.send(messages.Leaving(1))
         builders_claims.wait_until(
             lambda: node_server.traffic.refused_count > 0
         )
@@ -95,16 +97,15 @@
 
 class PausedPeerTest(LinkTestCase):
     def test_sending_to_a_peer_that_does_not_read(self):
-        """A neighbour is paused; its kernel still takes bytes for a while.
+        """A paused peer must not stop the heartbeats to the other peers.
 
-        Symptom: all heartbeats of a node end, and it is taken for dead.
-        Sequence: the paused peer's buffers fill, the next write waits, and
-        the task that tells the other neighbours waits with it. Cause: a
-        write without a bound.
+        The buffers of the paused peer fill up. Without a timeout, the next
+        write blocks, and so does the task that sends all heartbeats, until
+        the other nodes suspect this one.
         """
 
         def accept_and_pause(sock, _):
-            frames.greet_as_server(
+            frames.handshake_as_server(
                 sock,
                 builders_nodes.KEY,
                 os.urandom(codec.NONCE_BYTES),
@@ -117,26 +118,25 @@
         self.addCleanup(paused.stop, 0)
         connected = self.start_link(paused.server_port)
         builders_claims.wait_until(lambda: connected.connected)
-        # The kernel gives such a connection up after 10 s, by when a node
-        # that sends nothing has been suspected.
+        # The kernel closes such a connection after 10 s only; by then, a node
+        # that sends nothing is suspected.
         is_sent = True
         while is_sent:
-            with gevent.Timeout(5, AssertionError("a write waits")):
+            with gevent.Timeout(5, AssertionError("a write blocks")):
                 is_sent = isinstance(connected.send(_HALF_MEGABYTE), Ok)
 
 
-class VanishedPeerTest(LinkTestCase):
-    def test_a_silent_connection_is_closed(self):
-        """VMs vanish without a farewell, day after day.
+class LostPeerTest(LinkTestCase):
+    def test_an_idle_connection_is_closed(self):
+        """Connections of failed VMs must not use up the connection limit.
 
-        Symptom: after weeks no node can connect any more. Sequence: each
-        vanished VM leaves its connections open. Cause: the server reads them
-        without a bound.
+        A VM that fails does not close its connections. If the server read
+        them without a timeout, no node could connect any more after weeks.
         """
         node_server = self.start_server(idle_timeout_s=0.2)
         sock = gevent_socket.create_connection(("127.0.0.1", node_server.port))
         self.addCleanup(sock.close)
-        frames.greet_as_client(
+        frames.handshake_as_client(
             sock,
             builders_nodes.KEY,
             os.urandom(codec.NONCE_BYTES),
@@ -145,7 +145,7 @@
         sock.settimeout(20)
         self.assertEqual(sock.recv(1), b"")
 
-    def test_a_stranger_that_does_not_greet(self):
+    def test_a_client_that_sends_no_handshake(self):
         node_server = self.start_server()
         sock = gevent_socket.create_connection(("127.0.0.1", node_server.port))
         self.addCleanup(sock.close)
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""The exchange between entry VMs: membership, configuration, demand."""
+"""Tests of the mesh: membership, configuration and demand reports."""
 
 import unittest
 
@@ -19,7 +19,7 @@
         return vm_list, nodes
 
     def wait_connected(self, nodes):
-        """Waits until each node has heard each other one."""
+        """Waits until each node has received heartbeats of all others."""
         wait_until(
             lambda: all(
                 len(node.mesh.config_versions()) == len(nodes) for node in nodes
@@ -29,10 +29,9 @@
 
 class MembershipTest(MeshTestCase):
     def test_a_killed_node_is_suspected_by_all_others(self):
-        """A node dies; the VM list still calls it live.
+        """A dead node must not get work while the VM list still has it.
 
-        Symptom: work goes to a dead node until the lagging list drops it.
-        Cause: the list is believed alone.
+        The VM list lags, so it alone does not show that the node is dead.
         """
         _, nodes = self.start_zone(4)
         self.wait_connected(nodes)
@@ -45,7 +44,7 @@
             self.assertFalse(node.mesh.membership().is_distrusted)
             self.assertNotIn(dead.record, node.mesh.live_entry_vms())
 
-    def test_a_node_that_comes_back_is_live_again(self):
+    def test_a_node_is_live_again_after_its_heartbeats_resume(self):
         _, nodes = self.start_zone(4)
         self.wait_connected(nodes)
         nodes[0].mesh.close()
@@ -53,12 +52,11 @@
         nodes[0].mesh.start()
         wait_until(lambda: not nodes[1].mesh.membership().suspected)
 
-    def test_one_cut_link_suspects_nobody(self):
-        """Two nodes lose the link between them and no other.
+    def test_loss_of_one_link_makes_no_node_suspected(self):
+        """Two nodes that lose only the link between them must both stay live.
 
-        Symptom: either drops the other, though both serve. Sequence: the
-        heartbeats between the two are lost; a third still hears both. Cause:
-        silence of one link taken for silence of a node.
+        The heartbeats between the two are lost, but a third node receives the
+        heartbeats of both. A lost link must not be taken for a dead node.
         """
         _, nodes = self.start_zone(3)
         self.wait_connected(nodes)
@@ -69,11 +67,11 @@
         for node in nodes:
             self.assertEqual(node.mesh.membership().suspected, frozenset())
 
-    def test_a_node_that_is_cut_off_distrusts_its_picture(self):
-        """A node hears nobody any more.
+    def test_a_partitioned_node_distrusts_its_membership(self):
+        """A partitioned node must not believe that all others are dead.
 
-        Symptom: it believes itself alone and takes every engine for its own.
-        Cause: its own cut is taken for the death of all the others.
+        It receives no heartbeats at all. If it believed itself the only live
+        node, it would become the reader of every engine.
         """
         _, nodes = self.start_zone(4)
         self.wait_connected(nodes)
@@ -82,7 +80,7 @@
         wait_until(lambda: nodes[0].mesh.membership().is_distrusted)
         self.assertEqual(len(nodes[0].mesh.live_entry_vms()), 4)
 
-    def test_leaving_is_known_at_once(self):
+    def test_a_leaving_notice_reaches_all_other_nodes(self):
         _, nodes = self.start_zone(3)
         self.wait_connected(nodes)
         nodes[0].mesh.announce_leaving()
@@ -91,12 +89,11 @@
                 lambda n=node: nodes[0].vm_id in n.mesh.membership().leaving
             )
 
-    def test_old_frames_revive_nobody(self):
-        """A node wakes from a pause and reads frames from before it.
+    def test_frames_read_after_a_pause_do_not_make_a_dead_node_live(self):
+        """A node that died while this one was paused must stay suspected.
 
-        Symptom: nodes that died during the pause look alive again. Sequence:
-        their last frames waited in the socket. Cause: the time of reading
-        taken for the time of sending.
+        After the pause, this node reads the last frames of the dead one from
+        the socket buffer. The time of reading is not the time of sending.
         """
         table = membership.MembershipTable("me", suspect_after_s=5.0)
         table.expect(["me", "dead"], 0.0)
@@ -105,7 +102,7 @@
         self.assertFalse(table.note_stamp("dead", 100, 60.0))
         self.assertEqual(table.silent(60.0), {"dead"})
 
-    def test_a_stamp_passed_on_counts_as_heard(self):
+    def test_a_stamp_passed_on_counts_as_a_heartbeat(self):
         table = membership.MembershipTable("me", suspect_after_s=5.0)
         names = ["far", "me"]
         table.expect(names, 0.0)
@@ -115,7 +112,7 @@
         self.assertEqual(table.silent(20.0), frozenset())
         self.assertEqual(table.silent(30.0), {"far"})
 
-    def test_stamps_wrap_and_never_go_back(self):
+    def test_stamps_wrap_around_and_never_decrease(self):
         cases = [
             # previous, unix_s, wanted
             (0, 70_000.0, 70_000 % 65_536),
@@ -137,10 +134,10 @@
 
 class ConfigurationTest(MeshTestCase):
     def test_a_newer_version_spreads_across_zones_without_the_service(self):
-        """The key-value service is away after one node saw a change.
+        """A change that one node received must come into force on all nodes.
 
-        Symptom: the change is in force on one node only. Cause: nodes learn
-        of configurations from the service alone.
+        The key-value service becomes unavailable after only one node received
+        the change, so the other nodes cannot get it from the service.
         """
         vm_list = builders_claims.ListedVms()
         _, here = self.start_zone(2, vm_list)
@@ -173,12 +170,12 @@
                 )
             )
 
-    def test_the_round_before_is_kept(self):
-        """A neighbour's clock is a little ahead.
+    def test_the_previous_round_is_kept(self):
+        """A neighbour's clock that is ahead must not cause equal shares.
 
-        Symptom: limits fall to equal parts at every round. Sequence: the
-        neighbour reports the next round just before this node divides by the
-        one before. Cause: only the last report of each node is kept.
+        The neighbour reports the next round just before this node divides the
+        limits by the previous one. If only the last report of each node were
+        kept, limits would be divided equally in every round.
         """
         _, nodes = self.start_zone(2)
         first, second = nodes
@@ -195,7 +192,7 @@
         last = second.mesh.demand_reports()[first.vm_id]
         self.assertEqual(last.round_number, 5)
 
-    def test_what_has_no_room_is_left_out_everywhere(self):
+    def test_demands_that_do_not_fit_are_left_out_at_the_sender_too(self):
         _, nodes = self.start_zone(2)
         demands = tuple(
             shares.CustomerDemand(f"customer-{i}", float(i), 1.0)
@@ -213,35 +210,35 @@
 
 
 class RotationTest(unittest.TestCase):
-    def test_everybody_has_a_turn_in_each_round(self):
+    def test_each_neighbour_is_selected_once_in_each_round(self):
         rotation = neighbours.Rotation()
         vms = [builders_nodes.entry_vm(i, port=i) for i in range(1, 8)]
         for _ in range(20):
-            taken = [rotation.take(vms, 1)[0] for _ in range(7)]
+            taken = [rotation.next_addresses(vms, 1)[0] for _ in range(7)]
             self.assertEqual(len(set(taken)), 7)
 
-    def test_few_neighbours(self):
+    def test_fewer_neighbours_than_requested(self):
         rotation = neighbours.Rotation()
-        self.assertEqual(rotation.take([], 2), [])
+        self.assertEqual(rotation.next_addresses([], 2), [])
         vms = [builders_nodes.entry_vm(1)]
         for _ in range(3):
-            self.assertEqual(rotation.take(vms, 2), [vms[0].address])
+            self.assertEqual(rotation.next_addresses(vms, 2), [vms[0].address])
 
 
-class ListBookTest(unittest.TestCase):
-    def test_columns_of_the_list_before_are_still_read(self):
-        book = neighbours.ListBook()
+class ZoneListTableTest(unittest.TestCase):
+    def test_the_previous_list_is_found_after_a_change(self):
+        table = neighbours.ZoneListTable()
         vms = [builders_nodes.entry_vm(i) for i in range(3)]
-        book.update(vms)
-        before = book.current("regina-hall")
-        self.assertTrue(book.update(vms[:2]))
-        self.assertFalse(book.update(vms[:2]))
-        self.assertEqual(book.find(before.list_hash), before)
-        self.assertIsNone(book.find(1))
+        table.update(vms)
+        before = table.current("regina-hall")
+        self.assertTrue(table.update(vms[:2]))
+        self.assertFalse(table.update(vms[:2]))
+        self.assertEqual(table.find(before.list_hash), before)
+        self.assertIsNone(table.find(1))
 
 
 def drop_from(node, sender_vm_id):
-    """Lets a node lose every heartbeat of one sender."""
+    """Makes a node ignore every heartbeat of one sender."""
     handle = node.mesh._on_heartbeat
 
     def handle_others(sender, heartbeat):
--- a/tests/test_node_codec.py
+++ b/tests/test_node_codec.py
@@ -1,4 +1,4 @@
-"""Frames between entry VMs: round trips, and what is refused."""
+"""Tests of the frames between entry VMs: round trips and rejected frames."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 class RoundTripTest(unittest.TestCase):
-    def test_every_message(self):
+    def test_every_type_of_message(self):
         for message in builders_nodes.one_of_each_message():
             with self.subTest(type=type(message).__name__):
                 envelope = messages.Envelope("entry-1", 7, message)
@@ -40,21 +40,21 @@
         self.assertEqual(opened.unwrap().message, messages.Leaving(3))
 
 
-class RefusalTest(unittest.TestCase):
-    def assert_refused(self, result):
+class RejectionTest(unittest.TestCase):
+    def assert_rejected(self, result):
         self.assertIsInstance(result, Err)
         self.assertIsInstance(result.err_value, errors.BadFrameError)
 
     def test_wrong_key(self):
         frame = _seal(b"x" * 32, messages.Leaving(3))
-        self.assert_refused(_open(codec.FrameOpener(_KEY), frame))
+        self.assert_rejected(_open(codec.FrameOpener(_KEY), frame))
 
-    def test_other_connection_and_direction(self):
-        """A recorded frame is played into another connection.
+    def test_replay_on_another_connection_or_direction(self):
+        """A replayed frame must be rejected on every other connection.
 
-        Symptom: an old leaving notice empties the zone. Sequence: recorded on
-        one connection, sent again on a new one, or back to its sender. Cause:
-        one key for all connections.
+        If all connections shared one key, an old leaving notice could be
+        replayed on a new connection, or back to its sender, and make the
+        nodes of the zone look like leaving.
         """
         keys = codec.session_keys(_KEY, b"c" * 16, b"s" * 16)
         frame = _seal(keys.client_to_server, messages.Leaving(3))
@@ -64,33 +64,33 @@
         )
         for other in others:
             with self.subTest(other=other.hex()):
-                self.assert_refused(_open(codec.FrameOpener(other), frame))
+                self.assert_rejected(_open(codec.FrameOpener(other), frame))
 
     def test_replay_on_the_same_connection(self):
-        """A recorded frame arrives again on its own connection.
+        """A replayed frame must be rejected on its own connection.
 
-        Symptom: one claim is handled twice. Sequence: the frame is genuine
-        and was read before. Cause: a MAC alone doesn't tell old from new.
+        Its MAC is valid, so without the check of the sequence number, one
+        claim would be handled twice.
         """
         opener = codec.FrameOpener(_KEY)
         frame = _seal(_KEY, messages.Leaving(3))
         self.assertIsInstance(_open(opener, frame), Ok)
-        self.assert_refused(_open(opener, frame))
+        self.assert_rejected(_open(opener, frame))
 
     def test_every_truncation_of_a_payload(self):
         for message in builders_nodes.one_of_each_message():
             payload = codec.encode(messages.Envelope("entry-1", 7, message))
             for size_bytes in range(len(payload)):
                 with self.subTest(type(message).__name__, size=size_bytes):
-                    self.assert_refused(codec.decode(payload[:size_bytes]))
+                    self.assert_rejected(codec.decode(payload[:size_bytes]))
 
     def test_damaged_payloads(self):
-        """A router ends with "Premature EOF" and no Python traceback.
+        """A damaged payload must not abort the process.
 
-        Symptom: the process aborts. Sequence: a damaged payload that passes
-        authentication, as one of a faulty peer would, promises more than it
-        holds. Cause: the reader of packed messages throws from a C++
-        destructor.
+        A payload of a faulty peer passes authentication but is shorter than
+        its content declares. The reader of packed messages throws from a C++
+        destructor then, and a router aborts with "Premature EOF" and no Python
+        traceback.
         """
         rng = random.Random(1)
         for message in builders_nodes.one_of_each_message():
@@ -101,9 +101,9 @@
                 cut = rng.randrange(1, len(damaged) + 1)
                 result = codec.decode(bytes(damaged[:cut]))
                 if isinstance(result, Err):
-                    self.assert_refused(result)
+                    self.assert_rejected(result)
 
-    def test_flat_bytes_of_any_kind(self):
+    def test_damaged_flat_messages(self):
         rng = random.Random(1)
         message = builders_nodes.one_of_each_message()[0]
         envelope = messages.Envelope("entry-1", 7, message)
@@ -113,34 +113,34 @@
             damaged[rng.randrange(len(damaged))] = rng.randrange(256)
             result = codec.decode(zlib.compress(bytes(damaged), 1))
             if isinstance(result, Err):
-                self.assert_refused(result)
+                self.assert_rejected(result)
 
-    def test_a_payload_that_inflates_without_end(self):
+    def test_a_payload_that_inflates_beyond_the_limit(self):
         payload = zlib.compress(bytes(64 * codec.FRAME_LIMIT_BYTES), 9)
         self.assertLess(len(payload), codec.FRAME_LIMIT_BYTES)
-        self.assert_refused(codec.decode(payload))
+        self.assert_rejected(codec.decode(payload))
 
-    def test_too_long(self):
+    def test_frames_and_messages_above_the_size_limit(self):
         header = codec.HEADER.pack(codec.FRAME_LIMIT_BYTES + 1, 1, b"0" * 16)
         opener = codec.FrameOpener(_KEY)
-        self.assert_refused(opener.payload_bytes(header))
+        self.assert_rejected(opener.payload_bytes(header))
         document = messages.ConfigDocument(b"x" * codec.FRAME_LIMIT_BYTES)
         sealer = codec.FrameSealer(_KEY)
         envelope = messages.Envelope("entry-1", 1, document)
-        self.assert_refused(sealer.seal(envelope))
+        self.assert_rejected(sealer.seal(envelope))
 
-    def test_every_changed_byte(self):
+    def test_change_of_any_byte_after_the_length(self):
         frame = _seal(_KEY, messages.Leaving(3))
         for position in range(4, len(frame)):
             changed = bytearray(frame)
             changed[position] ^= 1
-            self.assert_refused(_open(codec.FrameOpener(_KEY), bytes(changed)))
+            self.assert_rejected(_open(codec.FrameOpener(_KEY), bytes(changed)))
 
 
 class ArbitraryBytesTest(unittest.TestCase):
     @settings(max_examples=400, deadline=None)
     @given(st.binary(max_size=400))
-    def test_unauthenticated(self, data):
+    def test_frame_without_authentication(self, data):
         opened = _open(codec.FrameOpener(_KEY), data)
         self.assertIsInstance(opened.err_value, errors.BadFrameError)
 
--- a/tests/test_node_rates.py
+++ b/tests/test_node_rates.py
@@ -1,4 +1,4 @@
-"""Rates that a controller asks of its zone's routers."""
+"""Tests of the rates that a controller fetches from its zone's routers."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class WantedRatesTest(unittest.TestCase):
-    def test_only_what_rules_name_in_their_order(self):
+    def test_only_names_in_conditions_on_rates_in_rule_order(self):
         document = _document(
             _rule("a", model="tagger"),
             _rule("b", customer="b", requests_above_per_s=1),
@@ -37,7 +37,7 @@
         wanted = _controller_rates.wanted_rates(document)
         self.assertEqual(wanted, rates.WantedRates(("b", "a"), ("tagger",)))
 
-    def test_names_beyond_the_limit_are_not_asked(self):
+    def test_names_beyond_the_limit_are_left_out(self):
         names = [f"customer-{i}" for i in range(rates.NAMES_LIMIT_COUNT + 1)]
         document = _document(*(_rule(n, customer=n) for n in names))
         wanted = _controller_rates.wanted_rates(document)
@@ -45,14 +45,14 @@
 
 
 class RouterRatesTest(unittest.TestCase):
-    def _rates_of(self, answered_count: int, asked_s: float = 0.0):
+    def _rates_of(self, replied_count: int, asked_s: float = 0.0):
         router_rates = rates.RouterRates()
-        answer = messages.Rates((2.0,), (0.5,))
-        for number in range(answered_count):
-            router_rates.note(f"vm-{number}", _WANTED, answer, asked_s + number)
+        reply = messages.Rates((2.0,), (0.5,))
+        for number in range(replied_count):
+            router_rates.note(f"vm-{number}", _WANTED, reply, asked_s + number)
         return router_rates
 
-    def test_known_once_enough_answered(self):
+    def test_known_once_enough_routers_replied(self):
         cases = ((3, 3), (3, 2), (2, 2), (1, 1), (6, 4))
         for routers_count, answered_count in cases:
             with self.subTest(routers=routers_count, answered=answered_count):
@@ -66,7 +66,7 @@
                 self.assertEqual(seen.models, {"tagger": 0.5 * answered_count})
                 self.assertEqual(seen.age_s, 10.0)
 
-    def test_unknown_when_too_few_answered(self):
+    def test_unknown_if_too_few_routers_replied(self):
         for routers_count, answered_count in ((3, 1), (2, 1), (1, 0), (0, 0)):
             with self.subTest(routers=routers_count, answered=answered_count):
                 vm_ids = [f"vm-{n}" for n in range(routers_count)]
@@ -75,12 +75,12 @@
                 )
                 self.assertEqual(seen, rates.NO_RATES)
 
-    def test_answers_that_do_not_count(self):
+    def test_replies_that_are_not_used(self):
         vm_ids = ["vm-0"]
         cases = {
-            "old": (_WANTED, vm_ids, rates.KEPT_S + 0.1),
-            "of a router that left": (_WANTED, ["vm-1"], 1.0),
-            "to another question": (
+            "old": (_WANTED, vm_ids, rates.REPLY_LIFETIME_S + 0.1),
+            "from a router that left": (_WANTED, ["vm-1"], 1.0),
+            "for other names": (
                 rates.WantedRates(("other",), ()),
                 vm_ids,
                 1.0,
@@ -91,7 +91,7 @@
                 seen = self._rates_of(1).read(wanted, listed, now_s)
                 self.assertEqual(seen, rates.NO_RATES)
 
-    def test_gives_up_after_a_while_without_answers(self):
+    def test_gives_up_after_the_time_limit_without_replies(self):
         router_rates = rates.RouterRates()
         given_up = [
             router_rates.read(_WANTED, ["vm-0"], float(second)).given_up
@@ -102,21 +102,21 @@
         router_rates.note("vm-0", _WANTED, messages.Rates((1.0,), (1.0,)), 99.0)
         self.assertFalse(router_rates.read(_WANTED, ["vm-0"], 100.0).given_up)
 
-    def test_a_pause_is_not_taken_for_silence_of_the_routers(self):
-        """A controller wakes, and passes over a rule that matches.
+    def test_a_pause_does_not_count_as_time_without_replies(self):
+        """Roles must not change after each pause of a controller.
 
-        Symptom: roles change after each pause of a controller. Sequence: it
-        is stopped for minutes and evaluates before any answer came. Cause:
-        time in which nobody was asked counts as time without answers.
+        A controller that was stopped for minutes evaluates its rules before
+        any reply arrives. If the pause counted as time without replies, the
+        controller would skip a rule that matches.
         """
         router_rates = self._rates_of(1)
         router_rates.read(_WANTED, ["vm-0"], 1.0)
-        woken = router_rates.read(_WANTED, ["vm-0"], 500.0)
-        self.assertEqual(woken, rates.NO_RATES)
+        after_pause = router_rates.read(_WANTED, ["vm-0"], 500.0)
+        self.assertEqual(after_pause, rates.NO_RATES)
 
 
 class MatchTest(unittest.TestCase):
-    def test_what_a_rule_sees(self):
+    def test_rules_with_conditions_on_rates(self):
         document = _document(
             _rule("busy", customer="dispatch", requests_above_per_s=5),
             _rule("idle", customer="dispatch", requests_below_per_s=1),
@@ -144,17 +144,17 @@
                 self.assertEqual(found.undecided, undecided)
 
 
-class RefusedAnswerTest(unittest.TestCase):
-    def test_figures_that_are_no_rates(self):
+class RejectedReplyTest(unittest.TestCase):
+    def test_rates_that_are_negative_or_not_finite(self):
         for rate in (float("nan"), float("inf"), -1.0):
             with self.subTest(rate=rate):
-                answer = messages.Envelope("a", 1, messages.Rates((rate,), ()))
-                decoded = codec.decode(codec.encode(answer))
+                reply = messages.Envelope("a", 1, messages.Rates((rate,), ()))
+                decoded = codec.decode(codec.encode(reply))
                 self.assertIsInstance(decoded, Err)
 
 
-class AskingTest(unittest.TestCase):
-    """A controller's questions over real connections."""
+class FetchTest(unittest.TestCase):
+    """A controller fetches rates over real connections."""
 
     def setUp(self):
         self.links = links.Links("entry-9", builders_nodes.KEY)
@@ -186,7 +186,7 @@
             builders_rules.situation(), document or self.document
         )
 
-    def test_the_sum_of_the_zone(self):
+    def test_rates_are_summed_over_the_routers_of_the_zone(self):
         self.start_router(1, {"dispatch": 4.0, "other": 50.0})
         self.start_router(2, {"dispatch": 2.0})
         self.start_router(3, {})
@@ -201,7 +201,7 @@
             )
         )
 
-    def test_nothing_is_asked_unless_a_rule_needs_it(self):
+    def test_nothing_is_fetched_unless_a_rule_needs_it(self):
         self.start_router(1, {"dispatch": 4.0})
         self.read(_document(_rule("calm", queue_delay_above_s=1)))
         gevent.sleep(1.0)
@@ -209,11 +209,11 @@
         self.read()
         builders_claims.wait_until(lambda: self.links.traffic.received_count)
 
-    def test_asking_goes_on_after_a_fault(self):
-        """The VM list holds something odd for a moment.
+    def test_fetching_continues_after_an_exception(self):
+        """A malformed record in the VM list must not end the fetching task.
 
-        Symptom: rates stay unknown until the controller restarts. Sequence:
-        one interval raises. Cause: the task that asks ends with it.
+        If an exception in one interval ended the task, the rates would stay
+        unknown until the controller restarts.
         """
         self.start_router(1, {"dispatch": 4.0})
         self.read()
@@ -222,7 +222,7 @@
         self.vms = good
         builders_claims.wait_until(lambda: self.read().rates_age_s < 10)
 
-    def test_a_router_that_comes_back_is_asked_again(self):
+    def test_rates_are_fetched_again_after_a_router_restarts(self):
         started = self.start_router(1, {"dispatch": 4.0})
         started.close()
         self.read()
@@ -231,11 +231,11 @@
         started.start()
         builders_claims.wait_until(lambda: self.read().rates_age_s < 10)
 
-    def test_a_router_that_does_not_answer_is_left_out(self):
-        deaf = server.NodeServer("127.0.0.1", 0, "e", builders_nodes.KEY)
-        deaf.start()
-        self.addCleanup(deaf.close)
-        self.vms.append(builders_nodes.entry_vm(0, deaf.port))
+    def test_a_router_that_does_not_reply_is_left_out(self):
+        silent = server.NodeServer("127.0.0.1", 0, "e", builders_nodes.KEY)
+        silent.start()
+        self.addCleanup(silent.close)
+        self.vms.append(builders_nodes.entry_vm(0, silent.port))
         self.start_router(1, {"dispatch": 4.0})
         self.start_router(2, {"dispatch": 1.0})
         builders_claims.wait_until(lambda: self.read().rates_age_s < 10)
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -1,4 +1,4 @@
-"""Readers of engines and the coarse loads that heartbeats carry."""
+"""Tests of the readers of engines and the coarse loads in heartbeats."""
 
 import collections
 import unittest
@@ -23,7 +23,7 @@
         self.assertEqual(len(reader_of), len(_ENGINES))
         self.assertLess(max(counts.values()), 3 * len(_ENGINES) / len(_VMS))
 
-    def test_a_lost_vm_moves_only_its_own_engines(self):
+    def test_loss_of_a_vm_only_moves_the_engines_that_it_read(self):
         before = slices.readers(_ENGINES, _VMS)
         after = slices.readers(_ENGINES, _VMS[1:])
         for engine_id in _ENGINES:
@@ -37,7 +37,7 @@
 
 
 class QuantiseTest(unittest.TestCase):
-    def test_error_is_bounded(self):
+    def test_quantisation_error_is_bounded(self):
         for wait_ms in (0, 10, 35, 100, 700, 3000, 60_000):
             for count in (0, 1, 5, 20, 150):
                 with self.subTest(wait_ms=wait_ms, count=count):
@@ -53,7 +53,7 @@
                         abs(load.request_count - count), 0.25 * count
                     )
 
-    def test_more_never_looks_like_less(self):
+    def test_quantised_wait_never_decreases_with_more_tokens(self):
         loads = [
             slices.dequantise(
                 slices.quantise(_report(waiting_prompt_tokens=tokens))
@@ -69,7 +69,7 @@
         self.assertEqual(slices.refresh(report, load).state, "draining")
         self.assertEqual(slices.refresh(_report(), load).state, "unknown")
 
-    def test_every_byte_has_a_meaning(self):
+    def test_every_byte_can_be_decoded(self):
         for byte in range(256):
             slices.dequantise(byte)
 
@@ -89,24 +89,24 @@
             self.assertGreaterEqual(age_s, index + 0.2)
             self.assertLessEqual(age_s, index + 0.2 + slices.AGE_STEP_S)
 
-    def test_the_newer_one_stays(self):
+    def test_an_older_load_does_not_replace_a_newer_one(self):
         table = slices.LoadTable()
         table.put("e", 1, 10.0)
         table.put("e", 2, 9.0)
         self.assertEqual(table.columns(["e"], 10.0)[0], b"\x01")
 
-    def test_passed_round_for_ever_a_load_grows_old(self):
-        """A load of a dead engine circulates between the living.
+    def test_a_load_that_is_passed_on_repeatedly_expires(self):
+        """The load of a dead engine must expire while nodes pass it on.
 
-        Symptom: it stays two seconds old for minutes. Cause: each hop rounds
-        the age down.
+        If each node rounded the age down, the load would appear two seconds
+        old for minutes.
         """
         first, second = slices.LoadTable(), slices.LoadTable()
         first.put("e", 1, 0.0)
         for hop in range(1, 200):
             now_s = hop * 0.1
-            giver, taker = (first, second) if hop % 2 else (second, first)
-            taker.merge(["e"], *giver.columns(["e"], now_s), now_s=now_s)
+            sender, receiver = (first, second) if hop % 2 else (second, first)
+            receiver.merge(["e"], *sender.columns(["e"], now_s), now_s=now_s)
         for table in (first, second):
             self.assertGreaterEqual(table.read(20.0)["e"].age_s, 19.5)
             self.assertEqual(table.columns(["e"], 20.0)[1], b"\xff")
