--- a/src/mulberrywharf/nodes/config_exchange.py
+++ b/src/mulberrywharf/nodes/config_exchange.py
@@ -96,10 +96,10 @@
             self._fetch_target = _FetchTarget(version, vm_id, address)
 
     def handle_fetch(
-        self, sender_vm_id: str, question: messages.ConfigFetch
+        self, sender_vm_id: str, request: messages.ConfigFetch
     ) -> messages.ConfigDocument:
         """Returns the configuration in force, or empty if there is none."""
-        del sender_vm_id, question
+        del sender_vm_id, request
         current = self._configuration.current()
         return messages.ConfigDocument(current.raw if current else b"")
 
--- a/src/mulberrywharf/nodes/demands.py
+++ b/src/mulberrywharf/nodes/demands.py
@@ -9,14 +9,17 @@
 from mulberrywharf.policy import shares
 
 DEMAND_LIMIT_BYTES = 128
-"""Maximum size of the demands in a heartbeat; the busiest customers fit."""
+"""Maximum size of the demands in a heartbeat.
+
+The customers with the most requests are included first.
+"""
 
 _DEMAND_OVERHEAD_BYTES = 14
 _ROUNDS_KEPT_COUNT = 3
 
 
 class DemandReports:
-    """This router's report, the reports received, and to whom it was sent."""
+    """Demand reports of all routers; sends each neighbour the own one once."""
 
     def __init__(self) -> None:
         self._own: shares.DemandReport | None = None
@@ -52,7 +55,7 @@
     def reports(
         self, round_number: int | None
     ) -> Mapping[str, shares.DemandReport]:
-        """Returns each router's report of a round; None for its last one."""
+        """Returns each router's report of a round, or its last if None."""
         found = {}
         for vm_id, reports in self._reports.items():
             wanted = max(reports) if round_number is None else round_number
--- a/src/mulberrywharf/nodes/membership.py
+++ b/src/mulberrywharf/nodes/membership.py
@@ -54,7 +54,7 @@
         self._observer_reports: dict[str, _ObserverReport] = {}
 
     def expect(self, vm_ids: Collection[str], now_s: float) -> None:
-        """Sets the VMs to monitor; a new VM counts as heard from just now."""
+        """Sets the VMs to monitor; the timeout of a new VM starts now."""
         for vm_id in self._last_stamps.keys() - set(vm_ids):
             del self._last_stamps[vm_id]
             self._observer_reports.pop(vm_id, None)
@@ -96,7 +96,7 @@
             self._last_stamps[vm_id] = _LastStamp(-1, now_s)
 
     def silent(self, now_s: float) -> frozenset[str]:
-        """Returns the VMs whose stamp did not increase for too long."""
+        """Returns the VMs that had no newer stamp for ``suspect_after_s``."""
         return frozenset(
             vm_id
             for vm_id, last in self._last_stamps.items()
--- a/src/mulberrywharf/nodes/mesh.py
+++ b/src/mulberrywharf/nodes/mesh.py
@@ -179,7 +179,7 @@
         return self._assigned_engines
 
     def publish_load(self, report: fleet.LoadReport) -> None:
-        """Sends the load of an engine from the next heartbeat on.
+        """Shares the load of an engine from the next heartbeat on.
 
         Args:
             report: Load of an engine that this router reads.
@@ -193,7 +193,7 @@
         return self._loads.read(self._clock.monotonic_s())
 
     def publish_demand(self, report: shares.DemandReport) -> None:
-        """Sends this router's demand from the next heartbeat on."""
+        """Shares this router's demand from the next heartbeat on."""
         self._demands.publish(report)
 
     def demand_reports(
@@ -314,8 +314,8 @@
 
         If partners were notified in rotation, a zone that is partitioned from
         the key-value service would receive a change only after as many rounds
-        as there are zones: the change came into force there after more than
-        8 s.
+        as there are zones, and the change would come into force there last,
+        after 8 s or more.
         """
         version = self._configuration.version()
         if version and version == self._announced_version:
--- a/src/mulberrywharf/nodes/rates.py
+++ b/src/mulberrywharf/nodes/rates.py
@@ -205,13 +205,13 @@
     """
 
     def handle_fetch(
-        sender_vm_id: str, question: messages.RatesFetch
+        sender_vm_id: str, request: messages.RatesFetch
     ) -> messages.Rates:
         del sender_vm_id
         customers, models = read()
         return messages.Rates(
-            tuple(customers.get(name, 0.0) for name in question.customers),
-            tuple(models.get(name, 0.0) for name in question.models),
+            tuple(customers.get(name, 0.0) for name in request.customers),
+            tuple(models.get(name, 0.0) for name in request.models),
         )
 
     node_server.register(messages.RatesFetch, handle_fetch)
--- a/src/mulberrywharf/nodes/server.py
+++ b/src/mulberrywharf/nodes/server.py
@@ -22,7 +22,7 @@
 A VM that fails does not close its connections. Without the timeout, these
 connections, and those of clients that never send an authenticated frame, would
 stay open until the connection limit is reached and no router can connect any
-more. A live router reconnects at once.
+more. A live peer reconnects at once.
 """
 
 _WRITE_TIMEOUT_S = 10.0
--- a/tests/builders_mesh.py
+++ b/tests/builders_mesh.py
@@ -12,7 +12,7 @@
 SUSPECT_AFTER_S = 1.0
 
 
-class ConfigurationInForce(NamedTuple):
+class RawConfiguration(NamedTuple):
     version: int
     raw: bytes
 
@@ -21,7 +21,7 @@
     """A configuration follower without a key-value service."""
 
     def __init__(self, version: int = 1):
-        self.in_force = ConfigurationInForce(version, str(version).encode())
+        self.in_force = RawConfiguration(version, str(version).encode())
 
     def version(self):
         return self.in_force.version
@@ -30,7 +30,7 @@
         return self.in_force
 
     def apply_if_newer(self, raw):
-        offered = ConfigurationInForce(int(raw), raw)
+        offered = RawConfiguration(int(raw), raw)
         if offered.version <= self.in_force.version:
             return Ok(False)
         self.in_force = offered
--- a/tests/test_config_exchange.py
+++ b/tests/test_config_exchange.py
@@ -101,7 +101,7 @@
 
         A zone of one node is partitioned from the service. Each other node
         sends to only one zone in every fourth interval, so a notice that
-        waited for the zone's turn would take more than 8 s.
+        waited for the zone's turn would take 8 s or more.
         """
         self.notified()
         self.nodes[0].configuration.apply_if_newer(b"7")
@@ -109,9 +109,9 @@
         self.assertNotEqual(self.notified(), self.others)
 
     def test_a_node_without_configuration_sends_in_each_interval(self):
-        self.nodes[
-            0
-        ].configuration.in_force = builders_mesh.ConfigurationInForce(0, b"0")
+        self.nodes[0].configuration.in_force = builders_mesh.RawConfiguration(
+            0, b"0"
+        )
         for _ in range(3):
             self.assertEqual(self.notified(), self.others)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -118,7 +118,7 @@
         self.addCleanup(paused.stop, 0)
         connected = self.start_link(paused.server_port)
         builders_claims.wait_until(lambda: connected.connected)
-        # The kernel closes such a connection after 10 s only; by then, a node
+        # The kernel closes such a connection only after 10 s; by then, a node
         # that sends nothing is suspected.
         is_sent = True
         while is_sent:
--- a/tests/test_node_rates.py
+++ b/tests/test_node_rates.py
@@ -54,25 +54,21 @@
 
     def test_known_once_enough_routers_replied(self):
         cases = ((3, 3), (3, 2), (2, 2), (1, 1), (6, 4))
-        for routers_count, answered_count in cases:
-            with self.subTest(routers=routers_count, answered=answered_count):
+        for routers_count, replied_count in cases:
+            with self.subTest(routers=routers_count, replied=replied_count):
                 vm_ids = [f"vm-{n}" for n in range(routers_count)]
-                seen = self._rates_of(answered_count).read(
-                    _WANTED, vm_ids, 10.0
-                )
+                seen = self._rates_of(replied_count).read(_WANTED, vm_ids, 10.0)
                 self.assertEqual(
-                    seen.customers, {"dispatch": 2.0 * answered_count}
+                    seen.customers, {"dispatch": 2.0 * replied_count}
                 )
-                self.assertEqual(seen.models, {"tagger": 0.5 * answered_count})
+                self.assertEqual(seen.models, {"tagger": 0.5 * replied_count})
                 self.assertEqual(seen.age_s, 10.0)
 
     def test_unknown_if_too_few_routers_replied(self):
-        for routers_count, answered_count in ((3, 1), (2, 1), (1, 0), (0, 0)):
-            with self.subTest(routers=routers_count, answered=answered_count):
+        for routers_count, replied_count in ((3, 1), (2, 1), (1, 0), (0, 0)):
+            with self.subTest(routers=routers_count, replied=replied_count):
                 vm_ids = [f"vm-{n}" for n in range(routers_count)]
-                seen = self._rates_of(answered_count).read(
-                    _WANTED, vm_ids, 10.0
-                )
+                seen = self._rates_of(replied_count).read(_WANTED, vm_ids, 10.0)
                 self.assertEqual(seen, rates.NO_RATES)
 
     def test_replies_that_are_not_used(self):
